--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -1,43 +1,50 @@
 #ifndef CHALKWAY_SHARD_H
 #define CHALKWAY_SHARD_H
 /*
-    chalkway_shard.h -- allocator of one shard: one queue for all entries
+    chalkway_shard.h -- slot allocator of one shard, with one queue for all
+    entries
 
     WHAT IT IS
-        A shard is a group of upstreams of one pool. Every entry sends its
-        wants for the shard to one allocator, which orders them all:
-
-          - four tiers in strict order, each lower tier with a floor: a share
-            of the served cost that it gets while it waits, taken from the
-            tiers above as delay only;
-          - within a tier, workspaces share by chalkway_fair.h;
-          - upstreams are chosen by chalkway_pick.h, slots counted exactly.
-
-        A grant is a lease on one slot. It must be used within ttl_ms and is
-        held until a done report, or until its entry stops reporting. Entries
-        report a digest (count and xor of grant ids) of what they hold; when
-        it differs, the allocator asks for the list. A new allocator adopts
-        what the entries hold and uses a part of the slots until they told.
-
-        Refusals come at once: when the estimated wait does not fit the
-        class's queue time or the deadline, when the shard is full, when a
-        protected want needs the place. Each carries a time to come back.
+        A shard is a group of upstreams of one pool. An entry is a host that
+        accepts requests from callers. Every entry sends its slot requests
+        for the shard to the one host that runs the shard's allocator, which
+        orders them all:
+
+          - four priority tiers in strict order. Each lower tier has a floor:
+            a minimum share of the served cost while it has requests waiting.
+            Serving the floor delays the tiers above but never refuses them;
+          - within a tier, workspaces share fairly, see chalkway_fair.h;
+          - upstreams are chosen by chalkway_pick.h, with exact slot counts.
+
+        A grant is a lease on one slot. The entry must use it within ttl_ms
+        and holds it until it releases it, or until the lease of the entry
+        expires. Entries periodically send a digest (count and xor of grant
+        ids) of the grants they hold. When it differs from the allocator's
+        own, the allocator requests the full list. A new allocator adopts the
+        grants that entries report and uses only a share of the slots until
+        they have reported.
+
+        The allocator refuses a request immediately when the estimated wait
+        exceeds the class's queue time or the deadline, or when the queue is
+        full; it evicts a queued one when a protected request needs its
+        place. Each refusal carries a retry delay.
 
     HOW TO USE IT
-        State in, time in, actions out; no socket and no clock:
+        The owner passes in the time and sends the actions; the allocator
+        has no socket and no clock:
 
             cw_shard_t* shard = cw_shard_setup(&(cw_shard_desc_t){.epoch = random});
             cw_shard_upstreams(shard, specs, count);
             cw_shard_want(shard, now_ms, &want);
             cw_shard_action_t action;
             while (cw_shard_next(shard, now_ms, &action)) {
-                send(action);               // grant, refuse, preempt or resync
+                send(&action);              // grant, refuse, preempt or resync
             }
             cw_shard_done(shard, now_ms, &done);
 
     WHAT IT DOES NOT DO
-        It does not deliver messages, and does not know which host should
-        run the shard: see chalkway_place.h.
+        It does not deliver messages, and does not decide which host runs
+        the shard: see chalkway_place.h.
 
     LICENCE
         MIT, see LICENSE.
@@ -49,71 +56,71 @@
 #define CW_TIERS 4
 
 enum {
-    CW_WANT_PROTECTED = 1,  /* never refused or preempted for a lower tier */
+    CW_WANT_PROTECTED = 1,  /* not refused for its wait while a lower tier waits, never preempted for a lower tier */
     CW_WANT_PREEMPTIBLE = 2 /* may be cancelled while it runs */
 };
 
-/* One request's wish to run. Times are relative, so that clocks need not agree. */
+/* Request of an entry for one slot. Times are relative, so that the hosts' clocks need not agree. */
 typedef struct cw_want_t {
-    uint64_t entry;     /* host that owns the request */
-    uint32_t seq;       /* the entry's number of the want, not 0 */
+    uint64_t entry;     /* host that accepted the caller's request */
+    uint32_t seq;       /* sequence number assigned by the entry, not 0 */
     uint8_t tier;       /* 0 is the highest */
     uint8_t flags;      /* CW_WANT_... */
     uint32_t weight;    /* of the workspace, 0 counts as 1 */
     uint64_t workspace; /* id */
     uint32_t cost;      /* estimated, in cost units (tokens) */
-    uint32_t est_ms;    /* estimated run time, mean */
-    uint32_t need_ms;   /* run time that most requests of its kind need, 0: est_ms */
+    uint32_t est_ms;    /* estimated mean run time */
+    uint32_t need_ms;   /* run time that covers most requests of its kind, 0: est_ms */
     uint32_t queue_ms;  /* longest wait that the class allows */
-    uint32_t left_ms;   /* until the whole answer is due */
-    uint64_t prefix;    /* hash of the prompt's start, 0: none */
+    uint32_t left_ms;   /* until the whole response is due */
+    uint64_t prefix;    /* hash of the prompt's prefix, 0: none */
     uint64_t exclude;   /* upstream to avoid, 0: none */
     uint64_t hall;      /* of the entry */
     /* Hard limits of the workspace at this shard, set by the allocator's host from its configuration. */
-    uint32_t max_running; /* 0: none */
-    double max_rate;      /* wants a second, 0: none */
+    uint32_t max_running; /* grants held at once, 0: no limit */
+    double max_rate;      /* slot requests per second, 0: no limit */
 } cw_want_t;
 
 typedef enum cw_refusal_t {
     CW_REFUSED_NONE = 0,
-    CW_REFUSED_LATE,    /* it cannot finish by its deadline */
-    CW_REFUSED_BUSY,    /* the wait would be longer than the class allows */
-    CW_REFUSED_EVICTED, /* a higher tier needed the place in the queue */
-    CW_REFUSED_FULL,    /* no place in the queue */
+    CW_REFUSED_LATE,    /* the estimated run time exceeds the time to the deadline */
+    CW_REFUSED_BUSY,    /* the wait exceeds what the class or the deadline allows */
+    CW_REFUSED_EVICTED, /* evicted from the queue by a request of a higher tier */
+    CW_REFUSED_FULL,    /* the queue is full */
     CW_REFUSED_NO_UPSTREAM,
-    CW_REFUSED_RATE, /* the workspace asks more often than it may */
+    CW_REFUSED_RATE, /* the workspace exceeds its request rate */
     CW_REFUSED_COUNT
 } cw_refusal_t;
 
 typedef enum cw_shard_kind_t {
     CW_SHARD_GRANT = 1,
     CW_SHARD_REFUSE,
-    CW_SHARD_PREEMPT, /* cancel a running request; the slot returns with its done report */
-    CW_SHARD_RESYNC,  /* the entry shall list all it holds */
-    CW_SHARD_QUEUED   /* the want waits; sent by the owner of the shard as a sign of life, see cw_shard_waits */
+    CW_SHARD_PREEMPT, /* cancel a running request; its slot is freed when the entry releases the grant */
+    CW_SHARD_RESYNC,  /* the entry must send the list of its grants */
+    CW_SHARD_QUEUED   /* the request is queued; the allocator's host sends this as a keep-alive, see cw_shard_waits */
 } cw_shard_kind_t;
 
 typedef struct cw_shard_action_t {
     cw_shard_kind_t kind;
     uint64_t entry;
-    uint32_t seq;            /* of the want */
-    uint64_t grant;          /* grant, preempt */
+    uint32_t seq;            /* of the slot request */
+    uint64_t grant;          /* id; grant, preempt */
     uint64_t upstream;       /* grant */
-    uint32_t held_ms;        /* grant: time the want spent here */
-    uint32_t ttl_ms;         /* grant: to be used within held_ms + ttl_ms of sending the want */
+    uint32_t held_ms;        /* grant: time the request was queued here */
+    uint32_t ttl_ms;         /* grant: must be used within held_ms + ttl_ms after the request was sent */
     cw_refusal_t refusal;    /* refuse */
-    uint32_t retry_after_ms; /* refuse; 0: not with this deadline */
+    uint32_t retry_after_ms; /* refuse; 0: a retry cannot meet this deadline either */
 } cw_shard_action_t;
 
-/* A grant's end. */
+/* Release of a grant by its entry. */
 typedef struct cw_done_t {
     uint64_t grant;
     cw_pick_result_t result;
-    uint32_t took_ms;
-    uint32_t cost; /* really used */
+    uint32_t took_ms; /* run time */
+    uint32_t cost;    /* actual, in cost units */
 } cw_done_t;
 
-/* A running grant as its entry reports it to a new allocator. */
+/* A grant that an entry holds, as listed for the allocator. */
 typedef struct cw_held_t {
     uint64_t grant;
     uint64_t upstream;
@@ -124,11 +131,11 @@
     uint8_t flags;
 } cw_held_t;
 
-/* What an entry says of all its grants at one allocator. */
+/* Digest of all grants that an entry holds from one allocator. */
 typedef struct cw_digest_t {
     uint64_t entry;
-    uint64_t last;  /* grant received last from this allocator, 0: none */
-    uint64_t xored; /* of the ids held */
+    uint64_t last;  /* latest grant received from this allocator, 0: none */
+    uint64_t xored; /* xor of the ids of the grants held */
     uint32_t count;
 } cw_digest_t;
 
@@ -138,19 +145,19 @@
     uint32_t max_grants;     /* default 4096 */
     uint32_t max_workspaces; /* default 1024 */
     uint32_t max_entries;    /* default 512 */
-    uint32_t ttl_ms;         /* time to use a grant, default 500 */
-    uint32_t lease_ms;       /* grants of an entry silent for this long are taken back, default 60000 */
-    uint32_t preempt_ms;     /* wait of a protected want before a lower one is preempted, default 100 */
-    double floor[CW_TIERS];  /* share of cost for each tier while it waits, default 0, .10, .05, .02 */
-    uint32_t reserve;        /* slots kept free for protected wants, default 0 */
+    uint32_t ttl_ms;         /* time in which an entry must use a grant, default 500 */
+    uint32_t lease_ms;       /* grants of an entry that sent nothing for this long are reclaimed, default 60000 */
+    uint32_t preempt_ms;     /* wait of a protected request before a lower tier is preempted, default 100 */
+    double floor[CW_TIERS];  /* minimum share of the served cost while the tier waits, default 0, .10, .05, .02 */
+    uint32_t reserve;        /* slots kept free for protected requests, default 0 */
     cw_pick_desc_t pick;
     cw_allocator_t allocator;
 } cw_shard_desc_t;
 
 typedef struct cw_shard_stats_t {
-    uint64_t wants, grants, refusals, evictions, preemptions, reclaimed, adopted;
+    uint64_t requests, grants, refusals, evictions, preemptions, reclaimed, adopted;
     uint32_t waiting, running, limit;
-    uint32_t wait_ms; /* estimated wait of a new want of the lowest tier */
+    uint32_t wait_ms; /* estimated wait of a new request of the lowest tier */
     double served_cost[CW_TIERS];
 } cw_shard_stats_t;
 
@@ -158,32 +165,36 @@
 
 cw_shard_t* cw_shard_setup(const cw_shard_desc_t* desc);
 void cw_shard_shutdown(cw_shard_t* shard);
-/* Replaces the upstreams. Grants of one that is gone run on. */
+/* Replaces the upstreams. Grants on an upstream that was removed stay valid until released. */
 cw_status_t cw_shard_upstreams(cw_shard_t* shard, const cw_pick_spec_t* specs, uint32_t count);
-/* Share of the limits to use: entries seen out of entries published (partition rule). */
+/* During a network partition, limits the slots to the share of published entries on this side: seen / published. */
 void cw_shard_visible(cw_shard_t* shard, uint32_t seen, uint32_t published);
-/* A new allocator uses the share of the limits that matches the entries heard out of expected, until until_ms. */
-void cw_shard_cautious(cw_shard_t* shard, int64_t until_ms, uint32_t expected);
-/* Asks the entry for its list (CW_SHARD_RESYNC), which ends the caution as soon as all have told. */
+/* Starts the takeover of a shard: until until_ms, or until all expected entries have reported the grants they hold,
+   limits the slots to the share of expected entries that have. */
+void cw_shard_cautious(cw_shard_t* shard, int64_t until_ms, uint32_t expected_entries);
+/* Requests the entry's list of grants (CW_SHARD_RESYNC). */
 void cw_shard_ask(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
-/* A repeated want (same entry and seq) is answered as before. CW_ERR_FULL: refuse it. */
+/* Queues or refuses the request; cw_shard_next returns the result. Idempotent: a retransmitted request (same entry and
+   seq) that was granted gets the same grant again. CW_ERR_FULL: the caller must refuse it. */
 cw_status_t cw_shard_want(cw_shard_t* shard, int64_t now_ms, const cw_want_t* want);
+/* Removes the request from the queue; does nothing when it is not queued. */
 void cw_shard_cancel(cw_shard_t* shard, uint64_t entry, uint32_t seq);
-/* Whether the want is in the queue. */
+/* Whether the request is in the queue. */
 bool cw_shard_waits(const cw_shard_t* shard, uint64_t entry, uint32_t seq);
 uint32_t cw_shard_upstream_count(const cw_shard_t* shard);
 /* Whether the upstream belongs to the shard. */
 bool cw_shard_serves(const cw_shard_t* shard, uint64_t upstream);
-/* CW_ERR_NOT_FOUND for a grant that ended before. */
+/* Returns CW_ERR_NOT_FOUND for a grant that has already ended. */
 cw_status_t cw_shard_done(cw_shard_t* shard, int64_t now_ms, const cw_done_t* done);
-/* The entry's digest; renews its leases or leads to CW_SHARD_RESYNC. */
+/* Renews the entry's lease and compares its digest with the allocator's; a difference leads to CW_SHARD_RESYNC. */
 void cw_shard_digest(cw_shard_t* shard, int64_t now_ms, const cw_digest_t* digest);
-/* The entry's whole list: unknown grants are adopted, unlisted ones taken back. */
+/* Applies the entry's full list of grants: adopts unknown grants and reclaims those not listed. */
 void cw_shard_list(cw_shard_t* shard, int64_t now_ms, const cw_digest_t* digest, const cw_held_t* held, uint32_t count);
-/* The entry is known to be dead: its wants go, its grants return after one ttl. */
+/* The entry is known to be dead: cancels its queued requests and reclaims its grants after one ttl. */
 void cw_shard_entry_gone(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
+/* Load report of an upstream. */
 void cw_shard_report(cw_shard_t* shard, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining);
-/* Next thing to send; false when there is nothing to do now. */
+/* Next action to send; false when there is none now. */
 bool cw_shard_next(cw_shard_t* shard, int64_t now_ms, cw_shard_action_t* action);
 cw_shard_stats_t cw_shard_stats(const cw_shard_t* shard, int64_t now_ms);
 const char* cw_refusal_name(cw_refusal_t refusal);
@@ -200,26 +211,26 @@
 
 #define _CW_SHARD_NONE UINT32_MAX
 #define _CW_SHARD_GRANT_BIT 0x80000000U
-#define _CW_SHARD_DEFAULT_MS 50.0 /* run time of a want until one was measured */
+#define _CW_SHARD_DEFAULT_MS 50.0 /* run time of a request before any has been measured */
 
 typedef struct _cw_shard_item_t {
     cw_want_t want;
     int64_t arrived_ms;
-    uint32_t retry_ms;    /* refused for its rate: time to come back */
-    cw_refusal_t refusal; /* set: waits to be told */
-    uint32_t next;        /* refusals to tell, or free list */
+    uint32_t retry_ms;    /* refused for its rate: retry delay */
+    cw_refusal_t refusal; /* set: in the list of refusals to send */
+    uint32_t next;        /* in the list of refusals to send, or in the free list */
 } _cw_shard_item_t;
 
 typedef struct _cw_shard_grant_t {
-    uint64_t id; /* 0: free */
-    uint64_t key;
+    uint64_t id;  /* 0: free */
+    uint64_t key; /* in by_request */
     uint64_t entry;
     uint64_t workspace;
     uint64_t upstream;
     int64_t granted_ms;
-    int64_t kept_until; /* of a dead entry's grant, 0: no end set */
+    int64_t reclaim_at_ms; /* when to reclaim a dead entry's grant, 0: not set */
     uint32_t seq, cost, est_ms, weight;
-    uint32_t prev, next; /* grants of the same entry, or free list */
+    uint32_t prev, next; /* in the list of the entry's grants; next also in the free list */
     uint32_t held_ms;
     uint8_t tier, flags;
     bool preempted;
@@ -227,13 +238,13 @@
 
 typedef struct _cw_shard_entry_t {
     uint64_t id;
-    int64_t heard_ms;
-    uint32_t grants; /* list head */
-    bool resync;     /* to be asked for its list */
-    bool listed;     /* told its list to this allocator */
+    int64_t last_seen_ms; /* time of its latest message */
+    uint32_t grants;      /* list head */
+    bool needs_resync;    /* CW_SHARD_RESYNC must be sent */
+    bool has_reported;    /* its grants are known here: it sent its list, or a digest that matches */
 } _cw_shard_entry_t;
 
-/* Use of a workspace that has hard limits, over all entries and tiers. */
+/* Usage of a workspace that has hard limits, summed over all entries and tiers. */
 typedef struct _cw_shard_limit_t {
     uint64_t workspace; /* 0: free */
     uint32_t running, max_running;
@@ -244,9 +255,9 @@
     cw_shard_desc_t desc;
     cw_pick_t* pick;
     cw_fair_t* tiers[CW_TIERS];
-    double credit[CW_TIERS]; /* cost that the floor owes the tier */
-    double ahead[CW_TIERS];  /* estimated run ms waiting in the tier */
-    cw_heap_t expiry;        /* items by the time their wait ends */
+    double floor_credit[CW_TIERS];  /* served cost that the tier has yet to get to reach its floor */
+    double queued_run_ms[CW_TIERS]; /* sum of the estimated run times queued in the tier */
+    cw_heap_t expiry;               /* items by the time at which their wait ends */
     _cw_shard_item_t* items;
     uint32_t free_item;
     uint32_t refused_head, refused_tail;
@@ -254,21 +265,21 @@
     uint32_t free_grant;
     uint32_t grant_count;
     uint32_t grant_seq;
-    cw_map_t by_want;  /* mix(entry, seq) -> item, or grant with _CW_SHARD_GRANT_BIT */
-    cw_map_t by_grant; /* grant id -> grant */
+    cw_map_t by_request; /* mix(entry, seq) -> item, or grant with _CW_SHARD_GRANT_BIT */
+    cw_map_t by_grant;   /* grant id -> grant */
     _cw_shard_entry_t* entries;
     uint32_t entry_count;
     cw_map_t by_entry;
     _cw_shard_limit_t* limits;
-    cw_map_t by_limit;   /* workspace -> limit */
-    uint32_t limit_next; /* where to look for a free place */
-    bool resync_due;
-    int64_t sweep_ms; /* next look for silent entries */
-    int64_t cautious_until;
-    uint32_t expected;
-    double visible;
+    cw_map_t by_limit;     /* workspace -> limit */
+    uint32_t limit_cursor; /* where the search for a free record starts */
+    bool resync_due;       /* some entry may have needs_resync set */
+    int64_t next_sweep_ms; /* time of the next scan for expired leases */
+    int64_t takeover_until_ms;
+    uint32_t expected_entries; /* entries whose grants the takeover waits for */
+    double visible_share;      /* share of published entries on this side of a partition, 0..1 */
     uint32_t protected_waiting;
-    uint32_t again; /* granted item index to tell once more */
+    uint32_t resend_grant; /* index of a grant whose action must be sent again, _CW_SHARD_NONE: none */
     cw_shard_stats_t stats;
 };
 
@@ -283,11 +294,11 @@
     d.ttl_ms = d.ttl_ms ? d.ttl_ms : 500;
     d.lease_ms = d.lease_ms ? d.lease_ms : 60000;
     d.preempt_ms = d.preempt_ms ? d.preempt_ms : 100;
-    bool none = true;
+    bool is_unset = true;
     for (uint32_t t = 0; t < CW_TIERS; t++) {
-        none = none && d.floor[t] <= 0;
+        is_unset = is_unset && d.floor[t] <= 0;
     }
-    if (none) {
+    if (is_unset) {
         memcpy(d.floor, floors, sizeof(floors));
     }
     d.pick.allocator = d.allocator;
@@ -315,7 +326,7 @@
     s->entries = cw_alloc(&d.allocator, d.max_entries, sizeof(*s->entries));
     s->limits = cw_alloc(&d.allocator, d.max_workspaces, sizeof(*s->limits));
     s->by_limit = cw_map_setup(d.max_workspaces, &d.allocator);
-    s->by_want = cw_map_setup(d.max_waiting + d.max_grants, &d.allocator);
+    s->by_request = cw_map_setup(d.max_waiting + d.max_grants, &d.allocator);
     s->by_grant = cw_map_setup(d.max_grants, &d.allocator);
     s->by_entry = cw_map_setup(d.max_entries, &d.allocator);
     for (uint32_t i = 0; i < d.max_waiting; i++) {
@@ -325,8 +336,8 @@
         s->grants[i].next = i + 1 < d.max_grants ? i + 1 : _CW_SHARD_NONE;
     }
     s->refused_head = s->refused_tail = _CW_SHARD_NONE;
-    s->again = _CW_SHARD_NONE;
-    s->visible = 1.0;
+    s->resend_grant = _CW_SHARD_NONE;
+    s->visible_share = 1.0;
     return s;
 }
 
@@ -337,7 +348,7 @@
         cw_fair_shutdown(s->tiers[t]);
     }
     cw_heap_shutdown(&s->expiry);
-    cw_map_shutdown(&s->by_want);
+    cw_map_shutdown(&s->by_request);
     cw_map_shutdown(&s->by_grant);
     cw_map_shutdown(&s->by_entry);
     cw_map_shutdown(&s->by_limit);
@@ -350,7 +361,8 @@
 
 /* -- entries -------------------------------------------------------------- */
 
-static _cw_shard_entry_t* _cw_shard_entry(cw_shard_t* s, int64_t now_ms, uint64_t id) {
+/* Finds or adds the entry and renews its lease; NULL when the table is full. */
+static _cw_shard_entry_t* _cw_shard_touch_entry(cw_shard_t* s, int64_t now_ms, uint64_t id) {
     uint32_t i = cw_map_get(&s->by_entry, id);
     if (i == CW_MAP_NONE) {
         if (s->entry_count == s->desc.max_entries) {
@@ -360,11 +372,11 @@
         s->entries[i] = (_cw_shard_entry_t){.id = id, .grants = _CW_SHARD_NONE};
         cw_map_put(&s->by_entry, id, i);
     }
-    s->entries[i].heard_ms = now_ms;
+    s->entries[i].last_seen_ms = now_ms;
     return &s->entries[i];
 }
 
-static void _cw_shard_entry_drop(cw_shard_t* s, uint32_t index) {
+static void _cw_shard_remove_entry(cw_shard_t* s, uint32_t index) {
     cw_map_remove(&s->by_entry, s->entries[index].id);
     s->entries[index] = s->entries[--s->entry_count];
     if (index < s->entry_count) {
@@ -372,47 +384,47 @@
     }
 }
 
-/* Applies the smaller of the partition's and the take-over's share to the limits. */
-static void _cw_shard_rescale(cw_shard_t* s, int64_t now_ms) {
-    double scale = s->visible;
-    if (now_ms < s->cautious_until && s->expected) {
-        uint32_t listed = 0;
+/* Scales the limits by the smaller of the partition's and the takeover's share. */
+static void _cw_shard_scale_limits(cw_shard_t* s, int64_t now_ms) {
+    double scale = s->visible_share;
+    if (now_ms < s->takeover_until_ms && s->expected_entries) {
+        uint32_t reported = 0;
         for (uint32_t i = 0; i < s->entry_count; i++) {
-            listed += s->entries[i].listed;
+            reported += s->entries[i].has_reported;
         }
-        double share = (double)listed / s->expected;
+        double share = (double)reported / s->expected_entries;
         scale = share < scale ? share : scale;
     }
     cw_pick_scale(s->pick, scale);
 }
 
 void cw_shard_visible(cw_shard_t* s, uint32_t seen, uint32_t published) {
-    s->visible = (published && seen < published) ? (double)seen / published : 1.0;
+    s->visible_share = (published && seen < published) ? (double)seen / published : 1.0;
 }
 
-void cw_shard_cautious(cw_shard_t* s, int64_t until_ms, uint32_t expected) {
-    s->cautious_until = until_ms;
-    s->expected = expected;
+void cw_shard_cautious(cw_shard_t* s, int64_t until_ms, uint32_t expected_entries) {
+    s->takeover_until_ms = until_ms;
+    s->expected_entries = expected_entries;
 }
 
 void cw_shard_ask(cw_shard_t* s, int64_t now_ms, uint64_t entry) {
-    _cw_shard_entry_t* e = _cw_shard_entry(s, now_ms, entry);
+    _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, entry);
     if (e) {
-        e->resync = true;
+        e->needs_resync = true;
         s->resync_due = true;
     }
 }
 
 /* -- limits of workspaces ------------------------------------------------- */
 
-/* Finds or makes the record; NULL when every place is in use. */
-static _cw_shard_limit_t* _cw_shard_limit(cw_shard_t* s, uint64_t workspace) {
+/* Finds or adds the workspace's record, replacing one with no grants running; NULL when all are in use. */
+static _cw_shard_limit_t* _cw_shard_get_limit(cw_shard_t* s, uint64_t workspace) {
     uint32_t i = cw_map_get(&s->by_limit, workspace);
     if (i != CW_MAP_NONE) {
         return &s->limits[i];
     }
     for (uint32_t k = 0; k < s->desc.max_workspaces; k++) {
-        i = s->limit_next++ % s->desc.max_workspaces;
+        i = s->limit_cursor++ % s->desc.max_workspaces;
         if (s->limits[i].running) {
             continue;
         }
@@ -424,17 +436,17 @@
     return NULL;
 }
 
-/* Passes over the workspace in every tier while it runs as much as it may. */
-static void _cw_shard_limit_hold(cw_shard_t* s, const _cw_shard_limit_t* l) {
-    bool held = l->max_running && l->running >= l->max_running;
+/* Skips the workspace in every tier while it is at its limit of running grants. */
+static void _cw_shard_limit_update_blocked(cw_shard_t* s, const _cw_shard_limit_t* l) {
+    bool is_blocked = l->max_running && l->running >= l->max_running;
     for (uint32_t t = 0; t < CW_TIERS; t++) {
-        cw_fair_hold(s->tiers[t], l->workspace, held);
+        cw_fair_hold(s->tiers[t], l->workspace, is_blocked);
     }
 }
 
-/* Counts a want against the workspace's rate; returns the time to wait when it is too often, else 0. */
-static uint32_t _cw_shard_limit_rate(cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
-    _cw_shard_limit_t* l = want->max_rate > 0 ? _cw_shard_limit(s, want->workspace) : NULL;
+/* Charges one request to the workspace's rate limit; returns 0, or the retry delay when the rate is exceeded. */
+static uint32_t _cw_shard_limit_take_rate(cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
+    _cw_shard_limit_t* l = want->max_rate > 0 ? _cw_shard_get_limit(s, want->workspace) : NULL;
     if (!l) {
         return 0;
     }
@@ -442,12 +454,12 @@
     return cw_bucket_take(&l->bucket, now_ms, 1) ? 0 : cw_bucket_wait_ms(&l->bucket, now_ms, 1);
 }
 
-/* After a want was queued: its workspace may already run as much as it may. */
-static void _cw_shard_limit_queued(cw_shard_t* s, const cw_want_t* want) {
-    _cw_shard_limit_t* l = want->max_running ? _cw_shard_limit(s, want->workspace) : NULL;
+/* Applies the limit that a request just queued carries: its workspace may already be at that limit. */
+static void _cw_shard_limit_set_max(cw_shard_t* s, const cw_want_t* want) {
+    _cw_shard_limit_t* l = want->max_running ? _cw_shard_get_limit(s, want->workspace) : NULL;
     if (l) {
         l->max_running = want->max_running;
-        _cw_shard_limit_hold(s, l);
+        _cw_shard_limit_update_blocked(s, l);
     }
 }
 
@@ -455,7 +467,7 @@
     uint32_t i = cw_map_get(&s->by_limit, workspace);
     if (i != CW_MAP_NONE) {
         s->limits[i].running++;
-        _cw_shard_limit_hold(s, &s->limits[i]);
+        _cw_shard_limit_update_blocked(s, &s->limits[i]);
     }
 }
 
@@ -463,38 +475,38 @@
     uint32_t i = cw_map_get(&s->by_limit, workspace);
     if (i != CW_MAP_NONE && s->limits[i].running) {
         s->limits[i].running--;
-        _cw_shard_limit_hold(s, &s->limits[i]);
+        _cw_shard_limit_update_blocked(s, &s->limits[i]);
     }
 }
 
 /* -- waiting items -------------------------------------------------------- */
 
-static void _cw_shard_item_free(cw_shard_t* s, uint32_t i) {
+static void _cw_shard_free_item(cw_shard_t* s, uint32_t i) {
     s->items[i].want.seq = 0;
     s->items[i].next = s->free_item;
     s->free_item = i;
 }
 
-/* Undoes the bookkeeping of an item that has just left its fair queue. */
-static void _cw_shard_unbook(cw_shard_t* s, uint32_t i) {
+/* Removes an item that has just left its fair queue from the expiry heap, the counters and the index. */
+static void _cw_shard_untrack_item(cw_shard_t* s, uint32_t i) {
     const cw_want_t* w = &s->items[i].want;
     cw_heap_remove(&s->expiry, i);
-    s->ahead[w->tier] -= w->est_ms;
+    s->queued_run_ms[w->tier] -= w->est_ms;
     s->protected_waiting -= (w->flags & CW_WANT_PROTECTED) ? 1 : 0;
     if (!cw_fair_count(s->tiers[w->tier])) {
-        s->credit[w->tier] = 0;
-        s->ahead[w->tier] = 0;
+        s->floor_credit[w->tier] = 0;
+        s->queued_run_ms[w->tier] = 0;
     }
-    cw_map_remove(&s->by_want, cw_mix(w->entry, w->seq));
+    cw_map_remove(&s->by_request, cw_mix(w->entry, w->seq));
 }
 
-/* Takes a waiting item out of its queue; the caller keeps or frees it. */
-static void _cw_shard_unqueue(cw_shard_t* s, uint32_t i) {
+/* Removes a waiting item from its queue; the caller must refuse or free it. */
+static void _cw_shard_dequeue(cw_shard_t* s, uint32_t i) {
     cw_fair_remove(s->tiers[s->items[i].want.tier], i);
-    _cw_shard_unbook(s, i);
+    _cw_shard_untrack_item(s, i);
 }
 
-/* Marks an item that is in no queue as refused, to be told by cw_shard_next. */
+/* Appends an item that is in no queue to the refusals that cw_shard_next sends. */
 static void _cw_shard_refuse(cw_shard_t* s, uint32_t i, cw_refusal_t refusal) {
     s->items[i].refusal = refusal;
     s->items[i].next = _CW_SHARD_NONE;
@@ -507,17 +519,17 @@
     s->stats.refusals++;
 }
 
-/* Estimated wait of a new want of the tier: the run time queued before it over the slots that serve it. */
+/* Estimated wait of a new request of the tier: run time queued in this tier and above, divided by the slots. */
 static uint32_t _cw_shard_wait_ms(const cw_shard_t* s, int64_t now_ms, uint32_t tier) {
-    uint32_t limit = cw_pick_capacity(s->pick, now_ms); /* caution passes sooner than the queue */
-    double ahead = 0;
+    uint32_t limit = cw_pick_capacity(s->pick, now_ms); /* unscaled: a takeover ends before the queue drains */
+    double queued_run_ms = 0;
     for (uint32_t t = 0; t <= tier; t++) {
-        ahead += s->ahead[t];
+        queued_run_ms += s->queued_run_ms[t];
     }
-    return limit ? (uint32_t)(ahead / limit) : 0;
+    return limit ? (uint32_t)(queued_run_ms / limit) : 0;
 }
 
-static bool _cw_shard_lower_waits(const cw_shard_t* s, uint32_t tier) {
+static bool _cw_shard_is_lower_tier_waiting(const cw_shard_t* s, uint32_t tier) {
     for (uint32_t t = tier + 1; t < CW_TIERS; t++) {
         if (cw_fair_count(s->tiers[t])) {
             return true;
@@ -526,12 +538,13 @@
     return false;
 }
 
-/* Refuses the newest waiting item of the lowest tier below tier; false when there is none that may go. */
+/* Evicts an item of the lowest tier below the given one: the newest of the workspace with the highest counter. Returns
+   false when there is none that may be evicted. */
 static bool _cw_shard_evict_below(cw_shard_t* s, uint32_t tier) {
     for (uint32_t t = CW_TIERS - 1; t > tier; t--) {
         uint32_t i = cw_fair_last(s->tiers[t]);
         if (i != CW_FAIR_NONE && !(s->items[i].want.flags & CW_WANT_PROTECTED)) {
-            _cw_shard_unqueue(s, i);
+            _cw_shard_dequeue(s, i);
             _cw_shard_refuse(s, i, CW_REFUSED_EVICTED);
             s->stats.evictions++;
             return true;
@@ -540,9 +553,10 @@
     return false;
 }
 
-/* Longest wait after which the want will most likely still end in time. An engine's work on an answer that is cut at
-   its deadline is lost, so where most of its kind would not fit, it waits for a tenth of the time at most. */
-static uint32_t _cw_shard_longest_wait(const cw_want_t* want) {
+/* Longest wait after which the request most likely still meets its deadline. An engine's work on a response that is cut
+   off at its deadline is lost, so the wait leaves need_ms to run. A request with too little time left for that may
+   still wait for a tenth of it. */
+static uint32_t _cw_shard_max_wait_ms(const cw_want_t* want) {
     uint32_t need_ms = want->need_ms ? want->need_ms : want->est_ms;
     uint32_t slack = want->left_ms > need_ms ? want->left_ms - need_ms : 0;
     uint32_t least = want->left_ms / 10;
@@ -550,17 +564,17 @@
     return slack < want->queue_ms ? slack : want->queue_ms;
 }
 
-/* Whether the want should be refused on arrival. */
-static cw_refusal_t _cw_shard_judge(const cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
+/* Admission check of a new request. */
+static cw_refusal_t _cw_shard_check_admission(const cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
     if (want->est_ms > want->left_ms) {
         return CW_REFUSED_LATE;
     }
     if (!cw_pick_count(s->pick)) {
         return CW_REFUSED_NO_UPSTREAM;
     }
-    bool keep = (want->flags & CW_WANT_PROTECTED) && _cw_shard_lower_waits(s, want->tier);
+    bool must_admit = (want->flags & CW_WANT_PROTECTED) && _cw_shard_is_lower_tier_waiting(s, want->tier);
     uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, want->tier);
-    if (!keep && wait_ms > _cw_shard_longest_wait(want)) {
+    if (!must_admit && wait_ms > _cw_shard_max_wait_ms(want)) {
         return CW_REFUSED_BUSY;
     }
     return CW_REFUSED_NONE;
@@ -568,23 +582,23 @@
 
 cw_status_t cw_shard_want(cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
     assert(want->seq && want->tier < CW_TIERS);
-    _cw_shard_entry(s, now_ms, want->entry);
+    _cw_shard_touch_entry(s, now_ms, want->entry);
     uint64_t key = cw_mix(want->entry, want->seq);
-    uint32_t known = cw_map_get(&s->by_want, key);
+    uint32_t known = cw_map_get(&s->by_request, key);
     if (known != CW_MAP_NONE) {
         if (known & _CW_SHARD_GRANT_BIT) {
-            s->again = known & ~_CW_SHARD_GRANT_BIT;
+            s->resend_grant = known & ~_CW_SHARD_GRANT_BIT;
         }
         return CW_OK;
     }
-    s->stats.wants++;
+    s->stats.requests++;
     if (s->free_item == _CW_SHARD_NONE) {
         return CW_ERR_FULL;
     }
-    uint32_t retry_ms = _cw_shard_limit_rate(s, now_ms, want);
-    cw_refusal_t refusal = retry_ms ? CW_REFUSED_RATE : _cw_shard_judge(s, now_ms, want);
+    uint32_t retry_ms = _cw_shard_limit_take_rate(s, now_ms, want);
+    cw_refusal_t refusal = retry_ms ? CW_REFUSED_RATE : _cw_shard_check_admission(s, now_ms, want);
     if (s->items[s->free_item].next == _CW_SHARD_NONE && !refusal && !_cw_shard_evict_below(s, want->tier)) {
-        refusal = CW_REFUSED_FULL; /* the last item only tells refusals */
+        refusal = CW_REFUSED_FULL; /* the last free item is reserved for refusals */
     }
     uint32_t i = s->free_item;
     s->free_item = s->items[i].next;
@@ -596,24 +610,24 @@
         _cw_shard_refuse(s, i, refusal);
         return CW_OK;
     }
-    cw_heap_set(&s->expiry, i, (double)(now_ms + _cw_shard_longest_wait(want)));
-    s->ahead[want->tier] += want->est_ms;
+    cw_heap_set(&s->expiry, i, (double)(now_ms + _cw_shard_max_wait_ms(want)));
+    s->queued_run_ms[want->tier] += want->est_ms;
     s->protected_waiting += (want->flags & CW_WANT_PROTECTED) ? 1 : 0;
-    cw_map_put(&s->by_want, key, i);
-    _cw_shard_limit_queued(s, want);
+    cw_map_put(&s->by_request, key, i);
+    _cw_shard_limit_set_max(s, want);
     return CW_OK;
 }
 
 void cw_shard_cancel(cw_shard_t* s, uint64_t entry, uint32_t seq) {
-    uint32_t i = cw_map_get(&s->by_want, cw_mix(entry, seq));
+    uint32_t i = cw_map_get(&s->by_request, cw_mix(entry, seq));
     if (i != CW_MAP_NONE && !(i & _CW_SHARD_GRANT_BIT)) {
-        _cw_shard_unqueue(s, i);
-        _cw_shard_item_free(s, i);
+        _cw_shard_dequeue(s, i);
+        _cw_shard_free_item(s, i);
     }
 }
 
 bool cw_shard_waits(const cw_shard_t* s, uint64_t entry, uint32_t seq) {
-    uint32_t i = cw_map_get(&s->by_want, cw_mix(entry, seq));
+    uint32_t i = cw_map_get(&s->by_request, cw_mix(entry, seq));
     return i != CW_MAP_NONE && !(i & _CW_SHARD_GRANT_BIT);
 }
 
@@ -627,8 +641,8 @@
 
 /* -- grants --------------------------------------------------------------- */
 
-static uint32_t _cw_shard_grant_new(cw_shard_t* s, int64_t now_ms, uint64_t entry_id) {
-    _cw_shard_entry_t* e = _cw_shard_entry(s, now_ms, entry_id);
+static uint32_t _cw_shard_alloc_grant(cw_shard_t* s, int64_t now_ms, uint64_t entry_id) {
+    _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, entry_id);
     if (s->free_grant == _CW_SHARD_NONE || !e) {
         return _CW_SHARD_NONE;
     }
@@ -643,12 +657,12 @@
     return g;
 }
 
-static void _cw_shard_grant_index(cw_shard_t* s, uint32_t g) {
+static void _cw_shard_index_grant(cw_shard_t* s, uint32_t g) {
     cw_map_put(&s->by_grant, s->grants[g].id, g);
-    cw_map_put(&s->by_want, s->grants[g].key, g | _CW_SHARD_GRANT_BIT);
+    cw_map_put(&s->by_request, s->grants[g].key, g | _CW_SHARD_GRANT_BIT);
 }
 
-static void _cw_shard_grant_free(cw_shard_t* s, uint32_t g) {
+static void _cw_shard_free_grant(cw_shard_t* s, uint32_t g) {
     _cw_shard_grant_t* grant = &s->grants[g];
     if (grant->prev != _CW_SHARD_NONE) {
         s->grants[grant->prev].next = grant->next;
@@ -659,9 +673,9 @@
         s->grants[grant->next].prev = grant->prev;
     }
     cw_map_remove(&s->by_grant, grant->id);
-    cw_map_remove(&s->by_want, grant->key);
-    if (s->again == g) {
-        s->again = _CW_SHARD_NONE;
+    cw_map_remove(&s->by_request, grant->key);
+    if (s->resend_grant == g) {
+        s->resend_grant = _CW_SHARD_NONE;
     }
     grant->id = 0;
     grant->next = s->free_grant;
@@ -669,9 +683,9 @@
     s->grant_count--;
 }
 
-/* Ends a grant: the slot returns, the workspace pays for what was used. */
-static void _cw_shard_end(cw_shard_t* s, int64_t now_ms, uint32_t g, cw_pick_result_t result, uint32_t took_ms,
-                          uint32_t cost) {
+/* Ends a grant: frees the slot and corrects the workspace's charge to the actual cost. */
+static void _cw_shard_end_grant(cw_shard_t* s, int64_t now_ms, uint32_t g, cw_pick_result_t result, uint32_t took_ms,
+                                uint32_t cost) {
     _cw_shard_grant_t* grant = &s->grants[g];
     uint32_t up = cw_pick_find(s->pick, grant->upstream);
     if (up != CW_PICK_NONE) {
@@ -680,7 +694,7 @@
     cw_fair_charge(s->tiers[grant->tier], grant->workspace, grant->weight, (double)cost - grant->cost);
     s->stats.served_cost[grant->tier] += (double)cost - grant->cost;
     _cw_shard_limit_end(s, grant->workspace);
-    _cw_shard_grant_free(s, g);
+    _cw_shard_free_grant(s, g);
 }
 
 cw_status_t cw_shard_done(cw_shard_t* s, int64_t now_ms, const cw_done_t* done) {
@@ -688,13 +702,13 @@
     if (g == CW_MAP_NONE) {
         return CW_ERR_NOT_FOUND;
     }
-    _cw_shard_entry(s, now_ms, s->grants[g].entry);
-    _cw_shard_end(s, now_ms, g, done->result, done->took_ms, done->cost);
+    _cw_shard_touch_entry(s, now_ms, s->grants[g].entry);
+    _cw_shard_end_grant(s, now_ms, g, done->result, done->took_ms, done->cost);
     return CW_OK;
 }
 
-/* Tier to serve next: the highest that waits, unless a floor owes a lower one the cost of its next item. */
-static uint32_t _cw_shard_tier(const cw_shard_t* s) {
+/* Tier to serve next: the highest with a waiting item, unless a lower one's floor credit covers its next item. */
+static uint32_t _cw_shard_next_tier(const cw_shard_t* s) {
     uint32_t best = CW_TIERS;
     for (uint32_t t = 0; t < CW_TIERS; t++) {
         uint32_t i = cw_fair_peek(s->tiers[t]);
@@ -703,23 +717,24 @@
         }
         if (best == CW_TIERS) {
             best = t;
-        } else if (s->credit[t] >= s->items[i].want.cost) {
+        } else if (s->floor_credit[t] >= s->items[i].want.cost) {
             return t;
         }
     }
     return best;
 }
 
-/* Books a served cost: every waiting tier's floor earns its share, the served tier pays. */
-static void _cw_shard_account(cw_shard_t* s, uint32_t tier, uint32_t cost) {
+/* Accounts for a served cost: the tiers that wait, and the served one, earn their floor's share of it as credit; the
+   served tier then spends credit. */
+static void _cw_shard_account_cost(cw_shard_t* s, uint32_t tier, uint32_t cost) {
     for (uint32_t t = 1; t < CW_TIERS; t++) {
         if (t == tier || cw_fair_peek(s->tiers[t]) != CW_FAIR_NONE) {
-            s->credit[t] += s->desc.floor[t] * cost;
+            s->floor_credit[t] += s->desc.floor[t] * cost;
         }
     }
-    s->credit[tier] -= cost;
-    if (s->credit[tier] < 0) {
-        s->credit[tier] = 0;
+    s->floor_credit[tier] -= cost;
+    if (s->floor_credit[tier] < 0) {
+        s->floor_credit[tier] = 0;
     }
     s->stats.served_cost[tier] += cost;
 }
@@ -736,7 +751,7 @@
 }
 
 static bool _cw_shard_try_grant(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
-    uint32_t tier = _cw_shard_tier(s);
+    uint32_t tier = _cw_shard_next_tier(s);
     if (tier == CW_TIERS || s->free_grant == _CW_SHARD_NONE) {
         return false;
     }
@@ -750,12 +765,12 @@
     if (up == CW_PICK_NONE) {
         return false;
     }
-    uint32_t g = _cw_shard_grant_new(s, now_ms, w.entry);
+    uint32_t g = _cw_shard_alloc_grant(s, now_ms, w.entry);
     if (g == _CW_SHARD_NONE) {
         return false;
     }
     cw_fair_pop(s->tiers[tier]);
-    _cw_shard_unbook(s, i);
+    _cw_shard_untrack_item(s, i);
     _cw_shard_grant_t* grant = &s->grants[g];
     grant->id = ((uint64_t)s->desc.epoch << 32) | ++s->grant_seq;
     grant->key = cw_mix(w.entry, w.seq);
@@ -769,25 +784,26 @@
     grant->tier = w.tier;
     grant->flags = w.flags;
     grant->held_ms = (uint32_t)(now_ms - s->items[i].arrived_ms);
-    _cw_shard_grant_index(s, g);
+    _cw_shard_index_grant(s, g);
     cw_pick_begin(s->pick, up);
     _cw_shard_limit_begin(s, w.workspace);
     cw_fair_charge(s->tiers[tier], w.workspace, w.weight, w.cost);
-    _cw_shard_account(s, tier, w.cost);
-    _cw_shard_item_free(s, i);
+    _cw_shard_account_cost(s, tier, w.cost);
+    _cw_shard_free_item(s, i);
     s->stats.grants++;
     _cw_shard_fill_grant(s, g, action);
     return true;
 }
 
-/* Cancels the youngest grant of the lowest preemptible tier when a protected want has waited too long. */
+/* Preempts the youngest preemptible grant of the lowest tier once the protected request at the head of the highest
+   waiting tier has waited for preempt_ms. */
 static bool _cw_shard_try_preempt(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
-    uint32_t first = _CW_SHARD_NONE;
-    for (uint32_t t = 0; t < CW_TIERS && first == _CW_SHARD_NONE; t++) {
-        first = cw_fair_peek(s->tiers[t]);
+    uint32_t head = _CW_SHARD_NONE;
+    for (uint32_t t = 0; t < CW_TIERS && head == _CW_SHARD_NONE; t++) {
+        head = cw_fair_peek(s->tiers[t]);
     }
-    if (first == _CW_SHARD_NONE || !(s->items[first].want.flags & CW_WANT_PROTECTED) ||
-        now_ms - s->items[first].arrived_ms < s->desc.preempt_ms) {
+    if (head == _CW_SHARD_NONE || !(s->items[head].want.flags & CW_WANT_PROTECTED) ||
+        now_ms - s->items[head].arrived_ms < s->desc.preempt_ms) {
         return false;
     }
     uint32_t victim = _CW_SHARD_NONE;
@@ -798,9 +814,11 @@
             continue;
         }
         pending += grant->preempted;
-        bool may = (grant->flags & CW_WANT_PREEMPTIBLE) && !grant->preempted && grant->tier > s->items[first].want.tier;
-        if (may && (victim == _CW_SHARD_NONE || grant->tier > s->grants[victim].tier ||
-                    (grant->tier == s->grants[victim].tier && grant->granted_ms > s->grants[victim].granted_ms))) {
+        bool is_candidate =
+            (grant->flags & CW_WANT_PREEMPTIBLE) && !grant->preempted && grant->tier > s->items[head].want.tier;
+        if (is_candidate &&
+            (victim == _CW_SHARD_NONE || grant->tier > s->grants[victim].tier ||
+             (grant->tier == s->grants[victim].tier && grant->granted_ms > s->grants[victim].granted_ms))) {
             victim = g;
         }
     }
@@ -816,13 +834,13 @@
 
 /* -- leases --------------------------------------------------------------- */
 
-/* Count and xor of the entry's grants, without those it may not have received yet. */
+/* Digest of the entry's grants, without those that it may not have received yet. */
 static cw_digest_t _cw_shard_own_digest(const cw_shard_t* s, const _cw_shard_entry_t* e, uint64_t last) {
     cw_digest_t own = {.entry = e->id};
     for (uint32_t g = e->grants; g != _CW_SHARD_NONE; g = s->grants[g].next) {
         uint64_t id = s->grants[g].id;
-        bool mine = (id >> 32) == s->desc.epoch;
-        if (!mine || id <= last) {
+        bool is_own_epoch = (id >> 32) == s->desc.epoch;
+        if (!is_own_epoch || id <= last) {
             own.xored ^= id;
             own.count++;
         }
@@ -831,21 +849,21 @@
 }
 
 void cw_shard_digest(cw_shard_t* s, int64_t now_ms, const cw_digest_t* digest) {
-    _cw_shard_entry_t* e = _cw_shard_entry(s, now_ms, digest->entry);
+    _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, digest->entry);
     if (!e) {
         return;
     }
     cw_digest_t own = _cw_shard_own_digest(s, e, digest->last);
     if (own.count != digest->count || own.xored != digest->xored) {
-        e->resync = true;
+        e->needs_resync = true;
         s->resync_due = true;
     } else {
-        e->listed = true;
+        e->has_reported = true;
     }
 }
 
 static void _cw_shard_adopt(cw_shard_t* s, int64_t now_ms, uint64_t entry, const cw_held_t* held) {
-    uint32_t g = _cw_shard_grant_new(s, now_ms, entry);
+    uint32_t g = _cw_shard_alloc_grant(s, now_ms, entry);
     if (g == _CW_SHARD_NONE) {
         return;
     }
@@ -861,18 +879,18 @@
     grant->tier = held->tier < CW_TIERS ? held->tier : CW_TIERS - 1;
     grant->flags = held->flags;
     cw_shard_cancel(s, entry, held->seq);
-    _cw_shard_grant_index(s, g);
+    _cw_shard_index_grant(s, g);
     uint32_t up = cw_pick_find(s->pick, held->upstream);
     if (up != CW_PICK_NONE) {
         cw_pick_begin(s->pick, up);
     }
-    if (_cw_shard_limit(s, held->workspace)) { /* its limits are known with its next want */
+    if (_cw_shard_get_limit(s, held->workspace)) { /* the next request of the workspace carries its limits */
         _cw_shard_limit_begin(s, held->workspace);
     }
     s->stats.adopted++;
 }
 
-static bool _cw_shard_listed(const cw_held_t* held, uint32_t count, uint64_t grant) {
+static bool _cw_shard_is_listed(const cw_held_t* held, uint32_t count, uint64_t grant) {
     for (uint32_t i = 0; i < count; i++) {
         if (held[i].grant == grant) {
             return true;
@@ -882,31 +900,31 @@
 }
 
 void cw_shard_list(cw_shard_t* s, int64_t now_ms, const cw_digest_t* digest, const cw_held_t* held, uint32_t count) {
-    _cw_shard_entry_t* e = _cw_shard_entry(s, now_ms, digest->entry);
+    _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, digest->entry);
     if (!e) {
         return;
     }
-    e->listed = true;
-    e->resync = false;
+    e->has_reported = true;
+    e->needs_resync = false;
     for (uint32_t g = e->grants; g != _CW_SHARD_NONE;) {
         uint32_t next = s->grants[g].next;
         uint64_t id = s->grants[g].id;
-        bool received = (id >> 32) != s->desc.epoch || id <= digest->last;
-        if (received && !_cw_shard_listed(held, count, id)) {
-            _cw_shard_end(s, now_ms, g, CW_PICK_CANCELLED, 0, s->grants[g].cost);
+        bool was_received = (id >> 32) != s->desc.epoch || id <= digest->last;
+        if (was_received && !_cw_shard_is_listed(held, count, id)) {
+            _cw_shard_end_grant(s, now_ms, g, CW_PICK_CANCELLED, 0, s->grants[g].cost);
             s->stats.reclaimed++;
         }
         g = next;
     }
     for (uint32_t i = 0; i < count; i++) {
         if (cw_map_get(&s->by_grant, held[i].grant) == CW_MAP_NONE &&
-            cw_map_get(&s->by_want, cw_mix(digest->entry, held[i].seq)) == CW_MAP_NONE) {
+            cw_map_get(&s->by_request, cw_mix(digest->entry, held[i].seq)) == CW_MAP_NONE) {
             _cw_shard_adopt(s, now_ms, digest->entry, &held[i]);
         }
     }
 }
 
-static void _cw_shard_forget_wants(cw_shard_t* s, uint64_t entry) {
+static void _cw_shard_cancel_entry_requests(cw_shard_t* s, uint64_t entry) {
     for (uint32_t i = 0; i < s->desc.max_waiting; i++) {
         if (s->items[i].want.seq && s->items[i].want.entry == entry && cw_heap_has(&s->expiry, i)) {
             cw_shard_cancel(s, entry, s->items[i].want.seq);
@@ -919,33 +937,33 @@
     if (index == CW_MAP_NONE) {
         return;
     }
-    _cw_shard_forget_wants(s, entry);
-    /* What it sent may still run at the upstreams: the slots return after one ttl. */
-    s->entries[index].heard_ms = now_ms - s->desc.lease_ms + s->desc.ttl_ms;
+    _cw_shard_cancel_entry_requests(s, entry);
+    /* Its requests may still run at the upstreams: the slots are reclaimed after one ttl. */
+    s->entries[index].last_seen_ms = now_ms - s->desc.lease_ms + s->desc.ttl_ms;
 }
 
-/* Takes back all that entries silent for a lease held. */
-static void _cw_shard_sweep(cw_shard_t* s, int64_t now_ms) {
-    if (now_ms < s->sweep_ms) {
+/* Reclaims the grants of entries whose lease has expired. */
+static void _cw_shard_reclaim_expired_leases(cw_shard_t* s, int64_t now_ms) {
+    if (now_ms < s->next_sweep_ms) {
         return;
     }
-    s->sweep_ms = now_ms + s->desc.ttl_ms / 2;
+    s->next_sweep_ms = now_ms + s->desc.ttl_ms / 2;
     for (uint32_t i = s->entry_count; i-- > 0;) {
         _cw_shard_entry_t* e = &s->entries[i];
-        if (now_ms - e->heard_ms < s->desc.lease_ms) {
+        if (now_ms - e->last_seen_ms < s->desc.lease_ms) {
             continue;
         }
-        _cw_shard_forget_wants(s, e->id);
+        _cw_shard_cancel_entry_requests(s, e->id);
         while (e->grants != _CW_SHARD_NONE) {
             uint32_t g = e->grants;
-            _cw_shard_end(s, now_ms, g, CW_PICK_CANCELLED, 0, s->grants[g].cost);
+            _cw_shard_end_grant(s, now_ms, g, CW_PICK_CANCELLED, 0, s->grants[g].cost);
             s->stats.reclaimed++;
         }
-        _cw_shard_entry_drop(s, i);
+        _cw_shard_remove_entry(s, i);
     }
 }
 
-/* -- what to send --------------------------------------------------------- */
+/* -- actions -------------------------------------------------------------- */
 
 static bool _cw_shard_next_refusal(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
     uint32_t i = s->refused_head;
@@ -967,16 +985,16 @@
         action->retry_after_ms = s->items[i].retry_ms;
     }
     if (action->refusal == CW_REFUSED_LATE) {
-        action->retry_after_ms = 0; /* later is worse */
+        action->retry_after_ms = 0; /* a retry would have even less time */
     }
-    _cw_shard_item_free(s, i);
+    _cw_shard_free_item(s, i);
     return true;
 }
 
 static bool _cw_shard_next_resync(cw_shard_t* s, cw_shard_action_t* action) {
     for (uint32_t i = 0; s->resync_due && i < s->entry_count; i++) {
-        if (s->entries[i].resync) {
-            s->entries[i].resync = false;
+        if (s->entries[i].needs_resync) {
+            s->entries[i].needs_resync = false;
             *action = (cw_shard_action_t){.kind = CW_SHARD_RESYNC, .entry = s->entries[i].id};
             return true;
         }
@@ -985,22 +1003,22 @@
     return false;
 }
 
-static void _cw_shard_expire(cw_shard_t* s, int64_t now_ms) {
+static void _cw_shard_expire_requests(cw_shard_t* s, int64_t now_ms) {
     uint32_t i = cw_heap_top(&s->expiry);
     while (i != CW_HEAP_NONE && cw_heap_key(&s->expiry, i) <= (double)now_ms) {
-        _cw_shard_unqueue(s, i);
+        _cw_shard_dequeue(s, i);
         _cw_shard_refuse(s, i, CW_REFUSED_BUSY);
         i = cw_heap_top(&s->expiry);
     }
 }
 
 bool cw_shard_next(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
-    _cw_shard_sweep(s, now_ms);
-    _cw_shard_expire(s, now_ms);
-    _cw_shard_rescale(s, now_ms);
-    if (s->again != _CW_SHARD_NONE) {
-        _cw_shard_fill_grant(s, s->again, action);
-        s->again = _CW_SHARD_NONE;
+    _cw_shard_reclaim_expired_leases(s, now_ms);
+    _cw_shard_expire_requests(s, now_ms);
+    _cw_shard_scale_limits(s, now_ms);
+    if (s->resend_grant != _CW_SHARD_NONE) {
+        _cw_shard_fill_grant(s, s->resend_grant, action);
+        s->resend_grant = _CW_SHARD_NONE;
         return true;
     }
     return _cw_shard_next_refusal(s, now_ms, action) || _cw_shard_next_resync(s, action) ||
