--- a/chalkway_core.h
+++ b/chalkway_core.h
@@ -4,8 +4,8 @@
     chalkway_core.h -- status codes, errors, allocator and names
 
     WHAT IT IS
-        The few types every other module uses: a status enum with an error
-        that carries the step and the peer, an allocator given by callback,
+        The types that every other module uses: a status enum, an error that
+        carries the failed step and the peer, an allocator with callbacks,
         and 64-bit ids for names (xxHash of the text).
 
     HOW TO USE IT
@@ -33,15 +33,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* -- order of work -------------------------------------------------------- */
+/* -- urgency -------------------------------------------------------------- */
 
-/* Urgencies of work that are told apart, 0 first; later ones count as the last. One order for all: what engines are
-   told, in which they read prompts and preempt, is what hosts forecast and refuse by. With workspaces' priorities as a
-   second order in the forecast, 7 and 8 in 100 requests of the two most urgent kinds were refused, over 20 days of
-   overload before nine engines, for long prompts that engines read after them; 1 in 100 since. */
+/* Number of urgency levels; 0 is the most urgent, and values beyond the last level count as the last. Urgency is the
+   only order of work: engines prefill prompts and preempt by it, and hosts forecast waits and refuse requests by it.
+   When the forecast also ordered by the workspaces' priorities, 7 and 8 in 100 requests of the two most urgent kinds
+   were refused, over 20 days of overload at nine engines, because of long prompts that the engines prefilled after
+   them; with one order it is 1 in 100. */
 #define CW_URGENCIES 10
 
-/* The level that an urgency counts as: all beyond the last one count as that. */
+/* Level of an urgency, limited to the last one. */
 static inline uint32_t cw_urgency_level(uint32_t urgency) {
     return urgency < CW_URGENCIES ? urgency : CW_URGENCIES - 1;
 }
@@ -50,13 +51,13 @@
 
 typedef enum cw_status_t {
     CW_OK = 0,
-    CW_ERR_INVALID,   /* the caller's data is wrong */
-    CW_ERR_FULL,      /* a fixed pool or bound is used up */
+    CW_ERR_INVALID,   /* invalid argument or input */
+    CW_ERR_FULL,      /* a fixed-size pool or a limit is exhausted */
     CW_ERR_NOT_FOUND, /* no such name or id */
-    CW_ERR_EXPIRED,   /* a ticket, grant or deadline has run out */
+    CW_ERR_EXPIRED,   /* a ticket, grant or deadline has expired */
     CW_ERR_IO,        /* a socket or file call failed */
-    CW_ERR_PROTOCOL,  /* the peer sent what the protocol does not allow */
-    CW_ERR_STALE,     /* an older revision or incarnation than one already seen */
+    CW_ERR_PROTOCOL,  /* the peer sent a message that violates the protocol */
+    CW_ERR_STALE,     /* the revision or incarnation is older than one already seen */
     CW_STATUS_COUNT
 } cw_status_t;
 
@@ -95,22 +96,22 @@
     void* user_data;
 } cw_allocator_t;
 
-/* Returns zeroed memory for count items of size bytes; aborts when memory runs out. */
+/* Returns zeroed memory for count items of size bytes; aborts the process when out of memory. */
 void* cw_alloc(const cw_allocator_t* allocator, size_t count, size_t size);
 void cw_free(const cw_allocator_t* allocator, void* ptr);
 
 /* -- names ---------------------------------------------------------------- */
 
-/* Longest name of a resource or host, with its final zero. */
+/* Size of the name of a resource or host, with its terminating zero. */
 #define CW_NAME_MAX 64
 
 /* Id of a name: xxHash64 of its text. 0 is never returned and means "none". */
 uint64_t cw_name_id(const char* name);
 
-/* Mixes two ids to one, for rendezvous scores and shard ids. */
+/* Hashes two ids into one, for rendezvous scores and shard ids. 0 is never returned. */
 uint64_t cw_mix(uint64_t a, uint64_t b);
 
-/* Copies text, cut to size - 1 characters, always with a final zero. */
+/* Copies text, truncated to size - 1 characters and always zero-terminated. */
 void cw_copy(char* dst, size_t size, const char* src);
 
 #endif /* CHALKWAY_CORE_H */
--- a/chalkway_fair.h
+++ b/chalkway_fair.h
@@ -1,19 +1,20 @@
 #ifndef CHALKWAY_FAIR_H
 #define CHALKWAY_FAIR_H
 /*
-    chalkway_fair.h -- fair queue over workspaces, by virtual counters
+    chalkway_fair.h -- weighted fair queue over workspaces
 
     WHAT IT IS
-        The queue of one tier at one shard. Each workspace has a FIFO of
-        waiting items and a counter of what it has used, divided by its
-        weight. The next item comes from the waiting workspace with the
-        lowest counter. Counters are charged with an estimate when an item
-        is served and corrected by the real use later. A workspace that was
-        idle is lifted to the lowest counter among the waiting ones, so it
-        cannot save up credit. A decision costs O(log workspaces).
+        The queue of one tier of one shard. Each workspace has a FIFO of
+        waiting items and a virtual counter: the cost it has used, divided by
+        its weight. The next item is taken from the waiting workspace with
+        the lowest counter. A counter is charged with an estimate when an item
+        is served and corrected by the actual cost later. When an idle
+        workspace has items again, its counter is raised to at least the lowest
+        among those that wait, so it cannot accumulate credit. A decision
+        costs O(log workspaces).
 
     HOW TO USE IT
-        Items are indexes 0..max_items-1 into a pool of the caller's.
+        Items are indexes 0..max_items-1 into a pool of the owner's.
 
             cw_fair_t* q = cw_fair_setup(&(cw_fair_desc_t){.max_items = 1024});
             cw_fair_push(q, workspace_id, item);
@@ -22,7 +23,7 @@
             cw_fair_shutdown(q);
 
     WHAT IT DOES NOT DO
-        It knows no tiers, no clock and no limits: see chalkway_shard.h.
+        It has no tiers, no clock and no limits: see chalkway_shard.h.
 
     LICENCE
         MIT, see LICENSE.
@@ -42,17 +43,17 @@
 
 cw_fair_t* cw_fair_setup(const cw_fair_desc_t* desc);
 void cw_fair_shutdown(cw_fair_t* q);
-/* Appends an item to its workspace's FIFO. CW_ERR_FULL when max_workspaces all wait. */
+/* Appends an item to its workspace's FIFO. Returns CW_ERR_FULL when max_workspaces others have waiting items. */
 cw_status_t cw_fair_push(cw_fair_t* q, uint64_t workspace, uint32_t item);
-/* Next item in fair order without removing it. */
+/* Next item in fair order, not removed; CW_FAIR_NONE when there is none. */
 uint32_t cw_fair_peek(const cw_fair_t* q);
 uint32_t cw_fair_pop(cw_fair_t* q);
-/* Takes out an item wherever it waits. */
+/* Removes an item from any position. */
 void cw_fair_remove(cw_fair_t* q, uint32_t item);
-/* Newest item of the waiting workspace with the highest counter: the one to evict first. */
+/* Newest item of the waiting workspace with the highest counter: the first candidate for eviction. */
 uint32_t cw_fair_last(const cw_fair_t* q);
-/* Passes over a workspace's items while held is true; they keep their places. */
-void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool held);
+/* While is_blocked is true, the workspace's items stay queued but are not served. */
+void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool is_blocked);
 /* Adds cost / weight to the workspace's counter; cost may be negative (a correction). */
 void cw_fair_charge(cw_fair_t* q, uint64_t workspace, uint32_t weight, double cost);
 uint32_t cw_fair_count(const cw_fair_t* q);
@@ -72,7 +73,7 @@
     uint64_t workspace; /* 0: free */
     double counter;
     uint32_t head, tail; /* FIFO of items */
-    bool held;           /* not to be served now */
+    bool is_blocked;     /* its items are not served now */
 } _cw_fair_node_t;
 
 typedef struct _cw_fair_link_t {
@@ -81,15 +82,15 @@
 
 struct cw_fair_t {
     cw_fair_desc_t desc;
-    cw_map_t map;
+    cw_map_t by_workspace;
     _cw_fair_node_t* nodes;
     uint32_t* free_nodes;
     uint32_t free_count;
     cw_heap_t highest; /* waiting nodes, highest counter first */
-    cw_heap_t lowest;  /* those of them that are not held, lowest counter first */
+    cw_heap_t lowest;  /* waiting nodes that may be served, lowest counter first */
     _cw_fair_link_t* links;
     uint32_t count;
-    double floor; /* counter of the workspace served last */
+    double virtual_time; /* counter of the workspace served last */
 };
 
 static cw_fair_desc_t _cw_fair_desc_defaults(const cw_fair_desc_t* desc) {
@@ -103,7 +104,7 @@
     cw_fair_desc_t d = _cw_fair_desc_defaults(desc);
     cw_fair_t* q = cw_alloc(&d.allocator, 1, sizeof(*q));
     q->desc = d;
-    q->map = cw_map_setup(d.max_workspaces, &d.allocator);
+    q->by_workspace = cw_map_setup(d.max_workspaces, &d.allocator);
     q->nodes = cw_alloc(&d.allocator, d.max_workspaces, sizeof(*q->nodes));
     q->free_nodes = cw_alloc(&d.allocator, d.max_workspaces, sizeof(*q->free_nodes));
     q->lowest = cw_heap_setup(d.max_workspaces, &d.allocator);
@@ -120,7 +121,7 @@
 
 void cw_fair_shutdown(cw_fair_t* q) {
     cw_allocator_t a = q->desc.allocator;
-    cw_map_shutdown(&q->map);
+    cw_map_shutdown(&q->by_workspace);
     cw_free(&a, q->nodes);
     cw_free(&a, q->free_nodes);
     cw_heap_shutdown(&q->lowest);
@@ -129,17 +130,18 @@
     cw_free(&a, q);
 }
 
-/* Puts a waiting workspace into both heaps by its present counter. */
-static void _cw_fair_place(cw_fair_t* q, uint32_t node) {
+/* Inserts a waiting workspace into the heaps, or moves it, by its current counter. */
+static void _cw_fair_update_heaps(cw_fair_t* q, uint32_t node) {
     cw_heap_set(&q->highest, node, -q->nodes[node].counter);
-    if (q->nodes[node].held) {
+    if (q->nodes[node].is_blocked) {
         cw_heap_remove(&q->lowest, node);
     } else {
         cw_heap_set(&q->lowest, node, q->nodes[node].counter);
     }
 }
 
-/* Frees idle counters that carry no debt; if there are none, the idle one with the least debt. */
+/* Frees all idle workspaces whose counters are not above the virtual time. If there are none, frees the idle one with
+   the lowest counter, which thereby loses the record of what it used. */
 static void _cw_fair_reclaim(cw_fair_t* q) {
     uint32_t best = CW_FAIR_NONE;
     for (uint32_t i = 0; i < q->desc.max_workspaces; i++) {
@@ -147,8 +149,8 @@
         if (!n->workspace || cw_heap_has(&q->highest, i)) {
             continue;
         }
-        if (n->counter <= q->floor) {
-            cw_map_remove(&q->map, n->workspace);
+        if (n->counter <= q->virtual_time) {
+            cw_map_remove(&q->by_workspace, n->workspace);
             n->workspace = 0;
             q->free_nodes[q->free_count++] = i;
         } else if (best == CW_FAIR_NONE || n->counter < q->nodes[best].counter) {
@@ -156,14 +158,14 @@
         }
     }
     if (!q->free_count && best != CW_FAIR_NONE) {
-        cw_map_remove(&q->map, q->nodes[best].workspace);
+        cw_map_remove(&q->by_workspace, q->nodes[best].workspace);
         q->nodes[best].workspace = 0;
         q->free_nodes[q->free_count++] = best;
     }
 }
 
-static uint32_t _cw_fair_node(cw_fair_t* q, uint64_t workspace) {
-    uint32_t i = cw_map_get(&q->map, workspace);
+static uint32_t _cw_fair_find_or_add_node(cw_fair_t* q, uint64_t workspace) {
+    uint32_t i = cw_map_get(&q->by_workspace, workspace);
     if (i != CW_MAP_NONE) {
         return i;
     }
@@ -174,20 +176,20 @@
         return CW_FAIR_NONE;
     }
     i = q->free_nodes[--q->free_count];
-    q->nodes[i] =
-        (_cw_fair_node_t){.workspace = workspace, .counter = q->floor, .head = CW_FAIR_NONE, .tail = CW_FAIR_NONE};
-    cw_map_put(&q->map, workspace, i);
+    q->nodes[i] = (_cw_fair_node_t){
+        .workspace = workspace, .counter = q->virtual_time, .head = CW_FAIR_NONE, .tail = CW_FAIR_NONE};
+    cw_map_put(&q->by_workspace, workspace, i);
     return i;
 }
 
-static double _cw_fair_lowest(const cw_fair_t* q) {
+static double _cw_fair_lowest_counter(const cw_fair_t* q) {
     uint32_t top = cw_heap_top(&q->lowest);
-    return top == CW_HEAP_NONE ? q->floor : q->nodes[top].counter;
+    return top == CW_HEAP_NONE ? q->virtual_time : q->nodes[top].counter;
 }
 
 cw_status_t cw_fair_push(cw_fair_t* q, uint64_t workspace, uint32_t item) {
     assert(item < q->desc.max_items && q->links[item].node == CW_FAIR_NONE);
-    uint32_t i = _cw_fair_node(q, workspace);
+    uint32_t i = _cw_fair_find_or_add_node(q, workspace);
     if (i == CW_FAIR_NONE) {
         return CW_ERR_FULL;
     }
@@ -201,9 +203,9 @@
     n->tail = item;
     q->count++;
     if (!cw_heap_has(&q->highest, i)) {
-        double lowest = _cw_fair_lowest(q);
+        double lowest = _cw_fair_lowest_counter(q);
         n->counter = n->counter < lowest ? lowest : n->counter;
-        _cw_fair_place(q, i);
+        _cw_fair_update_heaps(q, i);
     }
     return CW_OK;
 }
@@ -238,7 +240,7 @@
 uint32_t cw_fair_pop(cw_fair_t* q) {
     uint32_t item = cw_fair_peek(q);
     if (item != CW_FAIR_NONE) {
-        q->floor = q->nodes[cw_heap_top(&q->lowest)].counter;
+        q->virtual_time = q->nodes[cw_heap_top(&q->lowest)].counter;
         cw_fair_remove(q, item);
     }
     return item;
@@ -250,24 +252,24 @@
 }
 
 void cw_fair_charge(cw_fair_t* q, uint64_t workspace, uint32_t weight, double cost) {
-    uint32_t i = _cw_fair_node(q, workspace);
+    uint32_t i = _cw_fair_find_or_add_node(q, workspace);
     if (i == CW_FAIR_NONE) {
         return;
     }
     q->nodes[i].counter += cost / (weight ? weight : 1);
     if (cw_heap_has(&q->highest, i)) {
-        _cw_fair_place(q, i);
+        _cw_fair_update_heaps(q, i);
     }
 }
 
-void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool held) {
-    uint32_t i = cw_map_get(&q->map, workspace);
+void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool is_blocked) {
+    uint32_t i = cw_map_get(&q->by_workspace, workspace);
     if (i == CW_MAP_NONE) {
         return;
     }
-    q->nodes[i].held = held;
+    q->nodes[i].is_blocked = is_blocked;
     if (cw_heap_has(&q->highest, i)) {
-        _cw_fair_place(q, i);
+        _cw_fair_update_heaps(q, i);
     }
 }
 
--- a/chalkway_fingerprint.h
+++ b/chalkway_fingerprint.h
@@ -1,23 +1,23 @@
 #ifndef CHALKWAY_FINGERPRINT_H
 #define CHALKWAY_FINGERPRINT_H
 /*
-    chalkway_fingerprint.h -- what a request is, whatever id it comes under
+    chalkway_fingerprint.h -- identifies a request by its content
 
     WHAT IT IS
-        A caller that sends the same request again gives it a new id, and may
-        send it to another host. The fingerprint is the same all the same: the
-        caller's workspace, and a hash of method, host, target and the whole
-        body. Every host makes the same one. The workspace is kept apart from
-        the hash: a body that was made up to collide with another one can harm
-        nobody but its own workspace.
+        A caller that sends the same request again gives it a new id and may
+        send it to another host. Its fingerprint stays the same: the caller's
+        workspace, and a hash of the method, host, target and full body. All
+        hosts compute the same fingerprint. The workspace is not part of the
+        hash, so a body crafted to collide with another one can affect only
+        requests of its own workspace.
 
     HOW TO USE IT
             cw_fingerprint_t f = cw_fingerprint(workspace, &(cw_fingerprint_parts_t){.method = "POST", ...});
             if (cw_fingerprint_same(&f, &g)) { ... }
 
     WHAT IT DOES NOT DO
-        It is no secret and no signature: XXH3 is fast and can be inverted.
-        Ids, deadlines and other fields of the head don't count.
+        It is neither a secret nor a signature: XXH3 is fast and can be
+        inverted. It does not cover ids, deadlines and other header fields.
 
     LICENCE
         MIT, see LICENSE.
@@ -26,13 +26,13 @@
 
 typedef struct cw_fingerprint_t {
     uint64_t workspace; /* id of its name, 0: none */
-    uint64_t content;   /* 0 in no fingerprint that was made here */
+    uint64_t content;   /* hash; cw_fingerprint never returns 0 here */
 } cw_fingerprint_t;
 
 typedef struct cw_fingerprint_parts_t {
     const char* method;
-    const char* host;   /* NULL or "": none was given */
-    const char* target; /* path and query as they came */
+    const char* host;   /* NULL or "": none */
+    const char* target; /* path and query as received */
     const void* body;
     size_t size;
 } cw_fingerprint_parts_t;
@@ -50,7 +50,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Mixed in first, so that no other hash of the same bytes is a fingerprint by chance. */
+/* Domain separator, hashed first: no other hash of the same bytes equals a fingerprint by accident. */
 #define _CW_FINGERPRINT_DOMAIN 0x63772d6670727431ULL /* "cw-fprt1" */
 
 static uint64_t _cw_fingerprint_add(uint64_t hash, const void* data, size_t size) {
--- a/chalkway_heap.h
+++ b/chalkway_heap.h
@@ -4,9 +4,9 @@
     chalkway_heap.h -- fixed-size min-heap of pool indexes
 
     WHAT IT IS
-        A binary heap over the indexes 0..capacity-1, each with a key. The
-        position of every index is kept, so a key can be changed or an index
-        removed in O(log n). Used for expiry times and virtual counters.
+        A binary heap over the indexes 0..capacity-1, each with a key. It
+        tracks the position of every index, so changing a key or removing an
+        index takes O(log n). Used for expiry times and virtual counters.
 
     HOW TO USE IT
             cw_heap_t heap = cw_heap_setup(100, NULL);
@@ -16,7 +16,7 @@
             cw_heap_shutdown(&heap);
 
     WHAT IT DOES NOT DO
-        Equal keys come out in no particular order.
+        Indexes with equal keys have no defined order.
 
     LICENCE
         MIT, see LICENSE.
@@ -75,25 +75,25 @@
     cw_free(&heap->allocator, heap->keys);
 }
 
-static void _cw_heap_place(cw_heap_t* heap, uint32_t pos, uint32_t index) {
+static void _cw_heap_set_pos(cw_heap_t* heap, uint32_t pos, uint32_t index) {
     heap->order[pos] = index;
     heap->pos[index] = pos;
 }
 
-static void _cw_heap_up(cw_heap_t* heap, uint32_t pos) {
+static void _cw_heap_sift_up(cw_heap_t* heap, uint32_t pos) {
     uint32_t index = heap->order[pos];
     while (pos > 0) {
         uint32_t parent = (pos - 1) / 2;
         if (heap->keys[heap->order[parent]] <= heap->keys[index]) {
             break;
         }
-        _cw_heap_place(heap, pos, heap->order[parent]);
+        _cw_heap_set_pos(heap, pos, heap->order[parent]);
         pos = parent;
     }
-    _cw_heap_place(heap, pos, index);
+    _cw_heap_set_pos(heap, pos, index);
 }
 
-static void _cw_heap_down(cw_heap_t* heap, uint32_t pos) {
+static void _cw_heap_sift_down(cw_heap_t* heap, uint32_t pos) {
     uint32_t index = heap->order[pos];
     for (;;) {
         uint32_t child = 2 * pos + 1;
@@ -106,20 +106,20 @@
         if (heap->keys[heap->order[child]] >= heap->keys[index]) {
             break;
         }
-        _cw_heap_place(heap, pos, heap->order[child]);
+        _cw_heap_set_pos(heap, pos, heap->order[child]);
         pos = child;
     }
-    _cw_heap_place(heap, pos, index);
+    _cw_heap_set_pos(heap, pos, index);
 }
 
 void cw_heap_set(cw_heap_t* heap, uint32_t index, double key) {
     assert(index < heap->capacity);
     heap->keys[index] = key;
     if (heap->pos[index] == CW_HEAP_NONE) {
-        _cw_heap_place(heap, heap->count++, index);
+        _cw_heap_set_pos(heap, heap->count++, index);
     }
-    _cw_heap_up(heap, heap->pos[index]);
-    _cw_heap_down(heap, heap->pos[index]);
+    _cw_heap_sift_up(heap, heap->pos[index]);
+    _cw_heap_sift_down(heap, heap->pos[index]);
 }
 
 void cw_heap_remove(cw_heap_t* heap, uint32_t index) {
@@ -130,9 +130,9 @@
     uint32_t last = heap->order[--heap->count];
     heap->pos[index] = CW_HEAP_NONE;
     if (last != index) {
-        _cw_heap_place(heap, pos, last);
-        _cw_heap_up(heap, pos);
-        _cw_heap_down(heap, heap->pos[last]);
+        _cw_heap_set_pos(heap, pos, last);
+        _cw_heap_sift_up(heap, pos);
+        _cw_heap_sift_down(heap, heap->pos[last]);
     }
 }
 
--- a/chalkway_hist.h
+++ b/chalkway_hist.h
@@ -1,12 +1,12 @@
 #ifndef CHALKWAY_HIST_H
 #define CHALKWAY_HIST_H
 /*
-    chalkway_hist.h -- fixed-bucket histograms and a learned quantile
+    chalkway_hist.h -- log-linear histogram and a decaying estimator
 
     WHAT IT IS
-        A histogram of 32-bit values with four buckets to each power of two
-        (a value is known to 1/4 of itself), in a fixed 512 bytes, and an
-        estimator over it that forgets old values by halving.
+        A histogram of 32-bit values with four buckets for each power of two
+        (a relative resolution of 1/4), in a fixed 512 bytes, and an estimator
+        that decays old samples by halving all counts.
 
     HOW TO USE IT
             cw_hist_t hist = {0};
@@ -15,7 +15,7 @@
 
             cw_estimate_t est = {0};
             cw_estimate_add(&est, tokens);
-            uint32_t cost = cw_estimate_get(&est, 0.8, 256);  // 256 until enough was seen
+            uint32_t cost = cw_estimate_get(&est, 0.8, 256);  // 256 while there are too few samples
 
     WHAT IT DOES NOT DO
         No exact values, no time windows.
@@ -26,7 +26,7 @@
 #include "chalkway_core.h"
 
 #define CW_HIST_BUCKETS 124
-#define CW_ESTIMATE_FEW 8       /* fewer samples than this are no estimate */
+#define CW_ESTIMATE_FEW 8       /* samples needed for an estimate */
 #define CW_ESTIMATE_WINDOW 2048 /* samples after which all counts are halved */
 
 typedef struct cw_hist_t {
@@ -45,13 +45,13 @@
 /* Largest value that bucket i counts. */
 uint32_t cw_hist_bound(uint32_t i);
 void cw_estimate_add(cw_estimate_t* est, uint32_t value);
-/* Quantile q of what was seen, or initial while too little was. */
+/* Quantile q of the samples, or initial while there are too few. */
 uint32_t cw_estimate_get(const cw_estimate_t* est, double q, uint32_t initial);
 
-/* Mean of what was seen, or initial while too little was. */
+/* Mean of the samples, or initial while there are too few. */
 uint32_t cw_estimate_mean(const cw_estimate_t* est, uint32_t initial);
-/* Smallest value t above the mean such that cutting everything at t would lose at most the share (0..1) of all work:
-   what is cut has been worked on for t in vain. initial while too little was seen. */
+/* Smallest time-out t, not below the mean, that wastes at most the given share (0..1) of all work when every run longer
+   than t is aborted at t: each aborted run wastes t. Returns initial while there are too few samples. */
 uint32_t cw_estimate_need(const cw_estimate_t* est, double share, uint32_t initial);
 
 #endif /* CHALKWAY_HIST_H */
@@ -61,7 +61,7 @@
 #ifndef CHALKWAY_HIST_IMPL_INCLUDED
 #define CHALKWAY_HIST_IMPL_INCLUDED
 
-/* Values 0..7 have a bucket each; above, two bits below the highest choose the bucket. */
+/* Values 0..7 have a bucket each. Larger ones: the highest set bit and the two bits below it select the bucket. */
 static uint32_t _cw_hist_bucket(uint32_t value) {
     if (value < 8) {
         return value;
@@ -132,7 +132,7 @@
         return initial;
     }
     uint32_t mean = cw_estimate_mean(est, initial);
-    uint64_t above = 0; /* samples over the bound of bucket i */
+    uint64_t above = 0; /* samples in the buckets above i */
     uint32_t need = cw_hist_bound(CW_HIST_BUCKETS - 1);
     for (uint32_t i = CW_HIST_BUCKETS; i-- > 0;) {
         uint32_t bound = cw_hist_bound(i);
--- a/chalkway_map.h
+++ b/chalkway_map.h
@@ -5,9 +5,9 @@
 
     WHAT IT IS
         An open-addressing hash table (linear probing, backward-shift
-        deletion) whose memory is taken once at setup. The modules that must
-        not allocate on the hot path find their pool items through it;
-        uthash grows its buckets as it fills, so it is used elsewhere only.
+        deletion) whose memory is allocated once at setup. It indexes the
+        pools of the modules that must not allocate on the hot path. uthash,
+        which grows its buckets as it fills, is used only elsewhere.
 
     HOW TO USE IT
             cw_map_t map = cw_map_setup(1000, NULL);
@@ -17,9 +17,9 @@
             cw_map_shutdown(&map);
 
     WHAT IT DOES NOT DO
-        It does not grow by itself: putting more than capacity ids is an
-        assertion, and cw_map_reserve takes memory for more.
-        Id 0 is not a valid key.
+        It does not grow by itself: adding more than capacity ids fails an
+        assertion; cw_map_reserve allocates memory for more. Id 0 is not a
+        valid key.
 
     LICENCE
         MIT, see LICENSE.
@@ -41,10 +41,10 @@
     uint32_t capacity;
 } cw_map_t;
 
-/* Makes a map for at most capacity ids. allocator may be NULL. */
+/* Creates a map for at most capacity ids. allocator may be NULL. */
 cw_map_t cw_map_setup(uint32_t capacity, const cw_allocator_t* allocator);
 void cw_map_shutdown(cw_map_t* map);
-/* Makes room for so many ids; nothing where there is. */
+/* Grows the map to hold capacity ids; does nothing when it already can. */
 void cw_map_reserve(cw_map_t* map, uint32_t capacity);
 /* Adds or replaces. */
 void cw_map_put(cw_map_t* map, uint64_t key, uint32_t value);
@@ -88,7 +88,7 @@
     map->slots = NULL;
 }
 
-/* Slot that holds the key, or the empty slot where it would go. */
+/* Slot that holds the key, or the empty slot in which to insert it. */
 static uint32_t _cw_map_find(const cw_map_t* map, uint64_t key) {
     uint32_t i = _cw_map_home(map, key);
     while (map->slots[i].key && map->slots[i].key != key) {
--- a/chalkway_stop.h
+++ b/chalkway_stop.h
@@ -1,22 +1,22 @@
 #ifndef CHALKWAY_STOP_H
 #define CHALKWAY_STOP_H
 /*
-    chalkway_stop.h -- the phases of a planned stop
+    chalkway_stop.h -- phases of a graceful stop
 
     WHAT IT IS
-        A process that is told to stop goes on taking requests for a while,
-        since callers keep its address; then it refuses new ones; then it
-        ends. It never ends in the step that finds it quiet: what is read
-        between that step and the end is refused, so nothing that was begun
-        is left without an answer.
+        A process that is ordered to stop keeps accepting requests for a
+        while, since callers cache its address; then it refuses new requests;
+        then it exits. An idle process does not exit at once but passes
+        through the refusing phase first: a request that is read between that
+        step and the exit is refused, so it does not go without a response.
 
     HOW TO USE IT
             cw_stop_t stop = {0};                               // not stopping
-            cw_stop_begin(&stop, now_ms, &(cw_stop_desc_t){...}); // once told to
-            switch (cw_stop_step(&stop, now_ms, active)) { ... } // each turn
+            cw_stop_begin(&stop, now_ms, &(cw_stop_desc_t){...}); // on the order to stop
+            switch (cw_stop_step(&stop, now_ms, active)) { ... } // once per loop iteration
 
     WHAT IT DOES NOT DO
-        It closes nothing and refuses nothing itself.
+        It closes no connections and refuses no requests itself.
 
     LICENCE
         MIT, see LICENSE.
@@ -24,17 +24,17 @@
 #include "chalkway_core.h"
 
 typedef enum cw_stop_phase_t {
-    CW_STOP_NOT = 0,  /* nobody told it to stop */
-    CW_STOP_TAKING,   /* new requests are still taken */
-    CW_STOP_REFUSING, /* new requests are refused, what runs goes on */
-    CW_STOP_ENDED     /* the process ends now */
+    CW_STOP_NOT = 0,  /* not stopping */
+    CW_STOP_TAKING,   /* new requests are still accepted */
+    CW_STOP_REFUSING, /* new requests are refused, active ones continue */
+    CW_STOP_ENDED     /* the process must exit now */
 } cw_stop_phase_t;
 
-/* Times from the order to stop. */
+/* Times since the order to stop. */
 typedef struct cw_stop_desc_t {
-    uint32_t quiet_ms; /* requests are taken for so long in any case: callers keep addresses */
-    uint32_t take_ms;  /* they are taken for so long where others run */
-    uint32_t end_ms;   /* it ends then, whatever runs */
+    uint32_t quiet_ms; /* shortest time to accept requests, since callers cache addresses */
+    uint32_t take_ms;  /* longest time to accept requests while others are active */
+    uint32_t end_ms;   /* forces the exit, even with active requests */
 } cw_stop_desc_t;
 
 typedef struct cw_stop_t {
@@ -43,9 +43,9 @@
     cw_stop_desc_t desc;
 } cw_stop_t;
 
-/* The order to stop; one that is repeated changes nothing. */
+/* Starts the stop; has no effect when it has already started. */
 void cw_stop_begin(cw_stop_t* s, int64_t now_ms, const cw_stop_desc_t* desc);
-/* To be called once a turn with the number of requests that are not answered; returns the phase from now on. */
+/* Advances the phase and returns it. Call it once per loop iteration with the number of unanswered requests. */
 cw_stop_phase_t cw_stop_step(cw_stop_t* s, int64_t now_ms, uint32_t active);
 
 #endif /* CHALKWAY_STOP_H */
@@ -65,11 +65,11 @@
     if (s->phase == CW_STOP_NOT) {
         return s->phase;
     }
-    int64_t since_ms = now_ms - s->begun_ms;
-    bool quiet = !active && since_ms >= s->desc.quiet_ms;
-    if (since_ms > s->desc.end_ms || (s->phase == CW_STOP_REFUSING && quiet)) {
+    int64_t elapsed_ms = now_ms - s->begun_ms;
+    bool is_idle = !active && elapsed_ms >= s->desc.quiet_ms;
+    if (elapsed_ms > s->desc.end_ms || (s->phase == CW_STOP_REFUSING && is_idle)) {
         s->phase = CW_STOP_ENDED;
-    } else if (quiet || since_ms > s->desc.take_ms) {
+    } else if (is_idle || elapsed_ms > s->desc.take_ms) {
         s->phase = CW_STOP_REFUSING;
     }
     return s->phase;
--- a/chalkway_summary.h
+++ b/chalkway_summary.h
@@ -1,41 +1,41 @@
 #ifndef CHALKWAY_SUMMARY_H
 #define CHALKWAY_SUMMARY_H
 /*
-    chalkway_summary.h -- summary of a set of records, to find where two differ
+    chalkway_summary.h -- bucketed checksums of a record set, for anti-entropy
 
     WHAT IT IS
-        Two hosts that hold nearly the same records compare a short sum for
-        each of some hundred buckets, and exchange only the records of the
-        buckets whose sums differ. What they exchange follows from how much
-        differs, not from how many records there are.
+        Two hosts that hold nearly the same records compare a short checksum
+        for each of up to 512 buckets, and exchange only the records of
+        buckets whose checksums differ. The traffic depends on the number of
+        differences, not on the number of records.
 
     HOW TO USE IT
             cw_summary_t mine = {.buckets = cw_summary_buckets(count)};
             for each record: cw_summary_add(&mine, id, version);
-            // theirs came over the wire; mine is built with as many buckets
+            // theirs was received; mine must have the same number of buckets
             if (cw_summary_differs(&mine, &theirs, id)) { send the record }
 
     WHAT IT DOES NOT DO
-        It holds no records. Sums are short: two different buckets look alike
-        once in 65,536 times, until one of their records changes again.
+        It holds no records. A checksum has 16 bits: one in 65,536 differing
+        buckets goes undetected until one of its records changes again.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-#define CW_SUMMARY_BUCKETS 512 /* at most; 1 KB, so that a summary fits one datagram */
+#define CW_SUMMARY_BUCKETS 512 /* maximum: 1 KB of checksums, so that a summary fits into one datagram */
 
 typedef struct cw_summary_t {
     uint32_t buckets; /* a power of two, 0: no summary */
     uint16_t sums[CW_SUMMARY_BUCKETS];
 } cw_summary_t;
 
-/* Buckets for so many records: two records in one. */
+/* Number of buckets for a number of records: about two records per bucket. */
 uint32_t cw_summary_buckets(uint32_t records);
-/* Adds a record, or takes it out again. version: anything that changes with it. */
+/* Adds a record; adding the same record again removes it. version must change whenever the record changes. */
 void cw_summary_add(cw_summary_t* summary, uint64_t id, uint64_t version);
-/* Whether the records of the id's bucket differ. Both have as many buckets. */
+/* Whether the checksums of the id's bucket differ. Both summaries must have the same number of buckets. */
 bool cw_summary_differs(const cw_summary_t* a, const cw_summary_t* b, uint64_t id);
 
 #endif /* CHALKWAY_SUMMARY_H */
