--- a/chalkway_request.h
+++ b/chalkway_request.h
@@ -1,30 +1,32 @@
 #ifndef CHALKWAY_REQUEST_H
 #define CHALKWAY_REQUEST_H
 /*
-    chalkway_request.h -- life of one request, from accept to last byte
+    chalkway_request.h -- state machine of one request, from accept to last byte
 
     WHAT IT IS
-        The state machine that owns a request at its entry. Events go in,
-        a set of actions comes out; the outcome told to the caller follows
-        from the recorded facts in one place, cw_request_outcome.
+        The state machine of a request at its entry, the host that accepted
+        it from the caller. It takes events and returns a set of actions. The
+        outcome reported to the caller is derived from the recorded facts in
+        one place, cw_request_outcome.
 
-            state        what is true
-            new          accepted, nothing asked for
-            waiting      a want is with the allocator
-            connecting   a slot is held; no byte has left for an upstream
-            sent         the request's bytes have begun to leave
-            streaming    the answer has begun to come
-            detached     the caller was told or is gone; a non-repeatable call runs on
-            ended        an outcome is fixed
+            state        meaning
+            new          accepted, no slot requested yet
+            waiting      a slot request is with the allocator
+            connecting   a slot is held; this attempt has sent nothing yet
+            sent         sending the request to an upstream has begun
+            streaming    the response has begun to arrive
+            detached     the caller has its outcome or has closed its
+                         connection; a non-repeatable call runs on
+            ended        the outcome is final
 
     HOW TO USE IT
             cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = true, .max_attempts = 3});
-            uint32_t todo = cw_request_event(&r, CW_EV_START);
-            if (todo & CW_DO_WANT) { ... }
+            uint32_t actions = cw_request_event(&r, CW_EV_START);
+            if (actions & CW_DO_WANT) { ... }
 
     WHAT IT DOES NOT DO
-        No timers, sockets or bodies. Whether a retry fits the budget is
-        asked of the owner by the retry_allowed flag before the event.
+        No timers, sockets or bodies. The owner sets retry_allowed before
+        each event, from its retry budget.
 
     LICENCE
         MIT, see LICENSE.
@@ -43,49 +45,49 @@
 } cw_request_state_t;
 
 typedef enum cw_request_event_t {
-    CW_EV_START = 0,      /* ask the allocator */
-    CW_EV_GRANT,          /* a slot, from the allocator or by direct mode */
-    CW_EV_REFUSED,        /* by the allocator or by a limit of the entry */
-    CW_EV_SENDING,        /* the first byte is about to leave */
-    CW_EV_GRANT_EXPIRED,  /* the grant was found too old before the first byte left */
-    CW_EV_CONNECT_FAILED, /* no byte left */
-    CW_EV_BROKEN,         /* the upstream failed after bytes left */
-    CW_EV_REJECTED,       /* the upstream says that it did not run what this transfer sent */
-    CW_EV_HEAD,           /* the answer's status and headers came */
-    CW_EV_DELIVERED_PART, /* a byte of the answer was passed to the caller */
-    CW_EV_END,            /* the upstream's own end of the answer was seen */
-    CW_EV_PREEMPTED,      /* the allocator wants the slot back */
+    CW_EV_START = 0,      /* request a slot */
+    CW_EV_GRANT,          /* a slot was granted, by the allocator or in direct mode */
+    CW_EV_REFUSED,        /* refused by the allocator or by a limit of the entry */
+    CW_EV_SENDING,        /* the first byte is about to be sent to the upstream */
+    CW_EV_GRANT_EXPIRED,  /* the grant expired before the first byte was sent */
+    CW_EV_CONNECT_FAILED, /* no connection; nothing was sent */
+    CW_EV_BROKEN,         /* the upstream failed after the first byte was sent */
+    CW_EV_REJECTED,       /* the upstream reported that it did not run this attempt */
+    CW_EV_HEAD,           /* the response's status and headers arrived */
+    CW_EV_DELIVERED_PART, /* a byte of the response body was forwarded to the caller */
+    CW_EV_END,            /* the response arrived completely */
+    CW_EV_PREEMPTED,      /* the allocator reclaims the slot */
     CW_EV_DEADLINE,
     CW_EV_GONE, /* the caller closed its connection */
     CW_EV_COUNT
 } cw_request_event_t;
 
-/* Actions, in the order in which they are to be done. */
+/* Actions, to be executed in this order. */
 enum {
     CW_DO_ABORT = 1,       /* cancel the transfer to the upstream */
-    CW_DO_RETURN = 2,      /* give the slot back (done report) */
-    CW_DO_WITHDRAW = 4,    /* cancel the want */
-    CW_DO_WANT = 8,        /* send a want */
+    CW_DO_RETURN = 2,      /* release the slot */
+    CW_DO_WITHDRAW = 4,    /* cancel the slot request */
+    CW_DO_WANT = 8,        /* send a slot request */
     CW_DO_CONNECT = 16,    /* start the transfer */
-    CW_DO_RETURN_NEW = 32, /* give back the slot just granted: it is not needed */
-    CW_DO_ANSWER = 64      /* tell the caller the outcome (complete, break or refuse) */
+    CW_DO_RETURN_NEW = 32, /* release the slot that was just granted: it is not needed */
+    CW_DO_ANSWER = 64      /* report the outcome to the caller: complete, abort or refuse the response */
 };
 
 typedef enum cw_outcome_t {
     CW_OUTCOME_NONE = 0,
-    CW_OUTCOME_DELIVERED, /* the whole answer, its end seen */
-    CW_OUTCOME_NOT_RUN,   /* no byte left for any upstream */
-    CW_OUTCOME_FAILED,    /* it ran; the answer is lost or partial */
-    CW_OUTCOME_UNKNOWN,   /* bytes left and no answer came */
+    CW_OUTCOME_DELIVERED, /* the complete response arrived */
+    CW_OUTCOME_NOT_RUN,   /* no upstream can have run it: nothing was sent, or what was sent was rejected */
+    CW_OUTCOME_FAILED,    /* it ran; the response is lost or partial */
+    CW_OUTCOME_UNKNOWN,   /* it was sent and no response arrived: it may have run */
     CW_OUTCOME_COUNT
 } cw_outcome_t;
 
 typedef struct cw_request_desc_t {
-    bool repeatable;       /* the class allows a second run */
-    bool resumable;        /* a cut stream can be continued where it was cut */
-    bool cancel_when_gone; /* also a run that may not be repeated is cancelled when nobody waits for it */
-    bool count_sent;       /* a transfer counts as an attempt only when its bytes began to leave */
-    uint32_t max_attempts; /* transfers in all, default 3 */
+    bool repeatable;       /* the request may be run a second time */
+    bool resumable;        /* a broken stream can be resumed where it broke */
+    bool cancel_when_gone; /* cancel even a non-repeatable run when the caller no longer waits for it */
+    bool count_sent;       /* count an attempt only once its first byte is sent */
+    uint32_t max_attempts; /* default 3 */
 } cw_request_desc_t;
 
 typedef struct cw_request_t {
@@ -94,12 +96,12 @@
     bool resumable;
     bool cancel_when_gone;
     bool count_sent;
-    bool retry_allowed; /* set by the owner: the retry budget has room */
-    bool bytes_left;    /* for an upstream, in any attempt that it did not reject */
-    bool left_before;   /* bytes_left when the transfer at hand began */
-    bool answer_begun;  /* a head came, in any attempt */
-    bool part_passed;   /* a byte of the answer reached the caller */
-    bool whole;         /* the end of the answer was seen */
+    bool retry_allowed; /* set by the owner: the retry budget permits another attempt */
+    bool bytes_left;    /* bytes were sent to an upstream, in an attempt that it did not reject */
+    bool left_before;   /* value of bytes_left when the current attempt began to send */
+    bool answer_begun;  /* a response head arrived, in any attempt */
+    bool part_passed;   /* a byte of the response body was forwarded to the caller */
+    bool whole;         /* the response arrived completely */
     uint32_t attempts;
     uint32_t max_attempts;
 } cw_request_t;
@@ -107,11 +109,11 @@
 cw_request_t cw_request_new(const cw_request_desc_t* desc);
 /* Returns a set of CW_DO_... */
 uint32_t cw_request_event(cw_request_t* request, cw_request_event_t event);
-/* What may truthfully be said of the request now. */
+/* Outcome that the facts recorded so far prove. */
 cw_outcome_t cw_request_outcome(const cw_request_t* request);
 const char* cw_request_state_name(cw_request_state_t state);
 const char* cw_request_event_name(cw_request_event_t event);
-/* As in the header Chalkway-Outcome: delivered, not-run, failed, unknown. */
+/* Value of the header Chalkway-Outcome: delivered, not-run, failed or unknown. */
 const char* cw_outcome_name(cw_outcome_t outcome);
 
 #endif /* CHALKWAY_REQUEST_H */
@@ -160,11 +162,11 @@
     return r->answer_begun ? CW_OUTCOME_FAILED : CW_OUTCOME_UNKNOWN;
 }
 
-/* Another attempt is right when nothing ran, or a second run is allowed and the caller has seen nothing of the first or
-   the second continues where the first was cut. */
+/* Another attempt is safe when nothing has run. It is also safe for a repeatable request of whose response the caller
+   has received nothing, or whose response can be resumed where it broke. */
 static bool _cw_request_may_retry(const cw_request_t* r) {
-    bool safe = !r->bytes_left || (r->repeatable && (!r->part_passed || r->resumable));
-    return safe && r->retry_allowed && r->attempts < r->max_attempts;
+    bool is_safe = !r->bytes_left || (r->repeatable && (!r->part_passed || r->resumable));
+    return is_safe && r->retry_allowed && r->attempts < r->max_attempts;
 }
 
 static bool _cw_request_holds_slot(const cw_request_t* r) {
@@ -172,44 +174,44 @@
            r->state == CW_REQ_DETACHED;
 }
 
-/* Ends the request from any state, undoing what the state holds. */
-static uint32_t _cw_request_end(cw_request_t* r, uint32_t todo) {
+/* Ends the request from any state: cancels its slot request, or aborts its transfer and releases its slot. */
+static uint32_t _cw_request_end(cw_request_t* r, uint32_t actions) {
     if (r->state == CW_REQ_WAITING) {
-        todo |= CW_DO_WITHDRAW;
+        actions |= CW_DO_WITHDRAW;
     }
     if (_cw_request_holds_slot(r)) {
-        todo |= CW_DO_ABORT | CW_DO_RETURN;
+        actions |= CW_DO_ABORT | CW_DO_RETURN;
     }
     r->state = CW_REQ_ENDED;
-    return todo;
+    return actions;
 }
 
-static uint32_t _cw_request_again(cw_request_t* r) {
+static uint32_t _cw_request_retry(cw_request_t* r) {
     r->state = CW_REQ_WAITING;
     return CW_DO_ABORT | CW_DO_RETURN | CW_DO_WANT;
 }
 
-/* The attempt is over without an answer: try again where that is safe, else end. */
+/* The attempt ended without a complete response: retries if that is safe and allowed, otherwise ends the request. */
 static uint32_t _cw_request_attempt_failed(cw_request_t* r) {
     if (r->state != CW_REQ_DETACHED && _cw_request_may_retry(r)) {
-        return _cw_request_again(r);
+        return _cw_request_retry(r);
     }
     return _cw_request_end(r, CW_DO_ANSWER);
 }
 
-static uint32_t _cw_request_gone(cw_request_t* r) {
-    bool runs = r->state == CW_REQ_SENT || r->state == CW_REQ_STREAMING;
-    if (runs && !r->repeatable && !r->cancel_when_gone) {
+static uint32_t _cw_request_caller_closed(cw_request_t* r) {
+    bool is_running = r->state == CW_REQ_SENT || r->state == CW_REQ_STREAMING;
+    if (is_running && !r->repeatable && !r->cancel_when_gone) {
         r->state = CW_REQ_DETACHED;
         return 0;
     }
     return _cw_request_end(r, 0);
 }
 
-/* A non-repeatable call that runs is left to its end, so that its answer is there for a repeat. */
+/* A running non-repeatable call is not aborted, so that its response is available to a retry. */
 static uint32_t _cw_request_deadline(cw_request_t* r) {
-    bool runs = r->state == CW_REQ_SENT || r->state == CW_REQ_STREAMING;
-    if (runs && !r->repeatable && !r->cancel_when_gone) {
+    bool is_running = r->state == CW_REQ_SENT || r->state == CW_REQ_STREAMING;
+    if (is_running && !r->repeatable && !r->cancel_when_gone) {
         r->state = CW_REQ_DETACHED;
         return CW_DO_ANSWER;
     }
@@ -218,7 +220,7 @@
 
 static uint32_t _cw_request_preempted(cw_request_t* r) {
     if (r->state == CW_REQ_CONNECTING) {
-        return _cw_request_again(r);
+        return _cw_request_retry(r);
     }
     if (r->repeatable && (r->state == CW_REQ_SENT || r->state == CW_REQ_STREAMING)) {
         return _cw_request_attempt_failed(r);
@@ -257,7 +259,7 @@
             }
             return 0;
         case CW_EV_GRANT_EXPIRED:
-            return r->state == CW_REQ_CONNECTING ? _cw_request_again(r) : 0;
+            return r->state == CW_REQ_CONNECTING ? _cw_request_retry(r) : 0;
         case CW_EV_CONNECT_FAILED:
             return r->state == CW_REQ_CONNECTING ? _cw_request_attempt_failed(r) : 0;
         case CW_EV_BROKEN:
@@ -289,7 +291,7 @@
         case CW_EV_DEADLINE:
             return _cw_request_deadline(r);
         case CW_EV_GONE:
-            return _cw_request_gone(r);
+            return _cw_request_caller_closed(r);
         case CW_EV_COUNT:
             break;
     }
--- a/chalkway_runonce.h
+++ b/chalkway_runonce.h
@@ -1,29 +1,30 @@
 #ifndef CHALKWAY_RUNONCE_H
 #define CHALKWAY_RUNONCE_H
 /*
-    chalkway_runonce.h -- tickets and the table of named calls
+    chalkway_runonce.h -- at-most-once calls by idempotency keys
 
     WHAT IT IS
-        A call that may not be repeated runs at most once without any shared
-        state, because its name says which process alone may run it. A
-        lookup answer carries a ticket: host, incarnation (random at start)
-        and expiry on that process's own clock. The caller names its call
-        TICKET/SUFFIX (header Idempotency-Key). Only that incarnation runs
-        the call, and it remembers the name until the ticket's expiry plus
-        the longest deadline. Any other process, a later incarnation and an
-        expired ticket answer "unknown: ask the application".
+        A call that must not run twice runs at most once without any shared
+        state, because its idempotency key determines the only process that
+        may run it. A lookup response carries a ticket: host, incarnation
+        (random at process start) and expiry on that process's own clock. The
+        caller sends TICKET/SUFFIX as the call's key (header Idempotency-Key).
+        Only that incarnation runs the call, and it remembers the key until
+        the ticket's expiry plus the longest deadline. For any other process,
+        a later incarnation or an expired ticket the outcome is "unknown": the
+        caller has to ask the application whether the call ran.
 
     HOW TO USE IT
             cw_runonce_t* t = cw_runonce_setup(&(cw_runonce_desc_t){.host = "a", .incarnation = random});
-            cw_ticket_t ticket = cw_runonce_ticket(t, now_ms);   // for the lookup answer
-            cw_runonce_begin_t b = cw_runonce_begin(t, now_ms, workspace, name, body_hash);
+            cw_ticket_t ticket = cw_runonce_ticket(t, now_ms);   // for the lookup response
+            cw_runonce_begin_t b = cw_runonce_begin(t, now_ms, workspace, key, body_hash);
             switch (b.verdict) { case CW_RUN_NEW: ... }
-            cw_runonce_keep(t, b.record, answer, bytes);         // it ran: keep the answer
+            cw_runonce_keep(t, b.record, response, bytes);       // it ran: store the response
             cw_runonce_release(t, b.record);                     // it provably did not run
 
     WHAT IT DOES NOT DO
-        It holds answers as opaque pointers and does not send them; repeats
-        that join a running call are the caller's to wake.
+        It stores responses as opaque pointers and does not send them. The
+        owner wakes the retries that joined a running call.
 
     LICENCE
         MIT, see LICENSE.
@@ -40,13 +41,13 @@
 } cw_ticket_t;
 
 typedef enum cw_run_verdict_t {
-    CW_RUN_NEW = 0,   /* run it; record must be kept or released at its end */
-    CW_RUN_JOIN,      /* the same call runs now: wait for its answer */
-    CW_RUN_KEPT,      /* it ran: give the kept answer */
-    CW_RUN_LOST,      /* it ran; the answer is not kept any more */
-    CW_RUN_UNKNOWN,   /* another process or an expired ticket: never run it here */
-    CW_RUN_NO_TICKET, /* the name holds no ticket: refuse, not run */
-    CW_RUN_MISMATCH,  /* the name was used for another body: refuse, this one not run */
+    CW_RUN_NEW = 0,   /* run it, then call cw_runonce_keep or cw_runonce_release */
+    CW_RUN_JOIN,      /* the same call is running: wait for its response */
+    CW_RUN_KEPT,      /* it has run: replay the stored response */
+    CW_RUN_LOST,      /* it has run; the response is no longer stored */
+    CW_RUN_UNKNOWN,   /* another process's ticket or an expired one: never run it here */
+    CW_RUN_NO_TICKET, /* the key contains no ticket: refuse, not run */
+    CW_RUN_MISMATCH,  /* the key was used with another body: refuse, this call did not run */
     CW_RUN_FULL       /* the table is full: refuse, not run */
 } cw_run_verdict_t;
 
@@ -59,10 +60,10 @@
 typedef struct cw_runonce_desc_t {
     const char* host;                                   /* name, without '~' and '/' */
     uint64_t incarnation;                               /* random at process start */
-    uint32_t ticket_ms;                                 /* life of a ticket, default 60000 */
+    uint32_t ticket_ms;                                 /* lifetime of a ticket, default 60000 */
     uint32_t longest_ms;                                /* longest deadline of any class, default 120000 */
     uint32_t max_records;                               /* default 4096 */
-    size_t max_answer_bytes;                            /* for all kept answers, default 8 MiB */
+    size_t max_answer_bytes;                            /* of all stored responses together, default 8 MiB */
     void (*free_answer)(void* answer, void* user_data); /* may be NULL */
     void* user_data;
     cw_allocator_t allocator;
@@ -73,15 +74,15 @@
 cw_runonce_t* cw_runonce_setup(const cw_runonce_desc_t* desc);
 void cw_runonce_shutdown(cw_runonce_t* t);
 cw_ticket_t cw_runonce_ticket(const cw_runonce_t* t, int64_t now_ms);
-cw_runonce_begin_t cw_runonce_begin(cw_runonce_t* t, int64_t now_ms, uint64_t workspace, const char* name,
+cw_runonce_begin_t cw_runonce_begin(cw_runonce_t* t, int64_t now_ms, uint64_t workspace, const char* key,
                                     uint64_t body_hash);
-/* The call ran (or may have): its name is used up. answer may be NULL. The table owns the answer and frees the oldest
-   answers over max_answer_bytes. */
+/* The call ran or may have run: its key must not run again. Takes ownership of the response, which may be NULL; frees
+   the oldest responses when all together exceed max_answer_bytes. */
 void cw_runonce_keep(cw_runonce_t* t, uint32_t record, void* answer, size_t bytes);
-/* The call provably did not run: its name may be used again. */
+/* The call provably did not run: its key may be used again. */
 void cw_runonce_release(cw_runonce_t* t, uint32_t record);
 uint32_t cw_runonce_count(const cw_runonce_t* t);
-/* Bytes the table itself takes, without the kept answers. */
+/* Memory of the table itself, without the stored responses. */
 size_t cw_runonce_bytes(const cw_runonce_t* t);
 
 #endif /* CHALKWAY_RUNONCE_H */
@@ -98,17 +99,17 @@
 #include <string.h>
 #include <xxhash.h>
 
-typedef enum _cw_run_state_t { _CW_RUN_FREE = 0, _CW_RUN_RUNNING, _CW_RUN_KEPT, _CW_RUN_LOST } _cw_run_state_t;
+typedef enum _cw_run_state_t { _CW_RUN_FREE = 0, _CW_RUN_RUNNING, _CW_RUN_STORED, _CW_RUN_DROPPED } _cw_run_state_t;
 
 typedef struct _cw_run_record_t {
     _cw_run_state_t state;
-    uint64_t hash; /* of workspace and name */
+    uint64_t hash; /* of workspace and key */
     uint64_t workspace;
     uint64_t body_hash;
     void* answer;
     size_t bytes;
-    uint32_t next; /* free list, or records with answers in order of age */
-    char name[CW_CALL_NAME_MAX];
+    uint32_t next; /* in the free list, or in the list of records with a response, oldest first */
+    char key[CW_CALL_NAME_MAX];
 } _cw_run_record_t;
 
 struct cw_runonce_t {
@@ -116,9 +117,9 @@
     char host[CW_NAME_MAX];
     _cw_run_record_t* records;
     uint32_t free_record;
-    uint32_t oldest, newest; /* records with kept answers */
-    size_t answer_bytes;
-    cw_map_t by_name;
+    uint32_t oldest, newest; /* records with a stored response */
+    size_t response_bytes;
+    cw_map_t by_key;
     cw_heap_t expiry;
 };
 
@@ -138,7 +139,7 @@
     t->desc = d;
     cw_copy(t->host, sizeof(t->host), d.host);
     t->records = cw_alloc(&d.allocator, d.max_records, sizeof(*t->records));
-    t->by_name = cw_map_setup(d.max_records, &d.allocator);
+    t->by_key = cw_map_setup(d.max_records, &d.allocator);
     t->expiry = cw_heap_setup(d.max_records, &d.allocator);
     for (uint32_t i = 0; i < d.max_records; i++) {
         t->records[i].next = i + 1 < d.max_records ? i + 1 : CW_RUN_NONE;
@@ -147,11 +148,11 @@
     return t;
 }
 
-static void _cw_run_free_answer(cw_runonce_t* t, _cw_run_record_t* r) {
+static void _cw_run_free_response(cw_runonce_t* t, _cw_run_record_t* r) {
     if (r->answer && t->desc.free_answer) {
         t->desc.free_answer(r->answer, t->desc.user_data);
     }
-    t->answer_bytes -= r->bytes;
+    t->response_bytes -= r->bytes;
     r->answer = NULL;
     r->bytes = 0;
 }
@@ -159,9 +160,9 @@
 void cw_runonce_shutdown(cw_runonce_t* t) {
     cw_allocator_t a = t->desc.allocator;
     for (uint32_t i = 0; i < t->desc.max_records; i++) {
-        _cw_run_free_answer(t, &t->records[i]);
+        _cw_run_free_response(t, &t->records[i]);
     }
-    cw_map_shutdown(&t->by_name);
+    cw_map_shutdown(&t->by_key);
     cw_heap_shutdown(&t->expiry);
     cw_free(&a, t->records);
     cw_free(&a, t);
@@ -175,16 +176,16 @@
 }
 
 typedef struct _cw_run_parsed_t {
-    bool ok, ours;
+    bool is_valid, is_own;
     int64_t expiry_ms;
 } _cw_run_parsed_t;
 
-/* Reads HOST~INCARNATION~EXPIRY/SUFFIX. */
-static _cw_run_parsed_t _cw_run_parse(const cw_runonce_t* t, const char* name) {
+/* Parses HOST~INCARNATION~EXPIRY/SUFFIX. */
+static _cw_run_parsed_t _cw_run_parse_key(const cw_runonce_t* t, const char* key) {
     _cw_run_parsed_t p = {0};
-    const char* host_end = strchr(name, '~');
-    const char* slash = strchr(name, '/');
-    if (!host_end || !slash || slash < host_end || !slash[1] || strlen(name) >= CW_CALL_NAME_MAX) {
+    const char* host_end = strchr(key, '~');
+    const char* slash = strchr(key, '/');
+    if (!host_end || !slash || slash < host_end || !slash[1] || strlen(key) >= CW_CALL_NAME_MAX) {
         return p;
     }
     char* end = NULL;
@@ -194,14 +195,14 @@
     }
     const char* expiry = end + 1;
     p.expiry_ms = (int64_t)strtoull(expiry, &end, 16);
-    p.ok = (end == slash && end != expiry);
-    size_t host_len = (size_t)(host_end - name);
-    p.ours = strlen(t->host) == host_len && memcmp(t->host, name, host_len) == 0 && incarnation == t->desc.incarnation;
+    p.is_valid = (end == slash && end != expiry);
+    size_t host_len = (size_t)(host_end - key);
+    p.is_own = strlen(t->host) == host_len && memcmp(t->host, key, host_len) == 0 && incarnation == t->desc.incarnation;
     return p;
 }
 
-/* Takes a record's answer out of the list of kept answers and frees it. */
-static void _cw_run_unkeep(cw_runonce_t* t, uint32_t record) {
+/* Removes a record from the list of stored responses and frees its response. */
+static void _cw_run_drop_response(cw_runonce_t* t, uint32_t record) {
     uint32_t prev = CW_RUN_NONE;
     for (uint32_t i = t->oldest; i != CW_RUN_NONE; prev = i, i = t->records[i].next) {
         if (i != record) {
@@ -215,39 +216,39 @@
         t->newest = (t->newest == record) ? prev : t->newest;
         break;
     }
-    _cw_run_free_answer(t, &t->records[record]);
+    _cw_run_free_response(t, &t->records[record]);
 }
 
-static void _cw_run_forget(cw_runonce_t* t, uint32_t record) {
+static void _cw_run_remove(cw_runonce_t* t, uint32_t record) {
     _cw_run_record_t* r = &t->records[record];
-    if (r->state == _CW_RUN_KEPT) {
-        _cw_run_unkeep(t, record);
+    if (r->state == _CW_RUN_STORED) {
+        _cw_run_drop_response(t, record);
     }
     cw_heap_remove(&t->expiry, record);
-    cw_map_remove(&t->by_name, r->hash);
+    cw_map_remove(&t->by_key, r->hash);
     r->state = _CW_RUN_FREE;
     r->next = t->free_record;
     t->free_record = record;
 }
 
-static void _cw_run_sweep(cw_runonce_t* t, int64_t now_ms) {
+static void _cw_run_remove_expired(cw_runonce_t* t, int64_t now_ms) {
     uint32_t i = cw_heap_top(&t->expiry);
     while (i != CW_HEAP_NONE && cw_heap_key(&t->expiry, i) < (double)now_ms && t->records[i].state != _CW_RUN_RUNNING) {
-        _cw_run_forget(t, i);
+        _cw_run_remove(t, i);
         i = cw_heap_top(&t->expiry);
     }
 }
 
-static cw_runonce_begin_t _cw_run_known(const cw_runonce_t* t, uint32_t record, uint64_t workspace, const char* name,
-                                        uint64_t body_hash) {
+static cw_runonce_begin_t _cw_run_find_verdict(const cw_runonce_t* t, uint32_t record, uint64_t workspace,
+                                               const char* key, uint64_t body_hash) {
     const _cw_run_record_t* r = &t->records[record];
     cw_runonce_begin_t b = {.record = record};
-    if (r->workspace != workspace || strcmp(r->name, name) != 0 || r->body_hash != body_hash) {
+    if (r->workspace != workspace || strcmp(r->key, key) != 0 || r->body_hash != body_hash) {
         b.verdict = CW_RUN_MISMATCH;
         b.record = CW_RUN_NONE;
     } else if (r->state == _CW_RUN_RUNNING) {
         b.verdict = CW_RUN_JOIN;
-    } else if (r->state == _CW_RUN_KEPT) {
+    } else if (r->state == _CW_RUN_STORED) {
         b.verdict = CW_RUN_KEPT;
         b.answer = r->answer;
     } else {
@@ -256,23 +257,24 @@
     return b;
 }
 
-cw_runonce_begin_t cw_runonce_begin(cw_runonce_t* t, int64_t now_ms, uint64_t workspace, const char* name,
+cw_runonce_begin_t cw_runonce_begin(cw_runonce_t* t, int64_t now_ms, uint64_t workspace, const char* key,
                                     uint64_t body_hash) {
-    _cw_run_sweep(t, now_ms);
-    _cw_run_parsed_t p = _cw_run_parse(t, name);
-    if (!p.ok) {
+    _cw_run_remove_expired(t, now_ms);
+    _cw_run_parsed_t p = _cw_run_parse_key(t, key);
+    if (!p.is_valid) {
         return (cw_runonce_begin_t){.verdict = CW_RUN_NO_TICKET, .record = CW_RUN_NONE};
     }
-    if (!p.ours) {
+    if (!p.is_own) {
         return (cw_runonce_begin_t){.verdict = CW_RUN_UNKNOWN, .record = CW_RUN_NONE};
     }
-    uint64_t hash = XXH64(name, strlen(name), workspace);
+    uint64_t hash = XXH64(key, strlen(key), workspace);
     hash = hash ? hash : 1;
-    uint32_t record = cw_map_get(&t->by_name, hash);
+    uint32_t record = cw_map_get(&t->by_key, hash);
     if (record != CW_MAP_NONE) {
-        return _cw_run_known(t, record, workspace, name, body_hash);
+        return _cw_run_find_verdict(t, record, workspace, key, body_hash);
     }
-    /* An expired ticket's record may be gone. One that expires later than any ticket of ours was not made here. */
+    /* The record of an expired ticket may have been removed. A ticket that expires later than any of this process's
+       tickets was not issued here. */
     if (p.expiry_ms < now_ms || p.expiry_ms > now_ms + t->desc.ticket_ms) {
         return (cw_runonce_begin_t){.verdict = CW_RUN_UNKNOWN, .record = CW_RUN_NONE};
     }
@@ -283,8 +285,8 @@
     _cw_run_record_t* r = &t->records[record];
     t->free_record = r->next;
     *r = (_cw_run_record_t){.state = _CW_RUN_RUNNING, .hash = hash, .workspace = workspace, .body_hash = body_hash};
-    cw_copy(r->name, sizeof(r->name), name);
-    cw_map_put(&t->by_name, hash, record);
+    cw_copy(r->key, sizeof(r->key), key);
+    cw_map_put(&t->by_key, hash, record);
     cw_heap_set(&t->expiry, record, (double)(p.expiry_ms + t->desc.longest_ms));
     return (cw_runonce_begin_t){.verdict = CW_RUN_NEW, .record = record};
 }
@@ -294,13 +296,13 @@
     assert(r->state == _CW_RUN_RUNNING);
     r->answer = answer;
     r->bytes = bytes;
-    t->answer_bytes += bytes;
+    t->response_bytes += bytes;
     if (!answer || bytes > t->desc.max_answer_bytes) {
-        r->state = _CW_RUN_LOST;
-        _cw_run_free_answer(t, r);
+        r->state = _CW_RUN_DROPPED;
+        _cw_run_free_response(t, r);
         return;
     }
-    r->state = _CW_RUN_KEPT;
+    r->state = _CW_RUN_STORED;
     r->next = CW_RUN_NONE;
     if (t->newest == CW_RUN_NONE) {
         t->oldest = record;
@@ -308,25 +310,25 @@
         t->records[t->newest].next = record;
     }
     t->newest = record;
-    while (t->answer_bytes > t->desc.max_answer_bytes) {
+    while (t->response_bytes > t->desc.max_answer_bytes) {
         uint32_t old = t->oldest;
-        _cw_run_unkeep(t, old);
-        t->records[old].state = _CW_RUN_LOST;
+        _cw_run_drop_response(t, old);
+        t->records[old].state = _CW_RUN_DROPPED;
     }
 }
 
 void cw_runonce_release(cw_runonce_t* t, uint32_t record) {
     assert(t->records[record].state == _CW_RUN_RUNNING);
-    _cw_run_forget(t, record);
+    _cw_run_remove(t, record);
 }
 
 uint32_t cw_runonce_count(const cw_runonce_t* t) {
-    return t->by_name.count;
+    return t->by_key.count;
 }
 
 size_t cw_runonce_bytes(const cw_runonce_t* t) {
-    size_t per = sizeof(_cw_run_record_t) + 2 * sizeof(uint32_t) + sizeof(double);
-    return sizeof(*t) + t->desc.max_records * per + ((size_t)t->by_name.mask + 1) * sizeof(_cw_map_slot_t);
+    size_t record_bytes = sizeof(_cw_run_record_t) + 2 * sizeof(uint32_t) + sizeof(double);
+    return sizeof(*t) + t->desc.max_records * record_bytes + ((size_t)t->by_key.mask + 1) * sizeof(_cw_map_slot_t);
 }
 
 #endif /* CHALKWAY_RUNONCE_IMPL_INCLUDED */
