--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -1,30 +1,32 @@
 #ifndef CHALKWAY_RELAY_H
 #define CHALKWAY_RELAY_H
 /*
-    chalkway_relay.h -- who passes news on, how often, by the size of the fleet
+    chalkway_relay.h -- which hosts forward load reports, and how often, by the
+    size of the fleet
 
     WHAT IT IS
-        In a small fleet each host tells every host of its hall at once, and
-        one host of each other hall, which passes it on there. That costs a
-        datagram for each pair of hosts and each piece of news, so in a larger
-        fleet a few hosts of each hall are its relays: the others hand their
-        news to one of them, and a relay gathers for a while, then tells its
-        hall and one relay of each other hall all of it in one datagram. What
-        a host hears then follows from the gathering time, not from the
-        number of hosts.
-
-        Small fleets are the same mechanism with other figures: all hosts of a
-        hall are relays, each for itself, and nothing is gathered.
-
-        Relays are the hosts that come first in an order that all hosts see
-        alike: the widest link first, since a relay sends its hall's copies.
-        There are as many as it takes to carry them, two at least.
+        In a small fleet a host sends each update at once to every host of
+        its hall and to one host of each other hall, which forwards it there.
+        That costs a datagram per update and pair of hosts. In a larger fleet,
+        therefore, a few hosts of each hall are its relays: the others send
+        their updates to one of them. A relay batches updates for a short time
+        and then sends the batch in one datagram to its hall and to one relay
+        of each other hall. The number of datagrams that a host receives then
+        depends on the batching time, not on the number of hosts.
+
+        A small fleet uses the same mechanism with other parameters: every
+        host is a relay, for its own updates only, and nothing is batched.
+
+        All hosts rank the hosts of a hall alike, the widest link first, since
+        a relay sends the copies for its whole hall. The first ones in this
+        order are the relays: as many as are needed to carry the copies, and
+        at least two.
 
     HOW TO USE IT
             cw_relay_plan_t plan = cw_relay_plan(live);
             sort the hosts of a hall by cw_relay_before;
             uint32_t relays = cw_relay_count(&plan, links, count); // the first ones
-            uint32_t i = cw_relay_choose(ids, relays, &plan, own_id, random); // whom to tell
+            uint32_t i = cw_relay_choose(ids, relays, &plan, own_id, random); // relay to send to
 
     WHAT IT DOES NOT DO
         No sockets, no list of hosts (chalkway_member.h), no messages
@@ -35,24 +37,25 @@
 */
 #include "chalkway_member.h"
 
-/* All times in ms. */
+/* Parameters of forwarding. */
 typedef struct cw_relay_plan_t {
-    bool all;           /* each host is a relay, for itself */
-    uint32_t gather_ms; /* a relay gathers news for so long, 0: it passes each piece on at once */
-    uint32_t reach_ms;  /* until a piece of news has reached all, where nothing is lost */
-    uint32_t direct_ms; /* the same, where it is told directly */
-    uint32_t repeat_ms; /* what did not change is told again after so long, since datagrams get lost */
+    bool all;           /* every host is a relay, for its own updates only */
+    uint32_t gather_ms; /* time for which a relay batches updates, 0: it forwards each at once */
+    uint32_t reach_ms;  /* time until an update has reached all hosts, without loss */
+    uint32_t direct_ms; /* the same for an update sent directly to each host */
+    uint32_t repeat_ms; /* interval at which unchanged state is sent again, since datagrams get lost */
 } cw_relay_plan_t;
 
-/* For so many hosts that live. */
+/* Plan for a fleet with this number of live hosts. */
 cw_relay_plan_t cw_relay_plan(uint32_t live);
-/* Whether a comes before b in the order that all hosts see alike. */
+/* Whether a ranks before b in the order common to all hosts. */
 bool cw_relay_before(const cw_member_info_t* a, const cw_member_info_t* b);
-/* How many of a hall's hosts, whose links in Mbit/s stand in that order, are its relays; count when there are fewer. */
+/* Number of relays of a hall; they are the first of its hosts in that order. link_mbps has the links of its count hosts
+   in that order. */
 uint32_t cw_relay_count(const cw_relay_plan_t* plan, const uint32_t* link_mbps, uint32_t count);
-/* Which of a hall's relays, in that order, this host tells; count is not 0. While relays gather, always the same one
-   for as long as the hosts stay the same, so that its news stays in order; else one by chance, so that one that is lost
-   takes only some of it along. */
+/* Index of the relay of a hall that this host sends to; relays are in that order, count is not 0. While relays batch,
+   it is always the same one until the hosts change, so that this host's updates stay in order. Otherwise it is random,
+   so that a lost relay loses only some of the updates. */
 uint32_t cw_relay_choose(const uint64_t* relays, uint32_t count, const cw_relay_plan_t* plan, uint64_t own,
                          uint64_t random);
 
@@ -67,37 +70,42 @@
 
 #include "chalkway_place.h"
 
-#define _CW_RELAY_ALL 16          /* up to so many hosts all are relays: telling each one costs less than waiting */
-#define _CW_RELAY_MIN 2           /* of a hall in a larger fleet: one that is lost takes half of the news along */
-#define _CW_RELAY_WIDE 3          /* so many where they have the same link */
-#define _CW_RELAY_HOST_MBPS 3     /* link that a hall's relays need for each of its hosts: a third of it is used then */
-#define _CW_RELAY_LINK_MBPS 1000  /* of a host that doesn't say */
-#define _CW_RELAY_GATHER_HOSTS 16 /* hosts for each ms of gathering */
-#define _CW_RELAY_GATHER_MIN_MS 4
-#define _CW_RELAY_GATHER_MAX_MS 25 /* older news would no longer tell what an engine is reading */
-#define _CW_RELAY_WAY_MS 2         /* of a datagram within a region, with the turn of the loop that reads it */
-#define _CW_RELAY_REPEAT_MS 400
-#define _CW_RELAY_REPEAT_MAX_MS 700 /* news counts for 1500 ms: two repeats fall into that */
-
-static uint32_t _cw_relay_between(uint32_t value, uint32_t least, uint32_t most) {
-    if (value < least) {
-        return least;
+/* Largest fleet in which all hosts are relays: sending to each host costs less there than the batching delay. */
+#define _CW_RELAY_FULL_MESH_MAX 16
+#define _CW_RELAY_MIN_COUNT 2        /* relays of a hall in a larger fleet: losing one loses half of the updates */
+#define _CW_RELAY_EQUAL_LINK_COUNT 3 /* relays of a hall, at least, where its widest links are equal */
+/* Bandwidth that a hall's relays need for each host of the hall; the copies use a third of it. */
+#define _CW_RELAY_MBPS_PER_HOST 3
+#define _CW_RELAY_DEFAULT_LINK_MBPS 1000 /* assumed where a host's link is unknown */
+#define _CW_RELAY_HOSTS_PER_BATCH_MS 16  /* hosts per ms of batching */
+#define _CW_RELAY_BATCH_MIN_MS 4
+#define _CW_RELAY_BATCH_MAX_MS 25 /* an older report no longer shows which prompt an engine is prefilling */
+#define _CW_RELAY_DATAGRAM_MS 2   /* delay of a datagram within a region, including the event loop that reads it */
+#define _CW_RELAY_RESEND_MS 400
+#define _CW_RELAY_RESEND_MAX_MS 700 /* a load report is valid for 1500 ms, which leaves time for two resends */
+
+static uint32_t _cw_relay_clamp(uint32_t value, uint32_t low, uint32_t high) {
+    if (value < low) {
+        return low;
     }
-    return value > most ? most : value;
+    return value > high ? high : value;
 }
 
 cw_relay_plan_t cw_relay_plan(uint32_t live) {
-    if (live <= _CW_RELAY_ALL) {
-        return (cw_relay_plan_t){
-            .all = true, .reach_ms = _CW_RELAY_WAY_MS, .direct_ms = _CW_RELAY_WAY_MS, .repeat_ms = _CW_RELAY_REPEAT_MS};
+    if (live <= _CW_RELAY_FULL_MESH_MAX) {
+        return (cw_relay_plan_t){.all = true,
+                                 .reach_ms = _CW_RELAY_DATAGRAM_MS,
+                                 .direct_ms = _CW_RELAY_DATAGRAM_MS,
+                                 .repeat_ms = _CW_RELAY_RESEND_MS};
     }
     uint32_t gather_ms =
-        _cw_relay_between(live / _CW_RELAY_GATHER_HOSTS, _CW_RELAY_GATHER_MIN_MS, _CW_RELAY_GATHER_MAX_MS);
+        _cw_relay_clamp(live / _CW_RELAY_HOSTS_PER_BATCH_MS, _CW_RELAY_BATCH_MIN_MS, _CW_RELAY_BATCH_MAX_MS);
     return (cw_relay_plan_t){
         .gather_ms = gather_ms,
-        .reach_ms = 2 * gather_ms + _CW_RELAY_WAY_MS, /* gathered in the own hall and in the other one */
-        .direct_ms = 2 * _CW_RELAY_WAY_MS,            /* the sender waits a moment for more to tell */
-        .repeat_ms = _cw_relay_between(_CW_RELAY_REPEAT_MS + live, _CW_RELAY_REPEAT_MS, _CW_RELAY_REPEAT_MAX_MS)};
+        .reach_ms =
+            2 * gather_ms + _CW_RELAY_DATAGRAM_MS, /* batched by a relay of the sender's hall and of the receiver's */
+        .direct_ms = 2 * _CW_RELAY_DATAGRAM_MS,    /* the sender briefly waits for further updates */
+        .repeat_ms = _cw_relay_clamp(_CW_RELAY_RESEND_MS + live, _CW_RELAY_RESEND_MS, _CW_RELAY_RESEND_MAX_MS)};
 }
 
 bool cw_relay_before(const cw_member_info_t* a, const cw_member_info_t* b) {
@@ -111,15 +119,15 @@
     if (plan->all) {
         return count;
     }
-    uint64_t needed = (uint64_t)count * _CW_RELAY_HOST_MBPS;
-    uint64_t carried = 0;
+    uint64_t needed_mbps = (uint64_t)count * _CW_RELAY_MBPS_PER_HOST;
+    uint64_t available_mbps = 0;
     for (uint32_t i = 0; i < count; i++) {
-        bool enough = carried >= needed && i >= _CW_RELAY_MIN;
-        bool as_wide = link_mbps[i] == link_mbps[0] && i < _CW_RELAY_WIDE;
-        if (enough && !as_wide) {
+        bool is_enough = available_mbps >= needed_mbps && i >= _CW_RELAY_MIN_COUNT;
+        bool is_equally_wide = link_mbps[i] == link_mbps[0] && i < _CW_RELAY_EQUAL_LINK_COUNT;
+        if (is_enough && !is_equally_wide) {
             return i;
         }
-        carried += link_mbps[i] ? link_mbps[i] : _CW_RELAY_LINK_MBPS;
+        available_mbps += link_mbps[i] ? link_mbps[i] : _CW_RELAY_DEFAULT_LINK_MBPS;
     }
     return count;
 }
