--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -1,4 +1,4 @@
-/* The allocator of a shard, on a clock of the test's own. */
+/* Slot allocator of a shard, with simulated time. */
 #include "../chalkway_shard.h"
 #include "test.h"
 
@@ -19,7 +19,7 @@
     return s;
 }
 
-static cw_want_t want_of(uint64_t entry, uint32_t seq, uint8_t tier, uint64_t workspace) {
+static cw_want_t make_request(uint64_t entry, uint32_t seq, uint8_t tier, uint64_t workspace) {
     return (cw_want_t){.entry = entry,
                        .seq = seq,
                        .tier = tier,
@@ -31,83 +31,83 @@
                        .left_ms = 20000};
 }
 
-static cw_want_t protected_want(uint64_t entry, uint32_t seq) {
-    cw_want_t w = want_of(entry, seq, 0, 1);
+static cw_want_t make_protected_request(uint64_t entry, uint32_t seq) {
+    cw_want_t w = make_request(entry, seq, 0, 1);
     w.flags = CW_WANT_PROTECTED;
     return w;
 }
 
-static void must_want(cw_shard_t* s, int64_t now, cw_want_t w) {
+static void request_slot(cw_shard_t* s, int64_t now, cw_want_t w) {
     ck_assert_int_eq(cw_shard_want(s, now, &w), CW_OK);
 }
 
-/* Takes all actions; counts them by kind and keeps the last grant. */
-typedef struct seen_t {
+/* Actions of one call to drain_actions: their number by kind, and the last of each. */
+typedef struct actions_t {
     int grants, refusals, preempts, resyncs;
     cw_shard_action_t grant, refusal, other;
-} seen_t;
+} actions_t;
 
-static seen_t take_all(cw_shard_t* s, int64_t now) {
-    seen_t seen = {0};
+static actions_t drain_actions(cw_shard_t* s, int64_t now) {
+    actions_t actions = {0};
     cw_shard_action_t a;
     while (cw_shard_next(s, now, &a)) {
-        seen.grants += a.kind == CW_SHARD_GRANT;
-        seen.refusals += a.kind == CW_SHARD_REFUSE;
-        seen.preempts += a.kind == CW_SHARD_PREEMPT;
-        seen.resyncs += a.kind == CW_SHARD_RESYNC;
+        actions.grants += a.kind == CW_SHARD_GRANT;
+        actions.refusals += a.kind == CW_SHARD_REFUSE;
+        actions.preempts += a.kind == CW_SHARD_PREEMPT;
+        actions.resyncs += a.kind == CW_SHARD_RESYNC;
         if (a.kind == CW_SHARD_GRANT) {
-            seen.grant = a;
+            actions.grant = a;
         } else if (a.kind == CW_SHARD_REFUSE) {
-            seen.refusal = a;
+            actions.refusal = a;
         } else {
-            seen.other = a;
+            actions.other = a;
         }
     }
-    return seen;
+    return actions;
 }
 
-static void must_done(cw_shard_t* s, int64_t now, uint64_t grant) {
+static void release_grant(cw_shard_t* s, int64_t now, uint64_t grant) {
     const cw_done_t done = {.grant = grant, .result = CW_PICK_SERVED, .took_ms = 10, .cost = 10};
     ck_assert_int_eq(cw_shard_done(s, now, &done), CW_OK);
 }
 
-START_TEST(grants_stop_at_the_slots) {
+START_TEST(grants_are_limited_by_slots) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, SLOTS);
     for (uint32_t i = 1; i <= 20; i++) {
-        must_want(s, 0, want_of(ENTRY_A, i, 1, 1));
+        request_slot(s, 0, make_request(ENTRY_A, i, 1, 1));
     }
-    seen_t seen = take_all(s, 0);
-    ck_assert_int_eq(seen.grants, ALL_SLOTS);
-    must_done(s, 5, seen.grant.grant);
-    ck_assert_int_eq(take_all(s, 5).grants, 1);
+    actions_t actions = drain_actions(s, 0);
+    ck_assert_int_eq(actions.grants, ALL_SLOTS);
+    release_grant(s, 5, actions.grant.grant);
+    ck_assert_int_eq(drain_actions(s, 5).grants, 1);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(higher_tier_goes_first) {
+START_TEST(higher_tier_is_served_first) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    must_want(s, 0, want_of(ENTRY_A, 2, 1, 1));
-    seen_t first = take_all(s, 0);
-    must_want(s, 1, want_of(ENTRY_A, 3, 2, 1));
-    must_want(s, 1, protected_want(ENTRY_B, 4));
-    must_done(s, 2, first.grant.grant);
-    seen_t second = take_all(s, 2);
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
+    actions_t first = drain_actions(s, 0);
+    request_slot(s, 1, make_request(ENTRY_A, 3, 2, 1));
+    request_slot(s, 1, make_protected_request(ENTRY_B, 4));
+    release_grant(s, 2, first.grant.grant);
+    actions_t second = drain_actions(s, 2);
     ck_assert_int_eq(second.grants, 1);
     ck_assert_uint_eq(second.grant.seq, 4);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-/* A lower tier under an endless flow of the highest one gets its floor and not much more. */
-START_TEST(lower_tier_gets_its_floor) {
+/* A lower tier under continuous load of the highest one gets its floor and little more. */
+START_TEST(lower_tier_gets_its_floor_share) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.floor = {0, 0.10, 0, 0}}, 1);
     uint32_t seq = 0;
     int low = 0;
     const int rounds = 1000;
     for (int i = 0; i < 4; i++) {
-        must_want(s, 0, protected_want(ENTRY_A, ++seq));
-        must_want(s, 0, want_of(ENTRY_A, 100000 + seq, 1, 1));
+        request_slot(s, 0, make_protected_request(ENTRY_A, ++seq));
+        request_slot(s, 0, make_request(ENTRY_A, 100000 + seq, 1, 1));
     }
     uint32_t low_seq = 200000;
     cw_shard_action_t a;
@@ -121,8 +121,8 @@
         now++;
         bool is_low = a.seq >= 100000;
         low += is_low;
-        must_want(s, now, is_low ? want_of(ENTRY_A, ++low_seq, 1, 1) : protected_want(ENTRY_A, ++seq));
-        must_done(s, now, a.grant);
+        request_slot(s, now, is_low ? make_request(ENTRY_A, ++low_seq, 1, 1) : make_protected_request(ENTRY_A, ++seq));
+        release_grant(s, now, a.grant);
     }
     ck_assert_int_ge(low, rounds / 10 - 5);
     ck_assert_int_le(low, rounds / 10 + 5);
@@ -130,135 +130,137 @@
 }
 END_TEST
 
-START_TEST(workspaces_share_evenly) {
+START_TEST(workspaces_share_slots_evenly) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     uint32_t seq = 0;
     int served[3] = {0};
     for (int i = 0; i < 300; i++) {
-        must_want(s, 0, want_of(ENTRY_A, ++seq, 1, i < 280 ? 1 : 2)); /* workspace 1 asks for 14 times as much */
+        request_slot(
+            s, 0, make_request(ENTRY_A, ++seq, 1, i < 280 ? 1 : 2)); /* workspace 1 sends 14 times as many requests */
     }
     for (int now = 1; now <= 40; now++) {
-        seen_t seen = take_all(s, now);
-        ck_assert_int_ge(seen.grants, 1);
-        served[seen.grant.seq <= 280 ? 1 : 2]++;
-        must_done(s, now, seen.grant.grant);
+        actions_t actions = drain_actions(s, now);
+        ck_assert_int_ge(actions.grants, 1);
+        served[actions.grant.seq <= 280 ? 1 : 2]++;
+        release_grant(s, now, actions.grant.grant);
     }
     ck_assert_int_ge(served[2], 18);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(protected_evicts_the_lowest_when_full) {
+START_TEST(protected_request_evicts_lowest_tier_when_full) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.max_waiting = 8}, 1);
-    must_want(s, 0, protected_want(ENTRY_A, 1));
-    must_want(s, 0, protected_want(ENTRY_A, 2));
-    ck_assert_int_eq(take_all(s, 0).grants, 2);
+    request_slot(s, 0, make_protected_request(ENTRY_A, 1));
+    request_slot(s, 0, make_protected_request(ENTRY_A, 2));
+    ck_assert_int_eq(drain_actions(s, 0).grants, 2);
     for (uint32_t i = 0; i < 7; i++) {
-        must_want(s, 1, want_of(ENTRY_A, 10 + i, 3, 1));
+        request_slot(s, 1, make_request(ENTRY_A, 10 + i, 3, 1));
     }
-    must_want(s, 2, protected_want(ENTRY_B, 30));
-    seen_t seen = take_all(s, 2);
-    ck_assert_int_eq(seen.refusals, 1);
-    ck_assert_int_eq(seen.refusal.refusal, CW_REFUSED_EVICTED);
-    ck_assert_uint_eq(seen.refusal.seq, 16); /* the newest */
+    request_slot(s, 2, make_protected_request(ENTRY_B, 30));
+    actions_t actions = drain_actions(s, 2);
+    ck_assert_int_eq(actions.refusals, 1);
+    ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_EVICTED);
+    ck_assert_uint_eq(actions.refusal.seq, 16); /* the newest of the lowest tier */
     ck_assert(cw_shard_waits(s, ENTRY_B, 30));
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(refusal_comes_at_once_with_a_time_to_come_back) {
+START_TEST(refusal_is_immediate_and_has_a_retry_delay) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 40; i++) {
-        cw_want_t w = want_of(ENTRY_A, i, 1, 1);
+        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
         w.est_ms = 1000;
         w.queue_ms = 5000;
-        must_want(s, 0, w);
+        request_slot(s, 0, w);
     }
-    seen_t seen = take_all(s, 0);
-    ck_assert_int_eq(seen.refusal.refusal, CW_REFUSED_BUSY);
-    ck_assert_int_gt(seen.refusals, 20);
-    ck_assert_uint_ge(seen.refusal.retry_after_ms, 4000);
+    actions_t actions = drain_actions(s, 0);
+    ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_BUSY);
+    ck_assert_int_gt(actions.refusals, 20);
+    ck_assert_uint_ge(actions.refusal.retry_after_ms, 4000);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(late_wants_are_refused_before_they_run) {
+START_TEST(requests_that_miss_their_deadline_are_refused) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    cw_want_t w = want_of(ENTRY_A, 1, 1, 1);
+    cw_want_t w = make_request(ENTRY_A, 1, 1, 1);
     w.est_ms = 500;
     w.left_ms = 400;
-    must_want(s, 0, w);
-    seen_t seen = take_all(s, 0);
-    ck_assert_int_eq(seen.refusal.refusal, CW_REFUSED_LATE);
-    ck_assert_uint_eq(seen.refusal.retry_after_ms, 0); /* to come back later would be worse */
+    request_slot(s, 0, w);
+    actions_t actions = drain_actions(s, 0);
+    ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_LATE);
+    ck_assert_uint_eq(actions.refusal.retry_after_ms, 0); /* a retry would have even less time */
     cw_shard_shutdown(s);
 }
 END_TEST
 
-/* A workspace at its limit is passed over, whatever entry and tier its wants come from; the others go on. */
-START_TEST(concurrency_of_a_workspace_is_limited_over_all_entries) {
+/* A workspace at its limit of running grants is skipped, regardless of the entry and tier of its requests; other
+   workspaces are served. */
+START_TEST(workspace_concurrency_is_limited_across_entries) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 4);
     for (uint32_t i = 1; i <= 6; i++) {
-        cw_want_t w = want_of(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
+        cw_want_t w = make_request(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
         w.max_running = 2;
-        must_want(s, 0, w);
+        request_slot(s, 0, w);
     }
-    seen_t limited = take_all(s, 0);
+    actions_t limited = drain_actions(s, 0);
     ck_assert_int_eq(limited.grants, 2);
     for (uint32_t i = 11; i <= 13; i++) {
-        must_want(s, 1, want_of(ENTRY_A, i, 3, 2));
+        request_slot(s, 1, make_request(ENTRY_A, i, 3, 2));
     }
-    ck_assert_int_eq(take_all(s, 1).grants, 3);
-    must_done(s, 2, limited.grant.grant);
-    ck_assert_int_eq(take_all(s, 2).grants, 1);
+    ck_assert_int_eq(drain_actions(s, 1).grants, 3);
+    release_grant(s, 2, limited.grant.grant);
+    ck_assert_int_eq(drain_actions(s, 2).grants, 1);
     ck_assert_uint_eq(cw_shard_stats(s, 2).waiting, 3);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(rate_of_a_workspace_is_limited_and_says_when) {
+START_TEST(workspace_rate_is_limited_with_a_retry_delay) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 50);
     int refused = 0;
-    cw_shard_action_t last = {0};
+    cw_shard_action_t last_refusal = {0};
     int64_t now = 0;
-    for (uint32_t i = 1; i <= 100; i++) { /* 20 a second for 5 s, 10 allowed */
+    for (uint32_t i = 1; i <= 100; i++) { /* 20 per second for 5 s; 10 per second are allowed */
         now += 50;
-        cw_want_t w = want_of(ENTRY_A + i % 2, i, 1, 1);
+        cw_want_t w = make_request(ENTRY_A + i % 2, i, 1, 1);
         w.max_rate = 10;
-        must_want(s, now, w);
-        seen_t seen = take_all(s, now);
-        refused += seen.refusals;
-        last = seen.refusals ? seen.refusal : last;
+        request_slot(s, now, w);
+        actions_t actions = drain_actions(s, now);
+        refused += actions.refusals;
+        last_refusal = actions.refusals ? actions.refusal : last_refusal;
     }
     ck_assert_int_ge(refused, 38);
     ck_assert_int_le(refused, 42);
-    ck_assert_int_eq(last.refusal, CW_REFUSED_RATE);
-    ck_assert_uint_ge(last.retry_after_ms, 1);
-    ck_assert_uint_le(last.retry_after_ms, 101);
+    ck_assert_int_eq(last_refusal.refusal, CW_REFUSED_RATE);
+    ck_assert_uint_ge(last_refusal.retry_after_ms, 1);
+    ck_assert_uint_le(last_refusal.retry_after_ms, 101);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(waiting_ends_at_the_queue_time) {
+START_TEST(queued_request_is_refused_after_its_queue_time) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 3; i++) {
-        cw_want_t w = want_of(ENTRY_A, i, 1, 1);
+        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
         w.queue_ms = 100;
-        must_want(s, 0, w);
+        request_slot(s, 0, w);
     }
-    ck_assert_int_eq(take_all(s, 0).grants, 2);
-    ck_assert_int_eq(take_all(s, 99).refusals, 0);
-    ck_assert_int_eq(take_all(s, 100).refusals, 1);
+    ck_assert_int_eq(drain_actions(s, 0).grants, 2);
+    ck_assert_int_eq(drain_actions(s, 99).refusals, 0);
+    ck_assert_int_eq(drain_actions(s, 100).refusals, 1);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_repeated_want_gets_the_same_grant) {
+START_TEST(retransmitted_request_gets_the_same_grant) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    seen_t first = take_all(s, 0);
-    must_want(s, 5, want_of(ENTRY_A, 1, 1, 1));
-    seen_t again = take_all(s, 5);
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    actions_t first = drain_actions(s, 0);
+    request_slot(s, 5, make_request(ENTRY_A, 1, 1, 1));
+    actions_t again = drain_actions(s, 5);
     ck_assert_int_eq(again.grants, 1);
     ck_assert_uint_eq(again.grant.grant, first.grant.grant);
     ck_assert_uint_eq(cw_shard_stats(s, 5).running, 1);
@@ -266,81 +268,82 @@
 }
 END_TEST
 
-START_TEST(a_repeated_done_frees_nothing_twice) {
+START_TEST(repeated_release_is_ignored) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 4; i++) {
-        must_want(s, 0, want_of(ENTRY_A, i, 1, 1));
+        request_slot(s, 0, make_request(ENTRY_A, i, 1, 1));
     }
-    seen_t seen = take_all(s, 0);
-    must_done(s, 1, seen.grant.grant);
-    const cw_done_t again = {.grant = seen.grant.grant};
+    actions_t actions = drain_actions(s, 0);
+    release_grant(s, 1, actions.grant.grant);
+    const cw_done_t again = {.grant = actions.grant.grant};
     ck_assert_int_eq(cw_shard_done(s, 1, &again), CW_ERR_NOT_FOUND);
-    ck_assert_int_eq(take_all(s, 1).grants, 1);
+    ck_assert_int_eq(drain_actions(s, 1).grants, 1);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_lost_done_is_found_by_the_digest) {
+START_TEST(lost_release_is_found_by_digest) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    must_want(s, 0, want_of(ENTRY_A, 2, 1, 1));
-    seen_t seen = take_all(s, 0);
-    cw_digest_t d = {.entry = ENTRY_A, .last = seen.grant.grant, .xored = seen.grant.grant, .count = 1};
-    cw_shard_digest(s, 100, &d); /* the entry holds one of the two */
-    ck_assert_int_eq(take_all(s, 100).resyncs, 1);
-    const cw_held_t held = {.grant = seen.grant.grant, .upstream = seen.grant.upstream, .seq = seen.grant.seq};
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
+    actions_t actions = drain_actions(s, 0);
+    cw_digest_t d = {.entry = ENTRY_A, .last = actions.grant.grant, .xored = actions.grant.grant, .count = 1};
+    cw_shard_digest(s, 100, &d); /* the entry reports only one of its two grants */
+    ck_assert_int_eq(drain_actions(s, 100).resyncs, 1);
+    const cw_held_t held = {.grant = actions.grant.grant, .upstream = actions.grant.upstream, .seq = actions.grant.seq};
     cw_shard_list(s, 101, &d, &held, 1);
     ck_assert_uint_eq(cw_shard_stats(s, 101).running, 1);
     cw_shard_digest(s, 102, &d);
-    ck_assert_int_eq(take_all(s, 102).resyncs, 0);
+    ck_assert_int_eq(drain_actions(s, 102).resyncs, 0);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-/* A grant on its way is not in the entry's digest yet: that is no difference. */
-START_TEST(a_grant_on_its_way_is_no_difference) {
+/* A grant that the entry has not received yet is missing from its digest: that must not count as a difference. */
+START_TEST(grant_in_transit_does_not_cause_a_resync) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    seen_t first = take_all(s, 0);
-    must_want(s, 1, want_of(ENTRY_A, 2, 1, 1));
-    ck_assert_int_eq(take_all(s, 1).grants, 1);
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    actions_t first = drain_actions(s, 0);
+    request_slot(s, 1, make_request(ENTRY_A, 2, 1, 1));
+    ck_assert_int_eq(drain_actions(s, 1).grants, 1);
     const cw_digest_t d = {.entry = ENTRY_A, .last = first.grant.grant, .xored = first.grant.grant, .count = 1};
     cw_shard_digest(s, 2, &d);
-    ck_assert_int_eq(take_all(s, 2).resyncs, 0);
+    ck_assert_int_eq(drain_actions(s, 2).resyncs, 0);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_silent_entry_loses_its_grants_after_the_lease) {
+START_TEST(silent_entry_loses_its_grants_after_the_lease) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.lease_ms = 1000, .ttl_ms = 100}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    must_want(s, 0, want_of(ENTRY_A, 2, 1, 1));
-    ck_assert_int_eq(take_all(s, 0).grants, 2);
-    must_want(s, 900, want_of(ENTRY_B, 3, 1, 1));
-    ck_assert_int_eq(take_all(s, 900).grants, 0);
-    ck_assert_int_eq(take_all(s, 1100).grants, 1);
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
+    ck_assert_int_eq(drain_actions(s, 0).grants, 2);
+    request_slot(s, 900, make_request(ENTRY_B, 3, 1, 1));
+    ck_assert_int_eq(drain_actions(s, 900).grants, 0);
+    ck_assert_int_eq(drain_actions(s, 1100).grants, 1);
     ck_assert_uint_eq(cw_shard_stats(s, 1100).reclaimed, 2);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_dead_entry_loses_its_grants_after_one_ttl) {
+START_TEST(dead_entry_loses_its_grants_after_one_ttl) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.lease_ms = 10000, .ttl_ms = 100}, 1);
-    must_want(s, 0, want_of(ENTRY_A, 1, 1, 1));
-    must_want(s, 0, want_of(ENTRY_A, 2, 1, 1));
-    must_want(s, 0, want_of(ENTRY_A, 3, 1, 1));
-    ck_assert_int_eq(take_all(s, 0).grants, 2);
+    request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
+    request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
+    request_slot(s, 0, make_request(ENTRY_A, 3, 1, 1));
+    ck_assert_int_eq(drain_actions(s, 0).grants, 2);
     cw_shard_entry_gone(s, 10, ENTRY_A);
     ck_assert_uint_eq(cw_shard_stats(s, 10).waiting, 0);
     ck_assert_uint_eq(cw_shard_stats(s, 10).running, 2);
-    take_all(s, 200);
+    drain_actions(s, 200);
     ck_assert_uint_eq(cw_shard_stats(s, 200).running, 0);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-/* A new allocator takes over what entries hold and uses the rest only as entries report. */
-START_TEST(a_new_allocator_adopts_and_is_cautious) {
+/* A new allocator adopts the grants that entries hold, and during the takeover uses only the share of the slots that
+   matches the entries that have reported. */
+START_TEST(new_allocator_adopts_grants_and_limits_slots) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 4);
     cw_shard_cautious(s, 500, 2);
     const cw_held_t held[] = {{.grant = 900, .upstream = 11, .workspace = 1, .seq = 1},
@@ -348,73 +351,74 @@
     const cw_digest_t d = {.entry = ENTRY_A, .count = 2};
     cw_shard_list(s, 0, &d, held, 2);
     for (uint32_t i = 10; i < 30; i++) {
-        must_want(s, 1, want_of(ENTRY_A, i, 1, 1));
+        request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
-    ck_assert_int_eq(take_all(s, 1).grants, 2); /* half of the 8 slots, 2 of them held */
+    ck_assert_int_eq(drain_actions(s, 1).grants, 2); /* half of the 8 slots, of which 2 are held */
     ck_assert_uint_eq(cw_shard_stats(s, 1).adopted, 2);
-    ck_assert_int_eq(take_all(s, 500).grants, 4);
+    ck_assert_int_eq(drain_actions(s, 500).grants, 4);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-/* The demo's first burst met a cautious allocator: it was refused as if two slots were all there is. */
-START_TEST(caution_ends_when_all_have_told_and_refuses_nobody) {
+/* Guards against refusals during a takeover: the demo's first burst was refused because the wait was estimated from the
+   two slots usable during the takeover instead of from the full capacity. */
+START_TEST(takeover_ends_when_all_entries_report_without_refusals) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 8);
     cw_shard_cautious(s, 500, 2);
     cw_shard_ask(s, 0, ENTRY_A);
     cw_shard_ask(s, 0, ENTRY_B);
     for (uint32_t i = 1; i <= 30; i++) {
-        cw_want_t w = want_of(ENTRY_A, i, 1, 1);
+        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
         w.est_ms = 50;
         w.queue_ms = 100;
-        must_want(s, 0, w);
+        request_slot(s, 0, w);
     }
-    seen_t seen = take_all(s, 0);
-    ck_assert_int_eq(seen.resyncs, 2);
-    ck_assert_int_eq(seen.refusals, 0);
+    actions_t actions = drain_actions(s, 0);
+    ck_assert_int_eq(actions.resyncs, 2);
+    ck_assert_int_eq(actions.refusals, 0);
     const cw_digest_t none[] = {{.entry = ENTRY_A}, {.entry = ENTRY_B}};
     cw_shard_list(s, 1, &none[0], NULL, 0);
     cw_shard_list(s, 1, &none[1], NULL, 0);
-    take_all(s, 2);
+    drain_actions(s, 2);
     ck_assert_uint_eq(cw_shard_stats(s, 2).running, 16);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_partition_uses_its_share) {
+START_TEST(partition_uses_its_share_of_slots) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 8);
     cw_shard_visible(s, 3, 4);
     for (uint32_t i = 1; i < 30; i++) {
-        must_want(s, 1, want_of(ENTRY_A, i, 1, 1));
+        request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
-    ck_assert_int_eq(take_all(s, 1).grants, 12);
+    ck_assert_int_eq(drain_actions(s, 1).grants, 12);
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(only_preemptible_lower_work_is_preempted) {
+START_TEST(only_preemptible_lower_tier_is_preempted) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.preempt_ms = 50}, 1);
-    cw_want_t low = want_of(ENTRY_A, 1, 3, 1);
+    cw_want_t low = make_request(ENTRY_A, 1, 3, 1);
     low.flags = CW_WANT_PREEMPTIBLE;
-    must_want(s, 0, low);
-    must_want(s, 0, want_of(ENTRY_A, 2, 3, 1));
-    ck_assert_int_eq(take_all(s, 0).grants, 2);
-    must_want(s, 1, protected_want(ENTRY_B, 3));
-    must_want(s, 1, protected_want(ENTRY_B, 4));
-    ck_assert_int_eq(take_all(s, 40).preempts, 0);
-    seen_t seen = take_all(s, 60);
-    ck_assert_int_eq(seen.preempts, 1);
-    ck_assert_uint_eq(seen.other.seq, 1);
-    ck_assert_int_eq(take_all(s, 200).preempts, 0); /* the other one may not be */
+    request_slot(s, 0, low);
+    request_slot(s, 0, make_request(ENTRY_A, 2, 3, 1));
+    ck_assert_int_eq(drain_actions(s, 0).grants, 2);
+    request_slot(s, 1, make_protected_request(ENTRY_B, 3));
+    request_slot(s, 1, make_protected_request(ENTRY_B, 4));
+    ck_assert_int_eq(drain_actions(s, 40).preempts, 0);
+    actions_t actions = drain_actions(s, 60);
+    ck_assert_int_eq(actions.preempts, 1);
+    ck_assert_uint_eq(actions.other.seq, 1);
+    ck_assert_int_eq(drain_actions(s, 200).preempts, 0); /* the other one is not preemptible */
     cw_shard_shutdown(s);
 }
 END_TEST
 
-START_TEST(a_leaving_upstream_gets_nothing_new) {
+START_TEST(leaving_upstream_gets_no_new_requests) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 2);
     cw_shard_report(s, 0, 11, 0, true);
     for (uint32_t i = 1; i <= 6; i++) {
-        must_want(s, 1, want_of(ENTRY_A, i, 1, 1));
+        request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
     cw_shard_action_t a;
     int grants = 0;
@@ -427,9 +431,9 @@
 }
 END_TEST
 
-/* Random arrivals, ends, losses and silences. Always: no upstream above its slots; a protected want is never refused
-   while lower work waits. */
-START_TEST(random_runs_keep_the_promises) {
+/* Random arrivals, releases, lost releases and silent entries. Invariants: no upstream runs more than its slots, and no
+   protected request is refused while a lower tier waits. */
+START_TEST(random_runs_keep_invariants) {
     rng_t rng = {.state = (uint64_t)_i + 1};
     cw_shard_t* s = shard_with((cw_shard_desc_t){.max_waiting = 32, .max_grants = 64, .lease_ms = 800, .ttl_ms = 50},
                                1 + rng_below(&rng, 4));
@@ -441,8 +445,8 @@
     static uint8_t tiers[4000]; /* by seq */
     for (int64_t now = 1; now < 3000; now += 1 + rng_below(&rng, 4)) {
         uint8_t tier = (uint8_t)rng_below(&rng, CW_TIERS);
-        cw_want_t w = tier ? want_of(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
-                           : protected_want(ENTRY_A + rng_below(&rng, 3), ++seq);
+        cw_want_t w = tier ? make_request(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
+                           : make_protected_request(ENTRY_A + rng_below(&rng, 3), ++seq);
         w.est_ms = 5 + rng_below(&rng, 50);
         w.queue_ms = 20 + rng_below(&rng, 400);
         lower_waiting_before = 0;
@@ -460,14 +464,15 @@
                 held[held_count++] = a.grant;
             }
             bool own = a.kind == CW_SHARD_REFUSE && a.seq == seq && !tier;
-            ck_assert_msg(!own || !lower_waiting_before, "seed %d: protected want refused (%s) while lower work waits",
-                          _i, cw_refusal_name(a.refusal));
+            ck_assert_msg(!own || !lower_waiting_before,
+                          "seed %d: protected slot request refused (%s) while a lower tier waits", _i,
+                          cw_refusal_name(a.refusal));
         }
         ck_assert_uint_le(cw_shard_stats(s, now).running, slots);
         if (held_count && rng_below(&rng, 3)) {
             uint32_t i = rng_below(&rng, held_count);
             const cw_done_t done = {.grant = held[i], .took_ms = 5, .cost = 1 + rng_below(&rng, 30)};
-            if (rng_below(&rng, 20)) { /* else the report is lost */
+            if (rng_below(&rng, 20)) { /* otherwise the release is lost */
                 cw_shard_done(s, now, &done);
             }
             held[i] = held[--held_count];
@@ -478,28 +483,28 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, grants_stop_at_the_slots);
-    tcase_add_test(t, higher_tier_goes_first);
-    tcase_add_test(t, lower_tier_gets_its_floor);
-    tcase_add_test(t, workspaces_share_evenly);
-    tcase_add_test(t, protected_evicts_the_lowest_when_full);
-    tcase_add_test(t, refusal_comes_at_once_with_a_time_to_come_back);
-    tcase_add_test(t, late_wants_are_refused_before_they_run);
-    tcase_add_test(t, concurrency_of_a_workspace_is_limited_over_all_entries);
-    tcase_add_test(t, rate_of_a_workspace_is_limited_and_says_when);
-    tcase_add_test(t, waiting_ends_at_the_queue_time);
-    tcase_add_test(t, a_repeated_want_gets_the_same_grant);
-    tcase_add_test(t, a_repeated_done_frees_nothing_twice);
-    tcase_add_test(t, a_lost_done_is_found_by_the_digest);
-    tcase_add_test(t, a_grant_on_its_way_is_no_difference);
-    tcase_add_test(t, a_silent_entry_loses_its_grants_after_the_lease);
-    tcase_add_test(t, a_dead_entry_loses_its_grants_after_one_ttl);
-    tcase_add_test(t, a_new_allocator_adopts_and_is_cautious);
-    tcase_add_test(t, caution_ends_when_all_have_told_and_refuses_nobody);
-    tcase_add_test(t, a_partition_uses_its_share);
-    tcase_add_test(t, only_preemptible_lower_work_is_preempted);
-    tcase_add_test(t, a_leaving_upstream_gets_nothing_new);
-    tcase_add_loop_test(t, random_runs_keep_the_promises, 0, 100);
+    tcase_add_test(t, grants_are_limited_by_slots);
+    tcase_add_test(t, higher_tier_is_served_first);
+    tcase_add_test(t, lower_tier_gets_its_floor_share);
+    tcase_add_test(t, workspaces_share_slots_evenly);
+    tcase_add_test(t, protected_request_evicts_lowest_tier_when_full);
+    tcase_add_test(t, refusal_is_immediate_and_has_a_retry_delay);
+    tcase_add_test(t, requests_that_miss_their_deadline_are_refused);
+    tcase_add_test(t, workspace_concurrency_is_limited_across_entries);
+    tcase_add_test(t, workspace_rate_is_limited_with_a_retry_delay);
+    tcase_add_test(t, queued_request_is_refused_after_its_queue_time);
+    tcase_add_test(t, retransmitted_request_gets_the_same_grant);
+    tcase_add_test(t, repeated_release_is_ignored);
+    tcase_add_test(t, lost_release_is_found_by_digest);
+    tcase_add_test(t, grant_in_transit_does_not_cause_a_resync);
+    tcase_add_test(t, silent_entry_loses_its_grants_after_the_lease);
+    tcase_add_test(t, dead_entry_loses_its_grants_after_one_ttl);
+    tcase_add_test(t, new_allocator_adopts_grants_and_limits_slots);
+    tcase_add_test(t, takeover_ends_when_all_entries_report_without_refusals);
+    tcase_add_test(t, partition_uses_its_share_of_slots);
+    tcase_add_test(t, only_preemptible_lower_tier_is_preempted);
+    tcase_add_test(t, leaving_upstream_gets_no_new_requests);
+    tcase_add_loop_test(t, random_runs_keep_invariants, 0, 100);
 }
 
 int main(void) {
