--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -1,6 +1,7 @@
 #ifndef CW_TEST_FLEET_H
 #define CW_TEST_FLEET_H
-/* Many membership instances in one process, on one clock, over a network that loses, cuts and pauses. */
+/* Simulated fleet: many membership instances in one process, with simulated time, over a network with packet loss,
+   partitions and suspended hosts. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,18 +14,19 @@
 #define FLEET_STEP_MS 50
 
 typedef struct fleet_t {
-    cw_members_t* hosts[FLEET_MAX]; /* NULL: dead */
+    cw_members_t* hosts[FLEET_MAX]; /* NULL: not running */
     bool paused[FLEET_MAX];
-    int side[FLEET_MAX]; /* hosts of different sides do not reach each other */
+    int partition[FLEET_MAX]; /* hosts of different partitions cannot reach each other */
     uint32_t count;
     uint32_t loss_percent;
     int64_t now_ms;
     rng_t rng;
     cw_wire_t* wire;
     uint64_t messages, bytes;
-    uint32_t handles;         /* messages that a host sends and reads in a step, 0: any number; the rest is lost */
-    uint32_t done[FLEET_MAX]; /* of these, in this step */
-    cw_members_desc_t times;  /* of each host; zero: the defaults */
+    uint32_t
+        max_messages_per_step; /* messages that a host can send and receive per step, 0: any number; the rest is lost */
+    uint32_t handled[FLEET_MAX]; /* messages sent and received in this step, by host */
+    cw_members_desc_t times;     /* intervals and time-outs of each host; zero: the defaults */
 } fleet_t;
 
 static inline void fleet_name(uint32_t i, char out[16]) {
@@ -75,7 +77,7 @@
     cw_wire_shutdown(f->wire);
 }
 
-/* Delivers what host i wants to send, through the wire format. */
+/* Delivers the messages that host i has queued, encoded in the wire format. */
 static inline void fleet_deliver(fleet_t* f, uint32_t i) {
     cw_gossip_out_t out;
     static cw_gossip_t in;
@@ -90,10 +92,10 @@
         f->messages++;
         f->bytes += bytes.size;
         bool lost = rng_below(&f->rng, 100) < f->loss_percent;
-        if (f->handles && to < f->count) {
-            lost = lost || f->done[i]++ >= f->handles || f->done[to]++ >= f->handles;
+        if (f->max_messages_per_step && to < f->count) {
+            lost = lost || f->handled[i]++ >= f->max_messages_per_step || f->handled[to]++ >= f->max_messages_per_step;
         }
-        if (to >= f->count || !f->hosts[to] || f->paused[to] || f->side[i] != f->side[to] || lost) {
+        if (to >= f->count || !f->hosts[to] || f->paused[to] || f->partition[i] != f->partition[to] || lost) {
             continue;
         }
         if (cw_wire_gossip(f->wire, "fleet", bytes.data, bytes.size, &in, NULL) != CW_OK) {
@@ -105,13 +107,13 @@
 
 static inline void fleet_run(fleet_t* f, int64_t ms) {
     for (int64_t until = f->now_ms + ms; f->now_ms < until; f->now_ms += FLEET_STEP_MS) {
-        memset(f->done, 0, sizeof(f->done));
+        memset(f->handled, 0, sizeof(f->handled));
         for (uint32_t i = 0; i < f->count; i++) {
             if (f->hosts[i] && !f->paused[i]) {
                 cw_members_tick(f->hosts[i], f->now_ms + (i * 7) % FLEET_STEP_MS);
             }
         }
-        for (int turn = 0; turn < 4; turn++) { /* probe, answer, answer of the one asked to probe */
+        for (int turn = 0; turn < 4; turn++) { /* a step covers an indirect probe: ping-req, ping and both acks */
             for (uint32_t i = 0; i < f->count; i++) {
                 if (f->hosts[i] && !f->paused[i]) {
                     fleet_deliver(f, i);
@@ -121,8 +123,8 @@
     }
 }
 
-/* Hosts (of those that run) that take host i to be in the state. */
-static inline uint32_t fleet_holds(const fleet_t* f, uint32_t i, cw_member_state_t state) {
+/* Number of running hosts in whose view host i is in the state. */
+static inline uint32_t fleet_count_in_state(const fleet_t* f, uint32_t i, cw_member_state_t state) {
     uint32_t n = 0;
     for (uint32_t k = 0; k < f->count; k++) {
         const cw_member_t* m = (f->hosts[k] && k != i) ? cw_members_find(f->hosts[k], fleet_id(i)) : NULL;
@@ -131,7 +133,7 @@
     return n;
 }
 
-/* True when every running host knows every other running one as alive. */
+/* Whether every running host sees every other running host as alive. */
 static inline bool fleet_complete(const fleet_t* f) {
     for (uint32_t i = 0; i < f->count; i++) {
         for (uint32_t k = 0; f->hosts[i] && k < f->count; k++) {
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -1,10 +1,10 @@
-/* Membership of many hosts on one clock. */
+/* Membership of many hosts with simulated time. */
 #include "fleet.h"
 #include "test.h"
 
 static fleet_t fleet;
 
-START_TEST(all_learn_of_all) {
+START_TEST(every_host_discovers_every_other) {
     fleet_setup(&fleet, 60, 1);
     fleet_run(&fleet, 15000);
     ck_assert(fleet_complete(&fleet));
@@ -12,18 +12,18 @@
 }
 END_TEST
 
-START_TEST(a_dead_host_is_found_by_all) {
+START_TEST(dead_host_is_detected_by_all) {
     fleet_setup(&fleet, 40, 2);
     fleet_run(&fleet, 10000);
     cw_members_shutdown(fleet.hosts[7]);
     fleet.hosts[7] = NULL;
     fleet_run(&fleet, 20000);
-    ck_assert_uint_eq(fleet_holds(&fleet, 7, CW_MEMBER_DEAD), 39);
+    ck_assert_uint_eq(fleet_count_in_state(&fleet, 7, CW_MEMBER_DEAD), 39);
     fleet_shutdown(&fleet);
 }
 END_TEST
 
-START_TEST(a_restarted_host_is_alive_again) {
+START_TEST(restarted_host_is_alive_again) {
     fleet_setup(&fleet, 20, 3);
     fleet_run(&fleet, 5000);
     cw_members_shutdown(fleet.hosts[7]);
@@ -36,28 +36,29 @@
 }
 END_TEST
 
-/* Loss alone kills nobody: suspicions are refuted in time. */
-START_TEST(loss_kills_nobody) {
+/* With 10% packet loss, suspicions are refuted before a host is declared dead. */
+START_TEST(packet_loss_causes_no_false_deaths) {
     fleet_setup(&fleet, 30, 4 + (uint64_t)_i);
     fleet_run(&fleet, 10000);
     fleet.loss_percent = 10;
     for (int second = 0; second < 120; second++) {
         fleet_run(&fleet, 1000);
         for (uint32_t i = 0; i < fleet.count; i++) {
-            ck_assert_uint_eq(fleet_holds(&fleet, i, CW_MEMBER_DEAD), 0);
+            ck_assert_uint_eq(fleet_count_in_state(&fleet, i, CW_MEMBER_DEAD), 0);
         }
     }
     fleet_shutdown(&fleet);
 }
 END_TEST
 
-/* A pause shorter than the suspicion is refuted; the paused host itself blames nobody when it wakes. */
-START_TEST(a_paused_host_blames_nobody) {
+/* A host that was suspended until the others declared it dead must declare nobody dead on resume, and becomes alive
+   again. */
+START_TEST(suspended_host_declares_nobody_dead) {
     fleet_setup(&fleet, 20, 5);
     fleet_run(&fleet, 10000);
     fleet.paused[3] = true;
     fleet_run(&fleet, 30000);
-    ck_assert_uint_eq(fleet_holds(&fleet, 3, CW_MEMBER_DEAD), 19);
+    ck_assert_uint_eq(fleet_count_in_state(&fleet, 3, CW_MEMBER_DEAD), 19);
     fleet.paused[3] = false;
     fleet_run(&fleet, 100);
     for (uint32_t i = 0; i < cw_members_count(fleet.hosts[3]); i++) {
@@ -69,22 +70,22 @@
 }
 END_TEST
 
-START_TEST(a_healed_partition_finds_itself) {
+START_TEST(healed_partition_converges) {
     fleet_setup(&fleet, 24, 6);
     fleet_run(&fleet, 10000);
     for (uint32_t i = 0; i < 12; i++) {
-        fleet.side[i] = 1;
+        fleet.partition[i] = 1;
     }
     fleet_run(&fleet, 60000);
-    ck_assert_uint_eq(fleet_holds(&fleet, 20, CW_MEMBER_DEAD), 12);
-    memset(fleet.side, 0, sizeof(fleet.side));
+    ck_assert_uint_eq(fleet_count_in_state(&fleet, 20, CW_MEMBER_DEAD), 12);
+    memset(fleet.partition, 0, sizeof(fleet.partition));
     fleet_run(&fleet, 60000);
     ck_assert(fleet_complete(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
 
-START_TEST(leaving_is_known_within_seconds) {
+START_TEST(leaving_spreads_within_seconds) {
     fleet_setup(&fleet, 40, 7);
     fleet_run(&fleet, 10000);
     cw_members_leave(fleet.hosts[9]);
@@ -99,8 +100,8 @@
 }
 END_TEST
 
-/* A connection refused moves the roles at once; when the host lives, it refutes and nobody calls it dead. */
-START_TEST(a_refused_connection_is_a_suspicion) {
+/* A refused connection makes the host ineligible for roles at once. A live host refutes the suspicion. */
+START_TEST(refused_connection_causes_suspicion) {
     fleet_setup(&fleet, 20, 9);
     fleet_run(&fleet, 10000);
     uint64_t live[64];
@@ -112,8 +113,8 @@
 }
 END_TEST
 
-/* The cost of a host does not grow with their number. */
-START_TEST(cost_stays_constant) {
+/* The traffic of a host does not grow with the number of hosts. */
+START_TEST(traffic_per_host_is_independent_of_fleet_size) {
     double per_host[2];
     const uint32_t sizes[2] = {9, 150};
     for (int i = 0; i < 2; i++) {
@@ -129,21 +130,21 @@
 }
 END_TEST
 
-/* Times of a fleet whose callers notice within a second. */
+/* Timing of a fleet that must detect failures within a second, since callers notice them. */
 static const cw_members_desc_t quick = {.period_ms = 250, .timeout_ms = 100, .suspect_ms = 700, .retry_ms = 250};
 
-/* A fleet of which a host is restarted twice a second tells each other all the time that their views differ. Each such
-   word was answered by the whole view: 2.2, 3.5 and 4.8 KB a second for each of 60, 240 and 480 hosts, 18 KB at 584
-   while news of their start was still told. Pattern: a planned roll of the hosts. */
-START_TEST(what_is_told_in_a_roll_follows_what_changes) {
+/* Guards against replies that grow with the fleet. During a rolling restart of two hosts per second, views differ all
+   the time. When a host replied to each difference with its full view, the traffic per host was 2.2, 3.5 and 4.8 KB/s
+   with 60, 240 and 480 hosts, and 18 KB/s with 584 while the updates of their start were still spreading. */
+START_TEST(traffic_in_rolling_restart_follows_changes) {
     double per_host[2];
     const uint32_t sizes[2] = {60, 240};
     for (int i = 0; i < 2; i++) {
         fleet_setup_with(&fleet, sizes[i], 10, &quick);
-        fleet_run(&fleet, (int64_t)200 * sizes[i]); /* until the news of the start is told */
+        fleet_run(&fleet, (int64_t)200 * sizes[i]); /* until the updates of the start have spread */
         fleet.bytes = 0;
-        for (uint32_t turn = 0; turn < 8; turn++) {
-            uint32_t host = turn * 37 % sizes[i];
+        for (uint32_t restart = 0; restart < 8; restart++) {
+            uint32_t host = restart * 37 % sizes[i];
             cw_members_shutdown(fleet.hosts[host]);
             fleet_start(&fleet, host);
             fleet_run(&fleet, 500);
@@ -157,9 +158,9 @@
 }
 END_TEST
 
-/* All hosts of a large fleet lost power and start in the same moment. They knew all of each other after 7.5 s at 295
-   hosts and 11 s at 584, since two hosts compared views once in two seconds. */
-START_TEST(hosts_that_start_together_know_each_other_soon) {
+/* All hosts of a large fleet start at the same moment, as after a power failure. Guards against slow convergence: with
+   one anti-entropy request per host every two seconds it took 7.5 s with 295 hosts and 11 s with 584. */
+START_TEST(simultaneous_start_converges_quickly) {
     fleet_setup_with(&fleet, 240, 11, &quick);
     fleet_run(&fleet, 2000);
     ck_assert(fleet_complete(&fleet));
@@ -167,12 +168,13 @@
 }
 END_TEST
 
-/* The same on small machines that handle 6,000 messages a second. A seed answered each host that joined with its whole
-   view, some hundred messages, so of 584 that came at once it handled a few; the others came again every 250 ms, and it
-   never got further. They stayed alone: each read the source by itself and took all engines for its own to ask. */
-START_TEST(hosts_that_start_together_do_not_crowd_out_their_seed) {
+/* The same on small machines that handle 6,000 messages per second. Guards against an overloaded seed: it replied to
+   each joining host with its full view, about a hundred messages. Of 584 hosts that joined at once it served only a
+   few, and the others retried every 250 ms, so it never caught up. The hosts stayed alone: each polled the source
+   itself and considered itself the owner of all engines. */
+START_TEST(simultaneous_start_does_not_overload_the_seed) {
     fleet_setup_with(&fleet, 400, 12, &quick);
-    fleet.handles = 300;
+    fleet.max_messages_per_step = 300;
     fleet_run(&fleet, 3000);
     ck_assert(fleet_complete(&fleet));
     fleet_shutdown(&fleet);
@@ -180,18 +182,18 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, all_learn_of_all);
-    tcase_add_test(t, a_dead_host_is_found_by_all);
-    tcase_add_test(t, a_restarted_host_is_alive_again);
-    tcase_add_loop_test(t, loss_kills_nobody, 0, 3);
-    tcase_add_test(t, a_paused_host_blames_nobody);
-    tcase_add_test(t, a_healed_partition_finds_itself);
-    tcase_add_test(t, leaving_is_known_within_seconds);
-    tcase_add_test(t, a_refused_connection_is_a_suspicion);
-    tcase_add_test(t, cost_stays_constant);
-    tcase_add_test(t, what_is_told_in_a_roll_follows_what_changes);
-    tcase_add_test(t, hosts_that_start_together_know_each_other_soon);
-    tcase_add_test(t, hosts_that_start_together_do_not_crowd_out_their_seed);
+    tcase_add_test(t, every_host_discovers_every_other);
+    tcase_add_test(t, dead_host_is_detected_by_all);
+    tcase_add_test(t, restarted_host_is_alive_again);
+    tcase_add_loop_test(t, packet_loss_causes_no_false_deaths, 0, 3);
+    tcase_add_test(t, suspended_host_declares_nobody_dead);
+    tcase_add_test(t, healed_partition_converges);
+    tcase_add_test(t, leaving_spreads_within_seconds);
+    tcase_add_test(t, refused_connection_causes_suspicion);
+    tcase_add_test(t, traffic_per_host_is_independent_of_fleet_size);
+    tcase_add_test(t, traffic_in_rolling_restart_follows_changes);
+    tcase_add_test(t, simultaneous_start_converges_quickly);
+    tcase_add_test(t, simultaneous_start_does_not_overload_the_seed);
 }
 
 int main(void) {
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -1,4 +1,4 @@
-/* The small parts: map, heap, fair queue, histogram, limits, places, settings, log. */
+/* Small modules: map, heap, fair queue, histogram, limits, rendezvous hashing, stream, settings, log. */
 #include <stdio.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 #include "../chalkway_stream.h"
 #include "test.h"
 
-START_TEST(map_agrees_with_an_array) {
+START_TEST(map_matches_an_array) {
     rng_t rng = {.state = (uint64_t)_i};
     cw_map_t map = cw_map_setup(64, NULL);
     uint32_t values[100];
@@ -20,7 +20,7 @@
     }
     for (int step = 0; step < 5000; step++) {
         uint32_t k = rng_below(&rng, 100);
-        uint64_t key = (uint64_t)k * 8 + 8; /* many share a home */
+        uint64_t key = (uint64_t)k * 8 + 8; /* many keys share a home slot */
         if (rng_below(&rng, 2) && (values[k] != CW_MAP_NONE || map.count < 64)) {
             values[k] = rng_below(&rng, 1000);
             cw_map_put(&map, key, values[k]);
@@ -35,7 +35,7 @@
 }
 END_TEST
 
-START_TEST(heap_gives_the_lowest) {
+START_TEST(heap_top_is_the_lowest_key) {
     rng_t rng = {.state = (uint64_t)_i};
     cw_heap_t heap = cw_heap_setup(50, NULL);
     for (int step = 0; step < 3000; step++) {
@@ -55,7 +55,7 @@
 }
 END_TEST
 
-START_TEST(fair_weights_count) {
+START_TEST(fair_serves_by_weight) {
     cw_fair_t* q = cw_fair_setup(&(cw_fair_desc_t){.max_items = 400});
     int served[3] = {0};
     for (uint32_t i = 0; i < 400; i++) {
@@ -73,7 +73,7 @@
 }
 END_TEST
 
-START_TEST(fair_idle_saves_nothing_up) {
+START_TEST(fair_idle_workspace_accumulates_no_credit) {
     cw_fair_t* q = cw_fair_setup(&(cw_fair_desc_t){.max_items = 400});
     for (uint32_t i = 0; i < 100; i++) {
         cw_fair_push(q, 1, i);
@@ -83,21 +83,21 @@
         cw_fair_charge(q, 1, 1, 10);
     }
     for (uint32_t i = 100; i < 200; i++) {
-        cw_fair_push(q, 2, i); /* was idle all the time */
+        cw_fair_push(q, 2, i); /* workspace 2 was idle so far */
     }
-    int second = 0;
+    int served_second = 0;
     for (int i = 0; i < 20; i++) {
         uint32_t item = cw_fair_pop(q);
-        second += item >= 100;
+        served_second += item >= 100;
         cw_fair_charge(q, item >= 100 ? 2 : 1, 1, 10);
     }
-    ck_assert_int_ge(second, 9);
-    ck_assert_int_le(second, 11);
+    ck_assert_int_ge(served_second, 9);
+    ck_assert_int_le(served_second, 11);
     cw_fair_shutdown(q);
 }
 END_TEST
 
-/* More workspaces than places: the idle ones make room, and a full table says so. */
+/* More workspaces than counters: idle ones are reclaimed, and CW_ERR_FULL is returned when all of them wait. */
 START_TEST(fair_reclaims_idle_workspaces) {
     cw_fair_t* q = cw_fair_setup(&(cw_fair_desc_t){.max_items = 16, .max_workspaces = 4});
     for (uint64_t w = 1; w <= 40; w++) {
@@ -113,7 +113,7 @@
 }
 END_TEST
 
-START_TEST(histogram_knows_a_quarter) {
+START_TEST(histogram_resolution_is_one_quarter) {
     cw_hist_t hist = {0};
     for (uint32_t v = 1; v <= 1000; v++) {
         cw_hist_add(&hist, v);
@@ -140,8 +140,8 @@
 }
 END_TEST
 
-/* 90 short runs and 10 long ones of ten times the length: cutting the long ones loses half of all work. */
-START_TEST(need_covers_the_long_runs_that_cost_most) {
+/* 90 short runs and 10 runs ten times as long: aborting the long ones would waste half of all work. */
+START_TEST(cutoff_covers_long_runs_that_dominate_the_work) {
     cw_estimate_t est = {0};
     for (int i = 0; i < 100; i++) {
         cw_estimate_add(&est, i % 10 ? 100 : 1000);
@@ -154,17 +154,17 @@
 
 START_TEST(bucket_limits_the_rate) {
     cw_bucket_t bucket = {.rate = 10, .burst = 2};
-    int taken = 0;
+    int taken_count = 0;
     for (int64_t now = 0; now <= 10000; now += 10) {
-        taken += cw_bucket_take(&bucket, now, 1);
+        taken_count += cw_bucket_take(&bucket, now, 1);
     }
-    ck_assert_int_ge(taken, 100);
-    ck_assert_int_le(taken, 103);
+    ck_assert_int_ge(taken_count, 100);
+    ck_assert_int_le(taken_count, 103);
     ck_assert_uint_le(cw_bucket_wait_ms(&bucket, 10000, 1), 101);
 }
 END_TEST
 
-START_TEST(retries_keep_to_their_share) {
+START_TEST(retries_stay_within_budget) {
     cw_retry_budget_t budget = {.share = 0.1, .burst = 5};
     int retries = 0;
     for (int i = 0; i < 1000; i++) {
@@ -176,8 +176,8 @@
 }
 END_TEST
 
-/* When one host goes, only its keys move. */
-START_TEST(places_move_little) {
+/* When a host is removed, only its keys move. */
+START_TEST(rendezvous_moves_only_keys_of_a_removed_host) {
     uint64_t hosts[10];
     for (uint64_t i = 0; i < 10; i++) {
         hosts[i] = cw_mix(i + 1, 99);
@@ -199,37 +199,38 @@
 }
 END_TEST
 
-/* Any cut into blocks gives the same events; what is not whole is not passed on. */
-START_TEST(stream_events_are_whole) {
+/* Any split into blocks gives the same events, and incomplete events are not forwarded. */
+START_TEST(stream_forwards_complete_events_only) {
     static const char text[] = "data: a\n\ndata: {\"b\":1}\n\ndata: [DONE]\n\n";
     rng_t rng = {.state = (uint64_t)_i};
     cw_stream_t s = {0};
     char pending[128];
-    char passed[128] = "";
-    size_t held = 0;
-    size_t out = 0;
+    char forwarded[128] = "";
+    size_t pending_size = 0;
+    size_t forwarded_size = 0;
     size_t stop = _i % 2 ? sizeof(text) - 1 : 1 + rng_below(&rng, sizeof(text) - 2);
     for (size_t at = 0; at < stop;) {
         size_t n = 1 + rng_below(&rng, 9);
         n = at + n > stop ? stop - at : n;
-        memcpy(pending + held, text + at, n);
-        held += n;
+        memcpy(pending + pending_size, text + at, n);
+        pending_size += n;
         at += n;
-        size_t whole = cw_stream_take(&s, pending, held);
-        memcpy(passed + out, pending, whole);
-        out += whole;
-        held -= whole;
-        memmove(pending, pending + whole, held);
+        size_t complete_size = cw_stream_take(&s, pending, pending_size);
+        memcpy(forwarded + forwarded_size, pending, complete_size);
+        forwarded_size += complete_size;
+        pending_size -= complete_size;
+        memmove(pending, pending + complete_size, pending_size);
     }
-    ck_assert(memcmp(passed, text, out) == 0);
-    ck_assert(out == 0 || (passed[out - 1] == '\n' && passed[out - 2] == '\n'));
+    ck_assert(memcmp(forwarded, text, forwarded_size) == 0);
+    ck_assert(forwarded_size == 0 || (forwarded[forwarded_size - 1] == '\n' && forwarded[forwarded_size - 2] == '\n'));
     ck_assert_int_eq(s.ended, stop == sizeof(text) - 1);
-    ck_assert_uint_eq(s.tokens, out >= 24 ? 2 : out >= 9 ? 1 : 0);
+    ck_assert_uint_eq(s.tokens, forwarded_size >= 24 ? 2 : forwarded_size >= 9 ? 1 : 0);
 }
 END_TEST
 
-/* Shards of a pool differ by one upstream at most; a new upstream moves at most one over each border. */
-START_TEST(shards_are_even) {
+/* The sizes of a pool's shards differ by at most one, and a new upstream moves at most one upstream across each shard
+   boundary. */
+START_TEST(shards_are_even_and_stable) {
     uint64_t ids[100];
     for (uint32_t i = 0; i < 100; i++) {
         ids[i] = cw_mix(i + 1, 5);
@@ -256,7 +257,7 @@
 
 /* -- settings ------------------------------------------------------------- */
 
-static cw_settings_errors_t load(const char* text, cw_settings_t* settings) {
+static cw_settings_errors_t load_settings(const char* text, cw_settings_t* settings) {
     static cw_settings_errors_t errors;
     char path[] = "/tmp/chalkway-settings-XXXXXX";
     int fd = mkstemp(path);
@@ -270,12 +271,12 @@
     return errors;
 }
 
-#define HOST "[host]\nname = a\nhall = h\nhttp = 127.0.0.1:1\npeer = 127.0.0.1:2\noperator = 127.0.0.1:3\n"
+#define HOST_SECTION "[host]\nname = a\nhall = h\nhttp = 127.0.0.1:1\npeer = 127.0.0.1:2\noperator = 127.0.0.1:3\n"
 
-START_TEST(settings_are_read_with_units) {
+START_TEST(settings_are_parsed_with_units) {
     cw_settings_t s;
-    cw_settings_errors_t errors =
-        load(HOST "[entry]\nlookup_keep = 2m\nmax_body = 64k\nretry_share = 0.25\n[log]\nformat = json\n", &s);
+    cw_settings_errors_t errors = load_settings(
+        HOST_SECTION "[entry]\nlookup_keep = 2m\nmax_body = 64k\nretry_share = 0.25\n[log]\nformat = json\n", &s);
     ck_assert_msg(errors.count == 0, "%s", errors.lines[0]);
     ck_assert_str_eq(s.name, "a");
     ck_assert_uint_eq(s.lookup_ms, 120000);
@@ -285,11 +286,12 @@
 }
 END_TEST
 
-START_TEST(all_wrong_settings_are_named_at_once) {
+START_TEST(all_invalid_settings_are_reported_at_once) {
     cw_settings_t s;
-    cw_settings_errors_t errors = load("[host]\nname = a b\nhttp = 127.0.0.1:1\npeer = 127.0.0.1:1\n"
-                                       "operator = nowhere\n[entry]\nsilent = 5\ncolour = red\n[log]\nlevel = loud\n",
-                                       &s);
+    cw_settings_errors_t errors =
+        load_settings("[host]\nname = a b\nhttp = 127.0.0.1:1\npeer = 127.0.0.1:1\n"
+                      "operator = nowhere\n[entry]\nsilent = 5\ncolour = red\n[log]\nlevel = loud\n",
+                      &s);
     static const char* const expected[] = {":2: [host] name: must be letters",
                                            ":5: [host] operator: must be IP:PORT",
                                            ":7: [entry] silent: must be a time",
@@ -310,43 +312,43 @@
 
 /* -- log ------------------------------------------------------------------ */
 
-static char logged[2048];
+static char logged_line[2048];
 
-static void keep_line(const char* line, void* user) {
+static void store_line(const char* line, void* user) {
     (void)user;
-    cw_copy(logged, sizeof(logged), line);
+    cw_copy(logged_line, sizeof(logged_line), line);
 }
 
 START_TEST(log_writes_pairs_and_json) {
-    cw_log_t log = {.level = CW_LOG_INFO, .write = keep_line};
+    cw_log_t log = {.level = CW_LOG_INFO, .write = store_line};
     cw_log(&log, CW_EVENT_STARTED, "host=%s reason=\"%s\"", "a", "two words");
-    ck_assert_ptr_nonnull(strstr(logged, "info 100 started host=a reason=\"two words\""));
+    ck_assert_ptr_nonnull(strstr(logged_line, "info 100 started host=a reason=\"two words\""));
     log.json = true;
     cw_log(&log, CW_EVENT_STARTED, "host=%s reason=\"%s\"", "a", "two words");
-    ck_assert_ptr_nonnull(strstr(logged, "\"event\":100"));
-    ck_assert_ptr_nonnull(strstr(logged, "\"reason\":\"two words\""));
-    logged[0] = 0;
+    ck_assert_ptr_nonnull(strstr(logged_line, "\"event\":100"));
+    ck_assert_ptr_nonnull(strstr(logged_line, "\"reason\":\"two words\""));
+    logged_line[0] = 0;
     cw_log(&log, CW_EVENT_PEER_CLOSED, "peer=x"); /* below the level */
-    ck_assert_str_eq(logged, "");
+    ck_assert_str_eq(logged_line, "");
 }
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_loop_test(t, map_agrees_with_an_array, 0, 5);
-    tcase_add_loop_test(t, heap_gives_the_lowest, 0, 3);
-    tcase_add_test(t, fair_weights_count);
-    tcase_add_test(t, fair_idle_saves_nothing_up);
+    tcase_add_loop_test(t, map_matches_an_array, 0, 5);
+    tcase_add_loop_test(t, heap_top_is_the_lowest_key, 0, 3);
+    tcase_add_test(t, fair_serves_by_weight);
+    tcase_add_test(t, fair_idle_workspace_accumulates_no_credit);
     tcase_add_test(t, fair_reclaims_idle_workspaces);
-    tcase_add_test(t, histogram_knows_a_quarter);
+    tcase_add_test(t, histogram_resolution_is_one_quarter);
     tcase_add_test(t, estimate_follows_a_change);
-    tcase_add_test(t, need_covers_the_long_runs_that_cost_most);
+    tcase_add_test(t, cutoff_covers_long_runs_that_dominate_the_work);
     tcase_add_test(t, bucket_limits_the_rate);
-    tcase_add_test(t, retries_keep_to_their_share);
-    tcase_add_test(t, places_move_little);
-    tcase_add_test(t, shards_are_even);
-    tcase_add_loop_test(t, stream_events_are_whole, 0, 40);
-    tcase_add_test(t, settings_are_read_with_units);
-    tcase_add_test(t, all_wrong_settings_are_named_at_once);
+    tcase_add_test(t, retries_stay_within_budget);
+    tcase_add_test(t, rendezvous_moves_only_keys_of_a_removed_host);
+    tcase_add_test(t, shards_are_even_and_stable);
+    tcase_add_loop_test(t, stream_forwards_complete_events_only, 0, 40);
+    tcase_add_test(t, settings_are_parsed_with_units);
+    tcase_add_test(t, all_invalid_settings_are_reported_at_once);
     tcase_add_test(t, log_writes_pairs_and_json);
 }
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,19 +1,19 @@
-/* The life of a request: every event in every state, and what may truthfully be said. */
+/* State machine of a request: every event in every state, and the outcome that is reported. */
 #include "../chalkway_request.h"
 #include "test.h"
 
 #define SEEDS 2000
 #define STEPS 40
 
-/* Facts that the test keeps by itself, from the events alone. */
+/* Facts that the test derives on its own from the events. */
 typedef struct facts_t {
-    int sends;        /* transfers whose bytes began to leave */
+    int send_count;   /* attempts that began to send */
     int may_have_run; /* of these, the ones that the upstream did not reject */
-    int answers;
-    bool slot;
+    int response_count;
+    bool has_slot;
 } facts_t;
 
-START_TEST(delivered_request) {
+START_TEST(complete_response_is_delivered) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = true});
     ck_assert_uint_eq(cw_request_event(&r, CW_EV_START), CW_DO_WANT);
     ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT), CW_DO_CONNECT);
@@ -27,7 +27,7 @@
 }
 END_TEST
 
-START_TEST(expired_grant_is_returned_and_asked_for_again) {
+START_TEST(expired_grant_is_released_and_requested_again) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){0});
     cw_request_event(&r, CW_EV_START);
     cw_request_event(&r, CW_EV_GRANT);
@@ -37,7 +37,7 @@
 }
 END_TEST
 
-START_TEST(non_repeatable_call_runs_on_when_the_caller_leaves) {
+START_TEST(non_repeatable_call_runs_on_after_caller_closes) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = false});
     cw_request_event(&r, CW_EV_START);
     cw_request_event(&r, CW_EV_GRANT);
@@ -48,7 +48,7 @@
 }
 END_TEST
 
-START_TEST(a_cut_stream_is_continued_only_where_that_is_possible) {
+START_TEST(broken_stream_is_resumed_only_if_resumable) {
     for (int resumable = 0; resumable < 2; resumable++) {
         cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = true, .resumable = resumable});
         cw_request_event(&r, CW_EV_START);
@@ -56,14 +56,14 @@
         cw_request_event(&r, CW_EV_SENDING);
         cw_request_event(&r, CW_EV_HEAD);
         cw_request_event(&r, CW_EV_DELIVERED_PART);
-        uint32_t todo = cw_request_event(&r, CW_EV_BROKEN);
-        ck_assert_int_eq((todo & CW_DO_WANT) != 0, resumable);
-        ck_assert_int_eq((todo & CW_DO_ANSWER) != 0, !resumable);
+        uint32_t actions = cw_request_event(&r, CW_EV_BROKEN);
+        ck_assert_int_eq((actions & CW_DO_WANT) != 0, resumable);
+        ck_assert_int_eq((actions & CW_DO_ANSWER) != 0, !resumable);
     }
 }
 END_TEST
 
-START_TEST(late_grant_goes_back) {
+START_TEST(late_grant_is_released) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){0});
     cw_request_event(&r, CW_EV_START);
     ck_assert_uint_eq(cw_request_event(&r, CW_EV_DEADLINE), CW_DO_WITHDRAW | CW_DO_ANSWER);
@@ -71,22 +71,23 @@
 }
 END_TEST
 
-static void check_actions(facts_t* f, uint32_t todo, bool sent) {
-    if (todo & CW_DO_RETURN) {
-        ck_assert_msg(f->slot, "a slot is given back that is not held");
-        f->slot = false;
+static void check_actions(facts_t* f, uint32_t actions, bool sent) {
+    if (actions & CW_DO_RETURN) {
+        ck_assert_msg(f->has_slot, "a slot is released that is not held");
+        f->has_slot = false;
     }
-    if (todo & CW_DO_CONNECT) {
-        ck_assert_msg(!f->slot, "two slots at once");
-        f->slot = true;
+    if (actions & CW_DO_CONNECT) {
+        ck_assert_msg(!f->has_slot, "two slots are held at once");
+        f->has_slot = true;
     }
-    f->answers += (todo & CW_DO_ANSWER) ? 1 : 0;
-    f->sends += sent;
+    f->response_count += (actions & CW_DO_ANSWER) ? 1 : 0;
+    f->send_count += sent;
     f->may_have_run += sent;
 }
 
-/* Random events in every order, for both kinds of class: the promises of the outcome hold after each. */
-START_TEST(random_events_keep_the_promises) {
+/* Random events in any order, for repeatable and non-repeatable requests: after each event, not-run is reported only if
+   no attempt may have run, and a non-repeatable call may have run at most once. */
+START_TEST(random_events_keep_invariants) {
     rng_t rng = {.state = (uint64_t)_i};
     for (int k = 0; k < SEEDS / 10; k++) {
         bool repeatable = rng_below(&rng, 2);
@@ -107,10 +108,10 @@
             }
             cw_outcome_t outcome = cw_request_outcome(&r);
             ck_assert_msg(outcome != CW_OUTCOME_NOT_RUN || f.may_have_run == 0,
-                          "not-run is said of a request that may have run");
+                          "not-run is reported for a request that may have run");
             ck_assert_msg(repeatable || f.may_have_run <= 1, "a non-repeatable call may have run %d times",
                           f.may_have_run);
-            ck_assert_int_le(f.sends, 3);
+            ck_assert_int_le(f.send_count, 3);
         }
         cw_request_event(&r, CW_EV_DEADLINE);
         cw_request_event(&r, CW_EV_BROKEN);
@@ -120,12 +121,12 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, delivered_request);
-    tcase_add_test(t, expired_grant_is_returned_and_asked_for_again);
-    tcase_add_test(t, non_repeatable_call_runs_on_when_the_caller_leaves);
-    tcase_add_test(t, a_cut_stream_is_continued_only_where_that_is_possible);
-    tcase_add_test(t, late_grant_goes_back);
-    tcase_add_loop_test(t, random_events_keep_the_promises, 0, 10);
+    tcase_add_test(t, complete_response_is_delivered);
+    tcase_add_test(t, expired_grant_is_released_and_requested_again);
+    tcase_add_test(t, non_repeatable_call_runs_on_after_caller_closes);
+    tcase_add_test(t, broken_stream_is_resumed_only_if_resumable);
+    tcase_add_test(t, late_grant_is_released);
+    tcase_add_loop_test(t, random_events_keep_invariants, 0, 10);
 }
 
 int main(void) {
