--- a/bench/bench.h
+++ b/bench/bench.h
@@ -1,6 +1,6 @@
 #ifndef CW_BENCH_H
 #define CW_BENCH_H
-/* What benches share: clocks and the file a bench writes. */
+/* Helpers of the benchmarks: clocks, and the result file. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,7 +13,7 @@
     return (double)ts.tv_sec + (double)ts.tv_nsec / 1e9;
 }
 
-/* Processor time of this process, in seconds. */
+/* CPU time of this process. */
 static inline double bench_cpu_s(void) {
     return bench_clock(CLOCK_PROCESS_CPUTIME_ID);
 }
@@ -22,7 +22,7 @@
     return bench_clock(CLOCK_MONOTONIC);
 }
 
-/* Writes BUILD/bench/NAME.json and frees the root. */
+/* Writes root to BUILD/bench/NAME.json and frees it. Returns the exit status of the process. */
 static inline int bench_write(const char* build, const char* name, json_t* root) {
     char path[256];
     snprintf(path, sizeof(path), "%s/bench", build);
--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,6 +1,7 @@
 /*
-    Slopes of the control work of a host, measured here, and what they make at the size to design for:
-    330 daemons, 750 servers, 3,800 requests a second, 7,000 workspaces, 36 models, 2,300 changes a day.
+    Measures the unit costs of a host's control work (bytes, CPU time, memory) and computes their sum for the target
+    size: 330 daemons, 750 servers, 3,800 requests per second, 7,000 workspaces, 36 models, 2,300 configuration changes
+    per day.
 */
 #include <malloc.h>
 #include <string.h>
@@ -14,78 +15,79 @@
 #include "../tools/site.h"
 #include "bench.h"
 
-#define HOSTS 330.0
-#define SERVERS 750.0
-#define REQUESTS_S 3800.0
-#define WORKSPACES 7000
-#define MODELS 36.0
-#define CHANGES_DAY 2300.0
-#define DAY_S 86400.0
-#define PACKET_BYTES 66.0 /* Ethernet, IP and TCP headers of one small packet */
-#define DIGEST_S 20.0     /* period of digests */
-#define REPORT_EACH_S 0.4 /* a shard reads one load report in this time */
-#define CPU_LIMIT 1.6     /* % of a core */
-#define BYTES_LIMIT 16384.0
+#define TARGET_HOSTS 330.0
+#define TARGET_SERVERS 750.0
+#define REQUESTS_PER_S 3800.0
+#define TARGET_WORKSPACES 7000
+#define TARGET_MODELS 36.0
+#define CHANGES_PER_DAY 2300.0
+#define SECONDS_PER_DAY 86400.0
+#define PACKET_BYTES 66.0      /* Ethernet, IP and TCP headers of one small packet */
+#define DIGEST_INTERVAL_S 20.0 /* interval between an entry's digests */
+#define REPORT_INTERVAL_S 0.4  /* interval between the load reports that a shard polls */
+#define CPU_LIMIT_PERCENT 1.6  /* % of a core */
+#define BYTES_LIMIT_PER_S 16384.0
 #define MEMORY_LIMIT_MB 64.0
-#define RESTARTS_DAY 270.0
+#define RESTARTS_PER_DAY 270.0
 
 /* -- member --------------------------------------------------------------- */
 
 typedef struct member_cost_t {
-    double bytes_s, cpu_us_s, memory_kb;
+    double bytes_per_s, cpu_us_per_s, memory_kb;
 } member_cost_t;
 
-static member_cost_t measure_member(uint32_t hosts) {
+static member_cost_t measure_membership(uint32_t hosts) {
     static fleet_t fleet;
     const double seconds = 60;
-    size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
+    size_t before_bytes = mallinfo2().uordblks + mallinfo2().hblkhd;
     fleet_setup(&fleet, hosts, 1);
-    double memory = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before) / hosts / 1024;
+    double memory = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before_bytes) / hosts / 1024;
     fleet_run(&fleet, 600000);
     fleet.bytes = 0;
     fleet.messages = 0;
     double cpu = bench_cpu_s();
     fleet_run(&fleet, (int64_t)(seconds * 1000));
     cpu = bench_cpu_s() - cpu;
-    member_cost_t c = {.bytes_s = 2 * ((double)fleet.bytes + 28.0 * (double)fleet.messages) / hosts / seconds,
-                       .cpu_us_s = cpu * 1e6 / hosts / seconds,
+    member_cost_t c = {.bytes_per_s = 2 * ((double)fleet.bytes + 28.0 * (double)fleet.messages) / hosts / seconds,
+                       .cpu_us_per_s = cpu * 1e6 / hosts / seconds,
                        .memory_kb = memory};
     fleet_shutdown(&fleet);
     return c;
 }
 
-static member_cost_t show_member(json_t* out) {
+static member_cost_t print_membership(json_t* out) {
     static const uint32_t sizes[] = {9, 50, 150, 330};
     member_cost_t c = {0};
-    printf("member: one host, in and out, all views agreeing\n  hosts   bytes/s   cpu us/s   memory KB\n");
+    printf("member: one host, received and sent, all views equal\n  hosts   bytes/s   cpu us/s   memory KB\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
-        c = measure_member(sizes[i]);
-        printf("  %5u %9.0f %10.0f %11.0f\n", sizes[i], c.bytes_s, c.cpu_us_s, c.memory_kb);
-        json_array_append_new(out, json_pack("{s:i,s:f,s:f,s:f}", "hosts", (int)sizes[i], "bytes_s", c.bytes_s,
-                                             "cpu_us_s", c.cpu_us_s, "memory_kb", c.memory_kb));
+        c = measure_membership(sizes[i]);
+        printf("  %5u %9.0f %10.0f %11.0f\n", sizes[i], c.bytes_per_s, c.cpu_us_per_s, c.memory_kb);
+        json_array_append_new(out, json_pack("{s:i,s:f,s:f,s:f}", "hosts", (int)sizes[i], "bytes_s", c.bytes_per_s,
+                                             "cpu_us_s", c.cpu_us_per_s, "memory_kb", c.memory_kb));
     }
     return c;
 }
 
-/* Time until all hosts have a revision that one of them has read; each has it as soon as it hears of it. */
-static double measure_spread(uint32_t hosts, uint64_t seed) {
+/* Time until all hosts have a revision that one of them has polled; a host has it once it receives a message with it.
+ */
+static double measure_propagation(uint32_t hosts, uint64_t seed) {
     static fleet_t fleet;
     fleet_setup(&fleet, hosts, seed);
     fleet_run(&fleet, 120000);
     int64_t start_ms = fleet.now_ms;
     cw_members_announce(fleet.hosts[0], 7, 50);
-    uint32_t have = 0;
-    while (have < hosts && fleet.now_ms - start_ms < 60000) {
+    uint32_t converged_count = 0;
+    while (converged_count < hosts && fleet.now_ms - start_ms < 60000) {
         fleet_run(&fleet, FLEET_STEP_MS);
-        have = 0;
+        converged_count = 0;
         for (uint32_t i = 0; i < hosts; i++) {
             int64_t highest = i ? 0 : 7;
             for (uint32_t k = 1; k < cw_members_count(fleet.hosts[i]); k++) {
-                int64_t heard = cw_members_at(fleet.hosts[i], k)->revision;
-                highest = heard > highest ? heard : highest;
+                int64_t known_revision = cw_members_at(fleet.hosts[i], k)->revision;
+                highest = known_revision > highest ? known_revision : highest;
             }
             cw_members_announce(fleet.hosts[i], highest, 50);
-            have += highest == 7;
+            converged_count += highest == 7;
         }
     }
     double seconds = (double)(fleet.now_ms - start_ms) / 1000;
@@ -93,17 +95,17 @@
     return seconds;
 }
 
-static void show_spread(json_t* out) {
+static void print_propagation(json_t* out) {
     static const uint32_t sizes[] = {9, 50, 150, 330};
     printf("\nspread of a revision, worst of 5 runs\n  hosts   seconds\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
-        double worst = 0;
+        double worst_s = 0;
         for (uint64_t seed = 1; seed <= 5; seed++) {
-            double s = measure_spread(sizes[i], seed);
-            worst = s > worst ? s : worst;
+            double s = measure_propagation(sizes[i], seed);
+            worst_s = s > worst_s ? s : worst_s;
         }
-        printf("  %5u %9.2f\n", sizes[i], worst);
-        json_array_append_new(out, json_pack("{s:i,s:f}", "hosts", (int)sizes[i], "worst_s", worst));
+        printf("  %5u %9.2f\n", sizes[i], worst_s);
+        json_array_append_new(out, json_pack("{s:i,s:f}", "hosts", (int)sizes[i], "worst_s", worst_s));
     }
 }
 
@@ -111,7 +113,7 @@
 
 typedef struct message_cost_t {
     double want, grant, queued, done, digest; /* bytes of a frame */
-    double codec_us;                          /* packing and unpacking all of them once */
+    double codec_us;                          /* CPU time to encode and decode each of them once */
 } message_cost_t;
 
 static double frame_size(cw_wire_t* wire, const cw_msg_t* msg) {
@@ -162,18 +164,19 @@
     }
     c.codec_us = (bench_cpu_s() - cpu) * 1e6 / rounds;
     cw_wire_shutdown(wire);
-    printf("\nmessages: want %.0f, grant %.0f, queued %.0f, done %.0f, digest %.0f bytes; codec %.2f us for the five\n",
+    printf("\nmessages: slot request %.0f, grant %.0f, queued %.0f, release %.0f, digest %.0f bytes; codec %.2f us for "
+           "all five\n",
            c.want, c.grant, c.queued, c.done, c.digest, c.codec_us);
     return c;
 }
 
 /* -- allocator ------------------------------------------------------------ */
 
-/* Processor time and memory of one shard that serves so many entries; returns us for one request. */
+/* Returns the CPU time per request, in us, of one shard allocator with the given number of entries, and its memory. */
 static double measure_shard(uint32_t entries, double* memory_mb) {
-    size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
+    size_t before_bytes = mallinfo2().uordblks + mallinfo2().hblkhd;
     cw_shard_t* s = cw_shard_setup(&(cw_shard_desc_t){.epoch = 1});
-    *memory_mb = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before) / 1048576;
+    *memory_mb = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before_bytes) / 1048576;
     cw_pick_spec_t specs[21];
     for (uint32_t i = 0; i < 21; i++) {
         specs[i] = (cw_pick_spec_t){.id = 100 + i, .slots = 100};
@@ -211,10 +214,10 @@
     double request_us, memory_mb;
 } allocator_cost_t;
 
-static allocator_cost_t show_allocator(json_t* out) {
+static allocator_cost_t print_allocator(json_t* out) {
     static const uint32_t sizes[] = {9, 100, 330};
     allocator_cost_t c = {0};
-    printf("\nallocator: one shard of 21 upstreams, 900 workspaces\n  entries   us a request   memory MB\n");
+    printf("\nallocator: one shard of 21 upstreams, 900 workspaces\n  entries     us/request   memory MB\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
         c.request_us = measure_shard(sizes[i], &c.memory_mb);
         printf("  %7u %14.2f %11.2f\n", sizes[i], c.request_us, c.memory_mb);
@@ -242,7 +245,7 @@
 }
 
 static config_cost_t measure_config(uint32_t workspaces) {
-    size_t before = mallinfo2().uordblks + mallinfo2().hblkhd;
+    size_t before_bytes = mallinfo2().uordblks + mallinfo2().hblkhd;
     double cpu = bench_cpu_s();
     cw_store_t* s = cw_store_setup(&(cw_store_desc_t){0});
     for (uint32_t i = 0; i < workspaces; i++) {
@@ -263,7 +266,7 @@
     }
     cw_store_commit(s, 300000);
     config_cost_t c = {.load_ms = (bench_cpu_s() - cpu) * 1000};
-    c.memory_mb = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before) / 1048576;
+    c.memory_mb = (double)(mallinfo2().uordblks + mallinfo2().hblkhd - before_bytes) / 1048576;
     const int changes = 20;
     cpu = bench_cpu_s();
     for (int i = 0; i < changes; i++) {
@@ -279,11 +282,11 @@
     return c;
 }
 
-static config_cost_t show_config(json_t* out) {
+static config_cost_t print_config(json_t* out) {
     static const uint32_t sizes[] = {700, 2000, 7000};
     config_cost_t c = {0};
     printf("\nconfiguration: 750 upstreams, 36 pools and workspaces\n"
-           "  workspaces   memory MB   one change ms   all anew ms   all, bytes\n");
+           "  workspaces   memory MB   one change ms  full load ms  full, bytes\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
         c = measure_config(sizes[i]);
         printf("  %10u %11.2f %15.3f %13.1f %12.0f\n", sizes[i], c.memory_mb, c.change_ms, c.load_ms, c.bytes);
@@ -294,11 +297,11 @@
     return c;
 }
 
-/* -- run-once names ------------------------------------------------------- */
+/* -- idempotency keys ----------------------------------------------------- */
 
-static double show_runonce(json_t* out) {
+static double print_runonce(json_t* out) {
     double slope = 0;
-    printf("\nrun-once names: memory of the table\n  records   KB\n");
+    printf("\nidempotency keys: memory of the run-once table\n  records   KB\n");
     for (uint32_t records = 4096; records <= 16384; records *= 2) {
         cw_runonce_t* t = cw_runonce_setup(&(cw_runonce_desc_t){.host = "a", .incarnation = 1, .max_records = records});
         slope = (double)cw_runonce_bytes(t) / records;
@@ -312,7 +315,7 @@
 /* -- real processes ------------------------------------------------------- */
 
 typedef struct process_cost_t {
-    double cpu_percent, memory_mb, bytes_s;
+    double cpu_percent, memory_mb, bytes_per_s;
 } process_cost_t;
 
 static double cpu_ticks(pid_t pid) {
@@ -356,7 +359,7 @@
     return sum;
 }
 
-/* Mean of so many idle daemons over ten seconds. */
+/* Mean cost of the given number of idle daemons over ten seconds. */
 static process_cost_t measure_processes(const char* build, int daemons) {
     static site_t site;
     static const char* const none[] = {NULL};
@@ -380,37 +383,37 @@
     site_sleep_ms(5000);
     for (int i = 1; i < site.count; i++) {
         c.cpu_percent -= cpu_ticks(site.procs[i].pid);
-        c.bytes_s -= peer_bytes(&site.procs[i]);
+        c.bytes_per_s -= peer_bytes(&site.procs[i]);
     }
     site_sleep_ms((int)(seconds * 1000));
     for (int i = 1; i < site.count; i++) {
         c.cpu_percent += cpu_ticks(site.procs[i].pid);
-        c.bytes_s += peer_bytes(&site.procs[i]);
+        c.bytes_per_s += peer_bytes(&site.procs[i]);
         c.memory_mb += resident_mb(site.procs[i].pid);
     }
     site_shutdown(&site);
     c.cpu_percent = c.cpu_percent / seconds / daemons; /* ticks are hundredths of a second */
-    c.bytes_s = c.bytes_s / seconds / daemons;
+    c.bytes_per_s = c.bytes_per_s / seconds / daemons;
     c.memory_mb /= daemons;
     return c;
 }
 
-static process_cost_t show_processes(const char* build, json_t* out) {
+static process_cost_t print_processes(const char* build, json_t* out) {
     static const int sizes[] = {3, 9, 27, 60};
     process_cost_t c = {0};
-    printf("\nreal daemons, idle, mean of all\n  daemons   cpu %%   resident MB   peer bytes/s\n");
+    printf("\nreal daemons, idle, mean per daemon\n  daemons   cpu %%   resident MB   peer bytes/s\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
         c = measure_processes(build, sizes[i]);
-        printf("  %7d %7.2f %13.1f %14.0f\n", sizes[i], c.cpu_percent, c.memory_mb, c.bytes_s);
+        printf("  %7d %7.2f %13.1f %14.0f\n", sizes[i], c.cpu_percent, c.memory_mb, c.bytes_per_s);
         json_array_append_new(out, json_pack("{s:i,s:f,s:f,s:f}", "daemons", sizes[i], "cpu_percent", c.cpu_percent,
-                                             "resident_mb", c.memory_mb, "peer_bytes_s", c.bytes_s));
+                                             "resident_mb", c.memory_mb, "peer_bytes_s", c.bytes_per_s));
     }
     return c;
 }
 
-/* -- the sum -------------------------------------------------------------- */
+/* -- sum ------------------------------------------------------------------ */
 
-/* Bytes of one load report on the wire, asked over a connection that stands. */
+/* Bytes on the wire of one load report, requested over an open connection. */
 static double measure_report(const char* build) {
     static site_t site;
     static site_answer_t a;
@@ -420,66 +423,69 @@
     a = site_call(&(site_request_t){.address = engine ? engine->http : "127.0.0.1:1", .path = "/v1/load"});
     site_shutdown(&site);
     double bytes = (double)a.bytes + 3 * PACKET_BYTES;
-    printf("\nload report: %.0f bytes for one, with the headers of three packets\n", bytes);
+    printf("\nload report: %.0f bytes each, including the headers of three packets\n", bytes);
     return bytes;
 }
 
-typedef struct sums_t {
-    double cpu_percent, bytes_s, memory_mb;
-} sums_t;
+typedef struct cost_sum_t {
+    double cpu_percent, bytes_per_s, memory_mb;
+} cost_sum_t;
 
-static void show_row(json_t* out, sums_t* sum, const char* role, double cpu_percent, double bytes_s, double memory_mb) {
-    printf("  %-34s %8.3f %10.0f %10.2f\n", role, cpu_percent, bytes_s, memory_mb);
+static void print_row(json_t* out, cost_sum_t* sum, const char* role, double cpu_percent, double bytes_per_s,
+                      double memory_mb) {
+    printf("  %-34s %8.3f %10.0f %10.2f\n", role, cpu_percent, bytes_per_s, memory_mb);
     json_array_append_new(out, json_pack("{s:s,s:f,s:f,s:f}", "role", role, "cpu_percent", cpu_percent, "bytes_s",
-                                         bytes_s, "memory_mb", memory_mb));
+                                         bytes_per_s, "memory_mb", memory_mb));
     sum->cpu_percent += cpu_percent;
-    sum->bytes_s += bytes_s;
+    sum->bytes_per_s += bytes_per_s;
     sum->memory_mb += memory_mb;
 }
 
-typedef struct slopes_t {
+typedef struct unit_costs_t {
     member_cost_t member;
     message_cost_t messages;
     allocator_cost_t allocator;
     config_cost_t config;
     process_cost_t process;
-    double name_bytes;
+    double record_bytes;
     double report_bytes;
-} slopes_t;
+} unit_costs_t;
 
-/* The work of a host that owns one shard of so many servers; the largest of its roles decide. */
-static json_t* show_sum(const slopes_t* k, double shard_size) {
+/* Sum of the costs of a host that has all roles at once and allocates one shard of shard_size servers. */
+static json_t* print_sum(const unit_costs_t* k, double shard_size) {
     json_t* out = json_array();
-    sums_t sum = {0};
-    double shards = SERVERS / shard_size < MODELS ? MODELS : SERVERS / shard_size;
-    double entry_s = REQUESTS_S / HOSTS;
-    double shard_s = REQUESTS_S / shards;
+    cost_sum_t sum = {0};
+    double shards = TARGET_SERVERS / shard_size < TARGET_MODELS ? TARGET_MODELS : TARGET_SERVERS / shard_size;
+    double entry_requests_per_s = REQUESTS_PER_S / TARGET_HOSTS;
+    double shard_requests_per_s = REQUESTS_PER_S / shards;
     const message_cost_t* m = &k->messages;
     double request_bytes = m->want + m->grant + m->done + 3 * PACKET_BYTES;
-    double changes_s = CHANGES_DAY / DAY_S;
+    double changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     printf("\nat 330 hosts, shards of %.0f servers (%.0f shards): one host that owns one shard\n", shard_size, shards);
     printf("  %-34s %8s %10s %10s\n", "role", "cpu %", "bytes/s", "memory MB");
-    show_row(out, &sum, "process (measured idle, 60 daemons)", k->process.cpu_percent, 0, k->process.memory_mb);
-    show_row(out, &sum, "entry: wants, grants, done", entry_s * m->codec_us / 1e4, entry_s * request_bytes,
-             k->name_bytes * 16384 / 1048576);
-    show_row(out, &sum, "entry: digests to its allocators", shards / DIGEST_S * m->codec_us / 5 / 1e4,
-             shards / DIGEST_S * (m->digest + PACKET_BYTES), 0);
-    show_row(out, &sum, "allocator: one shard", shard_s * (k->allocator.request_us + m->codec_us) / 1e4,
-             shard_s * request_bytes, k->allocator.memory_mb);
-    show_row(out, &sum, "allocator: digests of entries", HOSTS / DIGEST_S * m->codec_us / 5 / 1e4,
-             HOSTS / DIGEST_S * (m->digest + PACKET_BYTES), 0);
-    show_row(out, &sum, "allocator: load reports", 0, k->report_bytes / REPORT_EACH_S, 0);
-    show_row(out, &sum, "member", k->member.cpu_us_s / 1e4, k->member.bytes_s, k->member.memory_kb / 1024);
-    show_row(out, &sum, "reader: changes", changes_s * k->config.change_ms / 10, changes_s * 2 * 600,
-             k->config.memory_mb);
-    show_row(out, &sum, "reader: a restarted host's start", 0, RESTARTS_DAY / HOSTS / DAY_S * k->config.bytes * 2, 0);
-    printf("  %-34s %8.3f %10.0f %10.2f\n", "sum", sum.cpu_percent, sum.bytes_s, sum.memory_mb);
-    printf("  %-34s %8.1f %10.0f %10.0f   %s\n", "allowed", CPU_LIMIT, BYTES_LIMIT, MEMORY_LIMIT_MB,
-           sum.cpu_percent <= CPU_LIMIT && sum.bytes_s <= BYTES_LIMIT && sum.memory_mb <= MEMORY_LIMIT_MB
+    print_row(out, &sum, "process (measured idle, 60 daemons)", k->process.cpu_percent, 0, k->process.memory_mb);
+    print_row(out, &sum, "entry: wants, grants, done", entry_requests_per_s * m->codec_us / 1e4,
+              entry_requests_per_s * request_bytes, k->record_bytes * 16384 / 1048576);
+    print_row(out, &sum, "entry: digests to its allocators", shards / DIGEST_INTERVAL_S * m->codec_us / 5 / 1e4,
+              shards / DIGEST_INTERVAL_S * (m->digest + PACKET_BYTES), 0);
+    print_row(out, &sum, "allocator: one shard", shard_requests_per_s * (k->allocator.request_us + m->codec_us) / 1e4,
+              shard_requests_per_s * request_bytes, k->allocator.memory_mb);
+    print_row(out, &sum, "allocator: digests of entries", TARGET_HOSTS / DIGEST_INTERVAL_S * m->codec_us / 5 / 1e4,
+              TARGET_HOSTS / DIGEST_INTERVAL_S * (m->digest + PACKET_BYTES), 0);
+    print_row(out, &sum, "allocator: load reports", 0, k->report_bytes / REPORT_INTERVAL_S, 0);
+    print_row(out, &sum, "member", k->member.cpu_us_per_s / 1e4, k->member.bytes_per_s, k->member.memory_kb / 1024);
+    print_row(out, &sum, "reader: changes", changes_per_s * k->config.change_ms / 10, changes_per_s * 2 * 600,
+              k->config.memory_mb);
+    print_row(out, &sum, "reader: a restarted host's start", 0,
+              RESTARTS_PER_DAY / TARGET_HOSTS / SECONDS_PER_DAY * k->config.bytes * 2, 0);
+    printf("  %-34s %8.3f %10.0f %10.2f\n", "sum", sum.cpu_percent, sum.bytes_per_s, sum.memory_mb);
+    printf("  %-34s %8.1f %10.0f %10.0f   %s\n", "allowed", CPU_LIMIT_PERCENT, BYTES_LIMIT_PER_S, MEMORY_LIMIT_MB,
+           sum.cpu_percent <= CPU_LIMIT_PERCENT && sum.bytes_per_s <= BYTES_LIMIT_PER_S &&
+                   sum.memory_mb <= MEMORY_LIMIT_MB
                ? "holds"
                : "DOES NOT HOLD");
     json_array_append_new(out, json_pack("{s:s,s:f,s:f,s:f}", "role", "sum", "cpu_percent", sum.cpu_percent, "bytes_s",
-                                         sum.bytes_s, "memory_mb", sum.memory_mb));
+                                         sum.bytes_per_s, "memory_mb", sum.memory_mb));
     return out;
 }
 
@@ -492,20 +498,20 @@
     json_t* names = json_array();
     json_t* processes = json_array();
     json_t* spread = json_array();
-    show_spread(spread);
+    print_propagation(spread);
     if (argc > 2 && strcmp(argv[2], "spread") == 0) {
         return bench_write(build, "spread", json_pack("{s:o}", "spread", spread));
     }
-    slopes_t k = {.member = show_member(member)};
+    unit_costs_t k = {.member = print_membership(member)};
     k.messages = measure_messages();
-    k.allocator = show_allocator(allocator);
-    k.config = show_config(config);
-    k.name_bytes = show_runonce(names);
+    k.allocator = print_allocator(allocator);
+    k.config = print_config(config);
+    k.record_bytes = print_runonce(names);
     k.report_bytes = measure_report(build);
-    k.process = show_processes(build, processes);
-    json_t* large = show_sum(&k, 21);
-    json_t* small = show_sum(&k, 8);
-    json_t* smallest = show_sum(&k, 4);
+    k.process = print_processes(build, processes);
+    json_t* large = print_sum(&k, 21);
+    json_t* small = print_sum(&k, 8);
+    json_t* smallest = print_sum(&k, 4);
     json_t* messages = json_pack("{s:f,s:f,s:f,s:f,s:f,s:f}", "want", k.messages.want, "grant", k.messages.grant,
                                  "queued", k.messages.queued, "done", k.messages.done, "digest", k.messages.digest,
                                  "codec_us", k.messages.codec_us);
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -1,23 +1,23 @@
-/* Cost of one decision at a shard: ns for a want, its grant and its done report, at growing numbers of workspaces and
-   waiting wants. */
+/* CPU time of a shard allocator's decisions: a slot request, its grant and its release, with increasing numbers of
+   workspaces and queued requests. */
 #include "../chalkway_shard.h"
 #include "../tests/rng.h"
 #include "bench.h"
 
-#define ROUNDS 200000
-#define ENTRIES 330
-#define SLOTS_EACH 64
+#define REQUEST_COUNT 200000
+#define ENTRY_COUNT 330
+#define SLOTS_PER_UPSTREAM 64
 
-typedef struct size_point_t {
+typedef struct load_point_t {
     uint32_t workspaces, waiting;
-} size_point_t;
+} load_point_t;
 
-typedef struct cost_t {
-    double want_ns, grant_ns, done_ns;
-} cost_t;
+typedef struct decision_cost_t {
+    double request_ns, grant_ns, release_ns;
+} decision_cost_t;
 
-static cw_want_t random_want(rng_t* rng, uint32_t seq, uint32_t workspaces) {
-    return (cw_want_t){.entry = 1 + rng_below(rng, ENTRIES),
+static cw_want_t make_random_request(rng_t* rng, uint32_t seq, uint32_t workspaces) {
+    return (cw_want_t){.entry = 1 + rng_below(rng, ENTRY_COUNT),
                        .seq = seq,
                        .tier = (uint8_t)rng_below(rng, CW_TIERS),
                        .weight = 1,
@@ -29,7 +29,7 @@
                        .prefix = 1 + rng_below(rng, 1000)};
 }
 
-static cw_shard_t* make_shard(const size_point_t* p) {
+static cw_shard_t* setup_shard(const load_point_t* p) {
     cw_shard_t* s = cw_shard_setup(&(cw_shard_desc_t){.epoch = 1,
                                                       .max_waiting = p->waiting + 16,
                                                       .max_workspaces = p->workspaces,
@@ -37,25 +37,25 @@
                                                       .preempt_ms = 1000000000});
     cw_pick_spec_t specs[8];
     for (uint32_t i = 0; i < 8; i++) {
-        specs[i] = (cw_pick_spec_t){.id = 1000 + i, .slots = SLOTS_EACH};
+        specs[i] = (cw_pick_spec_t){.id = 1000 + i, .slots = SLOTS_PER_UPSTREAM};
     }
     cw_shard_upstreams(s, specs, 8);
     return s;
 }
 
-static cost_t measure(const size_point_t* p) {
+static decision_cost_t measure_decisions(const load_point_t* p) {
     rng_t rng = {.state = p->waiting};
-    cw_shard_t* s = make_shard(p);
-    static uint64_t held[8 * SLOTS_EACH];
+    cw_shard_t* s = setup_shard(p);
+    static uint64_t held[8 * SLOTS_PER_UPSTREAM];
     uint32_t held_count = 0;
     uint32_t seq = 0;
     cw_shard_action_t a;
     while (cw_shard_stats(s, 0).waiting < p->waiting) {
-        cw_want_t w = random_want(&rng, ++seq, p->workspaces);
+        cw_want_t w = make_random_request(&rng, ++seq, p->workspaces);
         if (cw_shard_want(s, 0, &w) != CW_OK) {
             abort();
         }
-        if (held_count < 8 * SLOTS_EACH && cw_shard_next(s, 0, &a)) {
+        if (held_count < 8 * SLOTS_PER_UPSTREAM && cw_shard_next(s, 0, &a)) {
             held[held_count++] = a.grant;
         }
     }
@@ -64,44 +64,46 @@
     }
     double t[3] = {0};
     const uint32_t block = 200;
-    for (uint32_t done = 0; done < ROUNDS; done += block) {
-        double at = bench_cpu_s();
+    for (uint32_t finished = 0; finished < REQUEST_COUNT; finished += block) {
+        double started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            const cw_done_t d = {.grant = held[(done + i) % held_count], .took_ms = 5, .cost = 100};
+            const cw_done_t d = {.grant = held[(finished + i) % held_count], .took_ms = 5, .cost = 100};
             cw_shard_done(s, 1, &d);
         }
-        t[2] += bench_cpu_s() - at;
-        at = bench_cpu_s();
+        t[2] += bench_cpu_s() - started_s;
+        started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
             if (!cw_shard_next(s, 1, &a)) {
                 abort();
             }
-            held[(done + i) % held_count] = a.grant;
+            held[(finished + i) % held_count] = a.grant;
         }
-        t[1] += bench_cpu_s() - at;
-        at = bench_cpu_s();
+        t[1] += bench_cpu_s() - started_s;
+        started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            cw_want_t w = random_want(&rng, ++seq, p->workspaces);
+            cw_want_t w = make_random_request(&rng, ++seq, p->workspaces);
             cw_shard_want(s, 1, &w);
         }
-        t[0] += bench_cpu_s() - at;
+        t[0] += bench_cpu_s() - started_s;
     }
     cw_shard_shutdown(s);
-    return (cost_t){.want_ns = t[0] / ROUNDS * 1e9, .grant_ns = t[1] / ROUNDS * 1e9, .done_ns = t[2] / ROUNDS * 1e9};
+    return (decision_cost_t){.request_ns = t[0] / REQUEST_COUNT * 1e9,
+                             .grant_ns = t[1] / REQUEST_COUNT * 1e9,
+                             .release_ns = t[2] / REQUEST_COUNT * 1e9};
 }
 
 int main(int argc, char** argv) {
-    static const size_point_t points[] = {{70, 1000}, {700, 10000}, {7000, 100000}};
+    static const load_point_t points[] = {{70, 1000}, {700, 10000}, {7000, 100000}};
     json_t* list = json_array();
-    printf("decision cost at one shard of 8 upstreams, 330 entries, 4 tiers\n\n");
-    printf("  workspaces   waiting   want ns   grant ns   done ns\n");
+    printf("decision cost in ns at one shard of 8 upstreams, 330 entries, 4 tiers\n\n");
+    printf("  workspaces   waiting   request      grant   release\n");
     for (size_t i = 0; i < sizeof(points) / sizeof(points[0]); i++) {
-        cost_t c = measure(&points[i]);
-        printf("  %10u %9u %9.0f %10.0f %9.0f\n", points[i].workspaces, points[i].waiting, c.want_ns, c.grant_ns,
-               c.done_ns);
+        decision_cost_t c = measure_decisions(&points[i]);
+        printf("  %10u %9u %9.0f %10.0f %9.0f\n", points[i].workspaces, points[i].waiting, c.request_ns, c.grant_ns,
+               c.release_ns);
         json_array_append_new(list, json_pack("{s:i,s:i,s:f,s:f,s:f}", "workspaces", (int)points[i].workspaces,
-                                              "waiting", (int)points[i].waiting, "want_ns", c.want_ns, "grant_ns",
-                                              c.grant_ns, "done_ns", c.done_ns));
+                                              "waiting", (int)points[i].waiting, "want_ns", c.request_ns, "grant_ns",
+                                              c.grant_ns, "done_ns", c.release_ns));
     }
     return bench_write(argc > 1 ? argv[1] : "build", "decide",
                        json_pack("{s:s,s:o}", "scenario", "decide", "points", list));
--- a/bench/bench_quarantine.c
+++ b/bench/bench_quarantine.c
@@ -1,14 +1,16 @@
 /*
-    Deadly requests at size: many hosts' quarantines in one process, on a clock of the bench's own.
+    Queries of death in large fleets: the quarantines of many hosts in one process, with simulated time.
 
-    Each body comes at every moment under a new id at any host, ends the server that begins it 60 ms later, and
-   everything beside it breaks. Servers come back after 2 s as another life. Marks reach the other hosts after a delay,
-   or are lost; they are told a second time after 150 ms, and two hosts tell all that counts each second. Ordinary
-   requests run beside them for 300 ms and are sent again twice after a break.
+    Each query of death (a "body") arrives three times per second under a new id at a random host. The server that
+    starts it crashes 60 ms later, which breaks all requests running there, and restarts after 2 s as a new incarnation.
+    Observations reach the other hosts after a delay or are lost; they are sent a second time after 150 ms, and two
+   hosts export one datagram of observations every second. Ordinary requests run beside the bodies for 300 ms and are
+   retried up to twice after a break.
 
-    Printed for each fleet, number of bodies and loss: servers ended under a body, ms from its third end until every
-   host holds it, ordinary requests that broke and that were held back, bytes of marks that a host hears a second, and
-    processor time of a host a second.
+    Output for each fleet size, number of bodies and loss: servers crashed per body (mean and maximum), ms from a body's
+    third crash until all hosts have quarantined it, bodies with three crashes that were never quarantined on all hosts,
+    ordinary requests sent, broken and refused by the quarantine, bytes of observations that a host receives per second,
+    and CPU time of a host per second.
 */
 #include <stdio.h>
 #include <string.h>
@@ -19,130 +21,131 @@
 
 #define HOSTS_MAX 300
 #define SERVERS_MAX 750
-#define RUNS_MAX 20000
-#define FLIGHT_MAX 400000
+#define RUNNING_MAX 20000
+#define IN_TRANSIT_MAX 400000
 #define BODIES_MAX 1000
-#define PLAYED_MS 12000LL
-#define PER_S 3.0       /* of each body */
-#define ORDINARY_S 20.0 /* ordinary requests a second for each server */
-#define ORDINARY_MS 300
-#define DEADLY_MS 60
-#define BACK_MS 2000
-#define AGAIN_MS 150
-#define REPEAT_MS 1000
-#define TRIES 3
-#define MARK_BYTES 32
+#define SIMULATED_MS 12000LL
+#define ARRIVALS_PER_S 3.0  /* arrivals of each body per second */
+#define ORDINARY_PER_S 20.0 /* ordinary requests per second and server */
+#define ORDINARY_RUN_MS 300
+#define CRASH_AFTER_MS 60
+#define RESTART_MS 2000
+#define RESEND_MS 150
+#define EXPORT_INTERVAL_MS 1000
+#define MAX_ATTEMPTS 3
+#define OBSERVATION_BYTES 32
 
-typedef struct run_t {
+typedef struct running_t {
     bool used;
     uint64_t content;
-    uint32_t host, server, tries;
-    int64_t ends_ms;
-} run_t;
+    uint32_t host, server, attempts;
+    int64_t ends_at_ms;
+} running_t;
 
 typedef struct server_t {
     uint64_t life;
     int64_t down_until_ms;
 } server_t;
 
-/* A mark under way to one host. */
-typedef struct flight_t {
-    cw_mark_t mark;
-    int64_t made_ms, due_ms;
+/* An observation in transit to one host. */
+typedef struct in_transit_t {
+    cw_mark_t observation;
+    int64_t sent_at_ms, due_at_ms;
     uint32_t host;
-} flight_t;
+} in_transit_t;
 
-typedef struct world_t {
+typedef struct simulation_t {
     uint32_t hosts, servers, bodies;
     uint32_t delay_ms;
     double loss;
-    uint64_t draws, lives, ordinary;
+    uint64_t draw_count, incarnation_count, ordinary_count;
     cw_quarantine_t* quarantines[HOSTS_MAX];
     server_t server[SERVERS_MAX];
-    run_t runs[RUNS_MAX];
-    flight_t flights[FLIGHT_MAX];
-    uint32_t flight_count;
-    uint32_t ended[BODIES_MAX];
-    int64_t third_ms[BODIES_MAX], known_ms[BODIES_MAX];
-    uint64_t broken, held_back, told, lost_for_room;
+    running_t running[RUNNING_MAX];
+    in_transit_t in_transit[IN_TRANSIT_MAX];
+    uint32_t in_transit_count;
+    uint32_t crashes[BODIES_MAX];
+    int64_t third_crash_ms[BODIES_MAX], quarantined_ms[BODIES_MAX];
+    uint64_t broken, refused, sent, dropped_when_full;
     double cpu_s;
-} world_t;
+} simulation_t;
 
-static double draw(world_t* w) {
-    return (double)(cw_mix(7, ++w->draws) >> 11) / 9007199254740992.0;
+static double random_unit(simulation_t* sim) {
+    return (double)(cw_mix(7, ++sim->draw_count) >> 11) / 9007199254740992.0;
 }
 
-static uint32_t draw_below(world_t* w, uint32_t n) {
-    return (uint32_t)(draw(w) * n);
+static uint32_t random_below(simulation_t* sim, uint32_t n) {
+    return (uint32_t)(random_unit(sim) * n);
 }
 
 static cw_fingerprint_t request_of(uint64_t content) {
     return (cw_fingerprint_t){.workspace = content <= BODIES_MAX ? 1 : 2, .content = content};
 }
 
-static void tell(world_t* w, uint32_t from, const cw_mark_t* mark, int64_t now_ms, int64_t later_ms) {
-    for (uint32_t h = 0; h < w->hosts; h++) {
-        if (h == from || draw(w) < w->loss) {
+static void broadcast(simulation_t* sim, uint32_t from, const cw_mark_t* observation, int64_t now_ms,
+                      int64_t later_ms) {
+    for (uint32_t h = 0; h < sim->hosts; h++) {
+        if (h == from || random_unit(sim) < sim->loss) {
             continue;
         }
-        if (w->flight_count == FLIGHT_MAX) {
-            w->lost_for_room++;
+        if (sim->in_transit_count == IN_TRANSIT_MAX) {
+            sim->dropped_when_full++;
             continue;
         }
-        w->flights[w->flight_count++] =
-            (flight_t){.mark = *mark,
-                       .made_ms = now_ms,
-                       .due_ms = now_ms + later_ms + w->delay_ms / 2 + draw_below(w, w->delay_ms),
-                       .host = h};
-        w->told++;
+        sim->in_transit[sim->in_transit_count++] =
+            (in_transit_t){.observation = *observation,
+                           .sent_at_ms = now_ms,
+                           .due_at_ms = now_ms + later_ms + sim->delay_ms / 2 + random_below(sim, sim->delay_ms),
+                           .host = h};
+        sim->sent++;
     }
 }
 
-static bool take(world_t* w, uint32_t host, const cw_mark_t* mark, int64_t now_ms) {
-    double begun_s = bench_cpu_s();
-    bool news = cw_quarantine_take(w->quarantines[host], now_ms, mark);
-    w->cpu_s += bench_cpu_s() - begun_s;
-    return news;
+static bool observe(simulation_t* sim, uint32_t host, const cw_mark_t* observation, int64_t now_ms) {
+    double started_s = bench_cpu_s();
+    bool is_new = cw_quarantine_take(sim->quarantines[host], now_ms, observation);
+    sim->cpu_s += bench_cpu_s() - started_s;
+    return is_new;
 }
 
-static void make_mark(world_t* w, uint32_t host, const cw_mark_t* mark, int64_t now_ms) {
-    if (take(w, host, mark, now_ms)) {
-        tell(w, host, mark, now_ms, 0);
-        tell(w, host, mark, now_ms, AGAIN_MS);
+static void make_observation(simulation_t* sim, uint32_t host, const cw_mark_t* observation, int64_t now_ms) {
+    if (observe(sim, host, observation, now_ms)) {
+        broadcast(sim, host, observation, now_ms, 0);
+        broadcast(sim, host, observation, now_ms, RESEND_MS);
     }
 }
 
-static void deliver(world_t* w, int64_t now_ms) {
-    uint32_t kept = 0;
-    for (uint32_t i = 0; i < w->flight_count; i++) {
-        flight_t* f = &w->flights[i];
-        if (f->due_ms > now_ms) {
-            w->flights[kept++] = *f;
+static void deliver(simulation_t* sim, int64_t now_ms) {
+    uint32_t kept_count = 0;
+    for (uint32_t i = 0; i < sim->in_transit_count; i++) {
+        in_transit_t* item = &sim->in_transit[i];
+        if (item->due_at_ms > now_ms) {
+            sim->in_transit[kept_count++] = *item;
             continue;
         }
-        f->mark.age_ms += (uint32_t)(now_ms - f->made_ms);
-        take(w, f->host, &f->mark, now_ms);
+        item->observation.age_ms += (uint32_t)(now_ms - item->sent_at_ms);
+        observe(sim, item->host, &item->observation, now_ms);
     }
-    w->flight_count = kept;
+    sim->in_transit_count = kept_count;
 }
 
-static bool is_free(const world_t* w, uint32_t s, const cw_verdict_t* v, int64_t now_ms) {
+static bool is_available(const simulation_t* sim, uint32_t s, const cw_verdict_t* v, int64_t now_ms) {
     for (uint32_t i = 0; i < v->ruled_out; i++) {
-        if (v->lives[i] == w->server[s].life) {
+        if (v->lives[i] == sim->server[s].life) {
             return false;
         }
     }
-    return now_ms >= w->server[s].down_until_ms;
+    return now_ms >= sim->server[s].down_until_ms;
 }
 
-/* By chance, or by the fingerprint where the verdict asks for it; SERVERS_MAX: none. */
-static uint32_t choose(world_t* w, uint64_t content, const cw_verdict_t* v, int64_t now_ms) {
+/* Chooses a server at random, or by the fingerprint where the verdict demands it; SERVERS_MAX when there is none. */
+static uint32_t choose_server(simulation_t* sim, uint64_t content, const cw_verdict_t* v, int64_t now_ms) {
     uint32_t best = SERVERS_MAX;
     uint64_t best_score = 0;
-    uint64_t salt = v->kind == CW_VERDICT_FREE ? cw_mix(11, ++w->draws) : content;
-    for (uint32_t s = 0; s < w->servers; s++) {
-        uint64_t score = cw_mix(salt, w->server[s].life);
-        if (is_free(w, s, v, now_ms) && score > best_score) {
+    uint64_t salt = v->kind == CW_VERDICT_FREE ? cw_mix(11, ++sim->draw_count) : content;
+    for (uint32_t s = 0; s < sim->servers; s++) {
+        uint64_t score = cw_mix(salt, sim->server[s].life);
+        if (is_available(sim, s, v, now_ms) && score > best_score) {
             best = s;
             best_score = score;
         }
@@ -150,179 +153,183 @@
     return best;
 }
 
-static void send(world_t* w, uint32_t host, uint64_t content, uint32_t tries, int64_t now_ms) {
+static void send_request(simulation_t* sim, uint32_t host, uint64_t content, uint32_t attempts, int64_t now_ms) {
     cw_fingerprint_t request = request_of(content);
-    cw_verdict_t v = cw_quarantine_ask(w->quarantines[host], now_ms, &request);
-    bool deadly = content <= BODIES_MAX;
+    cw_verdict_t v = cw_quarantine_ask(sim->quarantines[host], now_ms, &request);
+    bool is_query_of_death = content <= BODIES_MAX;
     if (v.kind == CW_VERDICT_HELD) {
-        w->held_back += !deadly;
+        sim->refused += !is_query_of_death;
         return;
     }
-    uint32_t s = v.kind == CW_VERDICT_WAIT ? SERVERS_MAX : choose(w, content, &v, now_ms);
-    for (uint32_t i = 0; i < RUNS_MAX && s < SERVERS_MAX; i++) {
-        if (!w->runs[i].used) {
-            w->runs[i] = (run_t){.used = true,
-                                 .content = content,
-                                 .host = host,
-                                 .server = s,
-                                 .tries = tries,
-                                 .ends_ms = now_ms + (deadly ? DEADLY_MS : ORDINARY_MS)};
+    uint32_t s = v.kind == CW_VERDICT_WAIT ? SERVERS_MAX : choose_server(sim, content, &v, now_ms);
+    for (uint32_t i = 0; i < RUNNING_MAX && s < SERVERS_MAX; i++) {
+        if (!sim->running[i].used) {
+            sim->running[i] =
+                (running_t){.used = true,
+                            .content = content,
+                            .host = host,
+                            .server = s,
+                            .attempts = attempts,
+                            .ends_at_ms = now_ms + (is_query_of_death ? CRASH_AFTER_MS : ORDINARY_RUN_MS)};
             break;
         }
     }
     if (s < SERVERS_MAX && v.kind == CW_VERDICT_TRIAL) {
-        make_mark(w, host, &(cw_mark_t){.kind = CW_MARK_TRIED, .request = request, .life = w->server[s].life}, now_ms);
+        make_observation(sim, host,
+                         &(cw_mark_t){.kind = CW_MARK_TRIED, .request = request, .life = sim->server[s].life}, now_ms);
     }
 }
 
-static void count_end(world_t* w, uint64_t content, int64_t now_ms) {
+static void count_crash(simulation_t* sim, uint64_t content, int64_t now_ms) {
     uint32_t body = (uint32_t)content - 1;
-    w->ended[body]++;
-    w->third_ms[body] = w->ended[body] == 3 ? now_ms : w->third_ms[body];
+    sim->crashes[body]++;
+    sim->third_crash_ms[body] = sim->crashes[body] == 3 ? now_ms : sim->third_crash_ms[body];
 }
 
-static void end_server(world_t* w, uint32_t s, uint64_t by, int64_t now_ms) {
-    uint64_t life = w->server[s].life;
-    w->server[s] = (server_t){.life = ++w->lives, .down_until_ms = now_ms + BACK_MS};
-    count_end(w, by, now_ms);
-    for (uint32_t i = 0; i < RUNS_MAX; i++) {
-        run_t run = w->runs[i];
+static void crash_server(simulation_t* sim, uint32_t s, uint64_t by, int64_t now_ms) {
+    uint64_t life = sim->server[s].life;
+    sim->server[s] = (server_t){.life = ++sim->incarnation_count, .down_until_ms = now_ms + RESTART_MS};
+    count_crash(sim, by, now_ms);
+    for (uint32_t i = 0; i < RUNNING_MAX; i++) {
+        running_t run = sim->running[i];
         if (!run.used || run.server != s) {
             continue;
         }
-        w->runs[i].used = false;
-        w->broken += run.content > BODIES_MAX;
-        make_mark(w, run.host, &(cw_mark_t){.kind = CW_MARK_ENDED, .request = request_of(run.content), .life = life},
-                  now_ms);
+        sim->running[i].used = false;
+        sim->broken += run.content > BODIES_MAX;
+        make_observation(sim, run.host,
+                         &(cw_mark_t){.kind = CW_MARK_ENDED, .request = request_of(run.content), .life = life}, now_ms);
     }
 }
 
-/* What broke is sent again a few ms later, when its marks are at its host. */
-static void end_runs(world_t* w, int64_t now_ms) {
-    for (uint32_t i = 0; i < RUNS_MAX; i++) {
-        run_t run = w->runs[i];
-        if (!run.used || run.ends_ms > now_ms) {
+/* Ends the requests that are due. Requests that broke in a crash are retried once their host has observed the crash. */
+static void end_due_requests(simulation_t* sim, int64_t now_ms) {
+    for (uint32_t i = 0; i < RUNNING_MAX; i++) {
+        running_t run = sim->running[i];
+        if (!run.used || run.ends_at_ms > now_ms) {
             continue;
         }
         if (run.content <= BODIES_MAX) {
-            run_t beside[64];
+            running_t others[64];
             uint32_t count = 0;
-            for (uint32_t k = 0; k < RUNS_MAX && count < 64; k++) {
-                if (w->runs[k].used && w->runs[k].server == run.server) {
-                    beside[count++] = w->runs[k];
+            for (uint32_t k = 0; k < RUNNING_MAX && count < 64; k++) {
+                if (sim->running[k].used && sim->running[k].server == run.server) {
+                    others[count++] = sim->running[k];
                 }
             }
-            end_server(w, run.server, run.content, now_ms);
+            crash_server(sim, run.server, run.content, now_ms);
             for (uint32_t k = 0; k < count; k++) {
-                if (beside[k].tries < TRIES) {
-                    send(w, beside[k].host, beside[k].content, beside[k].tries + 1, now_ms);
+                if (others[k].attempts < MAX_ATTEMPTS) {
+                    send_request(sim, others[k].host, others[k].content, others[k].attempts + 1, now_ms);
                 }
             }
             continue;
         }
-        w->runs[i].used = false;
+        sim->running[i].used = false;
         cw_fingerprint_t request = request_of(run.content);
-        if (cw_quarantine_knows(w->quarantines[run.host], &request)) {
-            make_mark(w, run.host, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = request}, now_ms);
+        if (cw_quarantine_knows(sim->quarantines[run.host], &request)) {
+            make_observation(sim, run.host, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = request}, now_ms);
         }
     }
 }
 
-static void repeat_marks(world_t* w, int64_t now_ms) {
-    for (uint32_t h = 0; h < 2 && now_ms % REPEAT_MS == 0; h++) {
-        cw_mark_t marks[CW_LOAD_MARKS];
+static void export_observations(simulation_t* sim, int64_t now_ms) {
+    for (uint32_t h = 0; h < 2 && now_ms % EXPORT_INTERVAL_MS == 0; h++) {
+        cw_mark_t observations[CW_LOAD_MARKS];
         uint32_t at = 0;
-        uint32_t count = cw_quarantine_marks(w->quarantines[h], now_ms, &at, marks, CW_LOAD_MARKS);
+        uint32_t count = cw_quarantine_marks(sim->quarantines[h], now_ms, &at, observations, CW_LOAD_MARKS);
         for (uint32_t i = 0; i < count; i++) {
-            tell(w, h, &marks[i], now_ms, 0);
+            broadcast(sim, h, &observations[i], now_ms, 0);
         }
     }
 }
 
-static void look_who_knows(world_t* w, int64_t now_ms) {
-    for (uint32_t body = 0; body < w->bodies; body++) {
-        bool all = w->third_ms[body] && !w->known_ms[body];
+static void update_quarantined_times(simulation_t* sim, int64_t now_ms) {
+    for (uint32_t body = 0; body < sim->bodies; body++) {
+        bool is_quarantined_everywhere = sim->third_crash_ms[body] && !sim->quarantined_ms[body];
         cw_fingerprint_t request = request_of(body + 1);
-        for (uint32_t h = 0; h < w->hosts && all; h++) {
-            all = cw_quarantine_ask(w->quarantines[h], now_ms, &request).kind == CW_VERDICT_HELD;
+        for (uint32_t h = 0; h < sim->hosts && is_quarantined_everywhere; h++) {
+            is_quarantined_everywhere =
+                cw_quarantine_ask(sim->quarantines[h], now_ms, &request).kind == CW_VERDICT_HELD;
         }
-        w->known_ms[body] = all ? now_ms : w->known_ms[body];
+        sim->quarantined_ms[body] = is_quarantined_everywhere ? now_ms : sim->quarantined_ms[body];
     }
 }
 
-static void play(world_t* w) {
-    for (int64_t now_ms = 1; now_ms <= PLAYED_MS; now_ms++) {
-        deliver(w, now_ms);
-        end_runs(w, now_ms);
-        for (uint32_t body = 0; body < w->bodies && now_ms > 1000; body++) {
-            if (draw(w) < PER_S / 1000) {
-                send(w, draw_below(w, w->hosts), body + 1, 2, now_ms);
+static void simulate(simulation_t* sim) {
+    for (int64_t now_ms = 1; now_ms <= SIMULATED_MS; now_ms++) {
+        deliver(sim, now_ms);
+        end_due_requests(sim, now_ms);
+        for (uint32_t body = 0; body < sim->bodies && now_ms > 1000; body++) {
+            if (random_unit(sim) < ARRIVALS_PER_S / 1000) {
+                send_request(sim, random_below(sim, sim->hosts), body + 1, 2, now_ms);
             }
         }
-        double due = w->servers * ORDINARY_S / 1000;
+        double due = sim->servers * ORDINARY_PER_S / 1000;
         for (uint32_t i = 0; i < due; i++) {
-            if (draw(w) < due - i) {
-                send(w, draw_below(w, w->hosts), BODIES_MAX + ++w->ordinary, 1, now_ms);
+            if (random_unit(sim) < due - i) {
+                send_request(sim, random_below(sim, sim->hosts), BODIES_MAX + ++sim->ordinary_count, 1, now_ms);
             }
         }
-        repeat_marks(w, now_ms);
+        export_observations(sim, now_ms);
         if (now_ms % 5 == 0) {
-            look_who_knows(w, now_ms);
+            update_quarantined_times(sim, now_ms);
         }
     }
 }
 
-static void report(const world_t* w) {
-    uint32_t ended = 0;
-    uint32_t most = 0;
+static void report(const simulation_t* sim) {
+    uint32_t crashes = 0;
+    uint32_t max_crashes = 0;
     int64_t longest_ms = 0;
-    uint32_t unknown = 0;
-    for (uint32_t body = 0; body < w->bodies; body++) {
-        ended += w->ended[body];
-        most = w->ended[body] > most ? w->ended[body] : most;
-        int64_t took_ms = w->known_ms[body] - w->third_ms[body];
-        unknown += w->third_ms[body] && !w->known_ms[body];
-        longest_ms = w->known_ms[body] && took_ms > longest_ms ? took_ms : longest_ms;
+    uint32_t missing = 0;
+    for (uint32_t body = 0; body < sim->bodies; body++) {
+        crashes += sim->crashes[body];
+        max_crashes = sim->crashes[body] > max_crashes ? sim->crashes[body] : max_crashes;
+        int64_t took_ms = sim->quarantined_ms[body] - sim->third_crash_ms[body];
+        missing += sim->third_crash_ms[body] && !sim->quarantined_ms[body];
+        longest_ms = sim->quarantined_ms[body] && took_ms > longest_ms ? took_ms : longest_ms;
     }
-    printf("%5u %6u %5.0f %8.1f %5u %8lld %8u %9llu %8llu %6llu %10.0f %9.3f\n", w->hosts, w->bodies, w->loss * 100,
-           (double)ended / w->bodies, most, (long long)longest_ms, unknown, (unsigned long long)w->ordinary,
-           (unsigned long long)w->broken, (unsigned long long)w->held_back,
-           (double)w->told * MARK_BYTES * 1000 / w->hosts / PLAYED_MS, w->cpu_s * 1000 * 1000 / w->hosts / PLAYED_MS);
+    printf("%5u %6u %5.0f %8.1f %5u %8lld %8u %9llu %8llu %6llu %10.0f %9.3f\n", sim->hosts, sim->bodies,
+           sim->loss * 100, (double)crashes / sim->bodies, max_crashes, (long long)longest_ms, missing,
+           (unsigned long long)sim->ordinary_count, (unsigned long long)sim->broken, (unsigned long long)sim->refused,
+           (double)sim->sent * OBSERVATION_BYTES * 1000 / sim->hosts / SIMULATED_MS,
+           sim->cpu_s * 1000 * 1000 / sim->hosts / SIMULATED_MS);
     fflush(stdout);
 }
 
-static void bench_one(uint32_t hosts, uint32_t servers, uint32_t bodies, double loss) {
-    world_t* w = cw_alloc(NULL, 1, sizeof(*w));
-    w->hosts = hosts;
-    w->servers = servers;
-    w->bodies = bodies;
-    w->loss = loss;
-    w->delay_ms = hosts > 16 ? 30 : 2;
+static void run_scenario(uint32_t hosts, uint32_t servers, uint32_t bodies, double loss) {
+    simulation_t* sim = cw_alloc(NULL, 1, sizeof(*sim));
+    sim->hosts = hosts;
+    sim->servers = servers;
+    sim->bodies = bodies;
+    sim->loss = loss;
+    sim->delay_ms = hosts > 16 ? 30 : 2;
     for (uint32_t h = 0; h < hosts; h++) {
-        w->quarantines[h] = cw_quarantine_setup(&(cw_quarantine_desc_t){0});
+        sim->quarantines[h] = cw_quarantine_setup(&(cw_quarantine_desc_t){0});
     }
     for (uint32_t s = 0; s < servers; s++) {
-        w->server[s].life = ++w->lives;
+        sim->server[s].life = ++sim->incarnation_count;
     }
-    play(w);
-    report(w);
+    simulate(sim);
+    report(sim);
     for (uint32_t h = 0; h < hosts; h++) {
-        cw_quarantine_shutdown(w->quarantines[h]);
+        cw_quarantine_shutdown(sim->quarantines[h]);
     }
-    cw_free(NULL, w);
+    cw_free(NULL, sim);
 }
 
 int main(void) {
     static const double losses[] = {0, 0.1, 0.3};
-    printf("hosts bodies loss%% ended/body most until-ms unknown ordinary   broken   held bytes/host/s cpu-ms/s\n");
-    bench_one(9, 18, 1000, 0);
+    printf("hosts bodies loss%% crash/body  max delay-ms missing ordinary  broken refused bytes/host/s cpu-ms/s\n");
+    run_scenario(9, 18, 1000, 0);
     for (int i = 0; i < 3; i++) {
-        bench_one(9, 18, 1, losses[i]);
-        bench_one(9, 18, 10, losses[i]);
-        bench_one(81, 140, 1, losses[i]);
-        bench_one(81, 140, 10, losses[i]);
-        bench_one(300, 750, 1, losses[i]);
-        bench_one(300, 750, 10, losses[i]);
+        run_scenario(9, 18, 1, losses[i]);
+        run_scenario(9, 18, 10, losses[i]);
+        run_scenario(81, 140, 1, losses[i]);
+        run_scenario(81, 140, 10, losses[i]);
+        run_scenario(300, 750, 1, losses[i]);
+        run_scenario(300, 750, 10, losses[i]);
     }
     return 0;
 }
