--- a/chalkway_map.h
+++ b/chalkway_map.h
@@ -50,7 +50,7 @@
 void cw_map_put(cw_map_t* map, uint64_t key, uint32_t value);
 /* Returns the value or CW_MAP_NONE. */
 uint32_t cw_map_get(const cw_map_t* map, uint64_t key);
-/* Returns true when the key was there. */
+/* Returns whether the key was present. */
 bool cw_map_remove(cw_map_t* map, uint64_t key);
 
 #endif /* CHALKWAY_MAP_H */
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -13,7 +13,7 @@
         matter.
 
         All requests that ran on a server when it crashed get the same
-        observation. These rules tell the cause from the bystanders:
+        observation. These rules separate the cause from the bystanders:
 
         - a request that was answered completely, by any server, is cleared;
         - a crash counts half when something else may have caused it: another
@@ -35,9 +35,9 @@
           recent that observations of other crashes at the same moment may
           still be in transit, the verdict is pending.
 
-        So such a request crashes three servers, or six when it cannot be told
-        from others. A crash is forgotten after keep_ms, so that a wrong
-        verdict is corrected.
+        So such a request crashes three servers, or six when it cannot be
+        distinguished from others. A crash is forgotten after keep_ms, so that
+        a wrong verdict is corrected.
 
     HOW TO USE IT
             cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){0});
@@ -54,7 +54,7 @@
 */
 #include "chalkway_fingerprint.h"
 
-#define CW_QUARANTINE_ENDS 6 /* crashes kept per request: six, even at half weight, suffice for the quarantine */
+#define CW_QUARANTINE_ENDS 6 /* kept per request: enough for the quarantine even at half weight */
 
 typedef enum cw_mark_kind_t {
     CW_MARK_ENDED = 0, /* the server incarnation crashed while the request ran on it */
@@ -84,7 +84,7 @@
     cw_verdict_kind_t kind;
     uint32_t ends;                      /* servers that crashed under the request, trials not counted */
     uint32_t ruled_out;                 /* number of excluded incarnations, listed below */
-    uint64_t lives[CW_QUARANTINE_ENDS]; /* incarnations that crashed under it or have it on trial: excluded for it */
+    uint64_t lives[CW_QUARANTINE_ENDS]; /* crashed under the request or have it on trial */
     uint32_t retry_ms;                  /* quarantined: time until it may be sent; pending: time until the decision */
 } cw_verdict_t;
 
--- a/chalkway_runonce.h
+++ b/chalkway_runonce.h
@@ -53,8 +53,8 @@
 
 typedef struct cw_runonce_begin_t {
     cw_run_verdict_t verdict;
-    uint32_t record; /* CW_RUN_NONE unless NEW, JOIN, KEPT or LOST */
-    void* answer;    /* KEPT */
+    uint32_t record; /* CW_RUN_NONE unless the verdict is one of the first four */
+    void* answer;    /* stored response, set for CW_RUN_KEPT */
 } cw_runonce_begin_t;
 
 typedef struct cw_runonce_desc_t {
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -56,7 +56,7 @@
 #define CW_TIERS 4
 
 enum {
-    CW_WANT_PROTECTED = 1,  /* not refused for its wait while a lower tier waits, never preempted for a lower tier */
+    CW_WANT_PROTECTED = 1,  /* never refused or preempted in favour of a lower tier */
     CW_WANT_PREEMPTIBLE = 2 /* may be cancelled while it runs */
 };
 
@@ -65,7 +65,7 @@
     uint64_t entry;     /* host that accepted the caller's request */
     uint32_t seq;       /* sequence number assigned by the entry, not 0 */
     uint8_t tier;       /* 0 is the highest */
-    uint8_t flags;      /* CW_WANT_... */
+    uint8_t flags;      /* CW_WANT_PROTECTED, CW_WANT_PREEMPTIBLE */
     uint32_t weight;    /* of the workspace, 0 counts as 1 */
     uint64_t workspace; /* id */
     uint32_t cost;      /* estimated, in cost units (tokens) */
@@ -185,7 +185,7 @@
 /* Whether the upstream belongs to the shard. */
 bool cw_shard_serves(const cw_shard_t* shard, uint64_t upstream);
 /* Returns CW_ERR_NOT_FOUND for a grant that has already ended. */
-cw_status_t cw_shard_done(cw_shard_t* shard, int64_t now_ms, const cw_done_t* done);
+cw_status_t cw_shard_done(cw_shard_t* shard, int64_t now_ms, const cw_done_t* release);
 /* Renews the entry's lease and compares its digest with the allocator's; a difference leads to CW_SHARD_RESYNC. */
 void cw_shard_digest(cw_shard_t* shard, int64_t now_ms, const cw_digest_t* digest);
 /* Applies the entry's full list of grants: adopts unknown grants and reclaims those not listed. */
@@ -697,13 +697,13 @@
     _cw_shard_free_grant(s, g);
 }
 
-cw_status_t cw_shard_done(cw_shard_t* s, int64_t now_ms, const cw_done_t* done) {
-    uint32_t g = cw_map_get(&s->by_grant, done->grant);
+cw_status_t cw_shard_done(cw_shard_t* s, int64_t now_ms, const cw_done_t* release) {
+    uint32_t g = cw_map_get(&s->by_grant, release->grant);
     if (g == CW_MAP_NONE) {
         return CW_ERR_NOT_FOUND;
     }
     _cw_shard_touch_entry(s, now_ms, s->grants[g].entry);
-    _cw_shard_end_grant(s, now_ms, g, done->result, done->took_ms, done->cost);
+    _cw_shard_end_grant(s, now_ms, g, release->result, release->took_ms, release->cost);
     return CW_OK;
 }
 
