--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -15,7 +15,7 @@
         depends on the batching time, not on the number of hosts.
 
         A small fleet uses the same mechanism with other parameters: every
-        host is a relay, for its own updates only, and nothing is batched.
+        host is a relay, so it sends its own updates, and nothing is batched.
 
         All hosts rank the hosts of a hall alike, the widest link first, since
         a relay sends the copies for its whole hall. The first ones in this
@@ -39,7 +39,7 @@
 
 /* Parameters of forwarding. */
 typedef struct cw_relay_plan_t {
-    bool all;           /* every host is a relay, for its own updates only */
+    bool all;           /* every host is a relay: it sends its own updates itself */
     uint32_t gather_ms; /* time for which a relay batches updates, 0: it forwards each at once */
     uint32_t reach_ms;  /* time until an update has reached all hosts, without loss */
     uint32_t direct_ms; /* the same for an update sent directly to each host */
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -25,9 +25,9 @@
         they have reported.
 
         The allocator refuses a request immediately when the estimated wait
-        exceeds the class's queue time or the deadline, or when the queue is
-        full; it evicts a queued one when a protected request needs its
-        place. Each refusal carries a retry delay.
+        exceeds what the class's queue time or the deadline allow, or when the
+        queue is full. In a full queue, a request evicts an unprotected one of
+        a lower tier. Refusals carry a retry delay.
 
     HOW TO USE IT
         The owner passes in the time and sends the actions; the allocator
