--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -1,28 +1,29 @@
 #ifndef CHALKWAY_SERVERS_H
 #define CHALKWAY_SERVERS_H
 /*
-    chalkway_servers.h -- list of the servers behind the pools
+    chalkway_servers.h -- list of the servers in all pools
 
     WHAT IT IS
-        The servers that are published as living, each with the identity of
-        this life of it, and the JSON form in which daemons pass the list on:
+        The servers that a source publishes as alive, and the JSON form in
+        which daemons pass the list to each other:
 
             {"at": 530, "age_ms": 120, "servers": [{"id": "i-7f3a", "address": "10.0.0.9:8080", "pool": "llm",
               "hall": "a", "slots": 48, "leaving": false, "cold_ms": 0, "started_ms": 1767744000123,
               "revision": 498}], "closed": ["b"], "closed_at": 512}
 
-        A server may start again under its id. It then holds and knows nothing
-        of before: its start is part of what it is (cw_server_life). leaving,
-        cold_ms, started_ms and revision may be left out; a source that tells
-        no starts gives each life an id of its own.
+        A server may restart under the same id and has then lost its caches
+        and its requests. An instance is therefore identified by id and start
+        time (cw_server_life). leaving, cold_ms, started_ms and revision are
+        optional; a source without start times has to give each instance an
+        id of its own.
 
-        One table says what an entry must hold, whoever spells it: see
-        cw_server_names_t and cw_server_parse. An entry that is wrong names no
-        server.
+        One table of fields validates the entries of all sources, which
+        differ in the names of the fields only: see cw_server_names_t and
+        cw_server_parse. An invalid entry adds no server.
 
-        A hall may be closed for a while: its servers stay on the list and get
-        nothing new. What is closed has a revision of its own, so that an
-        older word of it never replaces a newer one.
+        A hall may be closed for a while: its servers stay on the list but
+        get no new requests. The set of closed halls carries a revision of
+        its own, so that an older set never replaces a newer one.
 
     HOW TO USE IT
             cw_servers_t list = {0};
@@ -31,7 +32,7 @@
             cw_servers_free(&list);
 
     WHAT IT DOES NOT DO
-        It chooses none (chalkway_balance.h) and connects to none.
+        It selects no server (chalkway_balance.h) and opens no connections.
 
     LICENCE
         MIT, see LICENSE.
@@ -46,13 +47,13 @@
     char pool[CW_NAME_MAX];
     char hall[CW_NAME_MAX];
     uint32_t slots;
-    bool leaving;
-    uint32_t cold_ms;   /* it stays slow for so long */
-    int64_t started_ms; /* its start by its own clock, Unix ms; 0: not told */
-    int64_t revision;   /* of the source, not before this entry last changed; 0: not known. No part of what it says */
+    bool leaving;       /* finishes its requests and gets no new ones */
+    uint32_t cold_ms;   /* time after its start during which it is slow */
+    int64_t started_ms; /* start time by the server's own clock, Unix ms; 0: unknown */
+    int64_t revision;   /* source revision at or after the entry's last change, 0: unknown; ignored by comparisons */
 } cw_server_t;
 
-/* How a source spells an entry. A NULL name: it has no such field. */
+/* Names that a source gives to the fields of an entry; NULL: the source does not have the field. */
 typedef struct cw_server_names_t {
     const char* address;
     const char* pool;
@@ -60,81 +61,82 @@
     const char* slots;
     const char* cold_ms;
     const char* started_ms;
-    const char* leaving; /* true or false; or, with the words that it knows: */
-    const char* state;
-    const char* state_ready;
-    const char* state_leaving;
-    const char* other_text;  /* told and not used; an entry without it is no server's */
-    const char* other_count; /* the same, a whole number */
-    bool strict;             /* cold_ms and leaving may not be left out */
+    const char* leaving;       /* a boolean, for sources without state */
+    const char* state;         /* a text with one of the next two values, for sources without leaving */
+    const char* state_ready;   /* value of state */
+    const char* state_leaving; /* value of state */
+    const char* other_text;    /* a text that is required but not used */
+    const char* other_count;   /* an integer that is required but not used */
+    bool strict;               /* leaving or state, and cold_ms, are required */
 } cw_server_names_t;
 
-/* What is wrong with an entry. */
+/* Why an entry is invalid. */
 typedef struct cw_server_fault_t {
     const char* field;
     const char* reason;
 } cw_server_fault_t;
 
-/* Entries of a reading that name no server; a copy of the list starts without. */
+/* Invalid entries that were refused while the list was read; cw_servers_copy does not copy them. */
 typedef struct cw_refused_t {
     uint32_t count;
-    char key[CW_NAME_MAX]; /* of the last one, cut */
+    char key[CW_NAME_MAX]; /* of the last refused entry, truncated */
     cw_server_fault_t fault;
 } cw_refused_t;
 
-#define CW_CLOSED_MAX 16 /* halls that are closed at once; more than any region has */
+#define CW_CLOSED_MAX 16 /* halls closed at the same time; more than any region has */
 
-/* Halls whose servers get nothing new. */
+/* Halls whose servers get no new requests. */
 typedef struct cw_closed_t {
-    int64_t at; /* revision of the source at which it was true, 0: not known */
+    int64_t at; /* source revision of this set, 0: unknown */
     uint32_t count;
     char halls[CW_CLOSED_MAX][CW_NAME_MAX];
 } cw_closed_t;
 
 typedef struct cw_servers_t {
     cw_closed_t closed;
-    int64_t at;      /* revision of the source from which on changes are to be read */
-    uint32_t age_ms; /* since it was read, by whoever passes it on */
+    int64_t at;      /* source revision up to which the list includes every change */
+    uint32_t age_ms; /* time since it was read from the source, when it was sent */
     cw_refused_t refused;
     uint32_t count, capacity;
     cw_server_t* items;
 } cw_servers_t;
 
-/* Reads the JSON form; an entry that is wrong refuses the list. The list must be empty. */
+/* Reads the JSON form; one invalid entry makes it refuse the whole list. The list must be empty. */
 cw_status_t cw_servers_read(cw_servers_t* list, const char* text, size_t size, cw_error_t* err);
-/* The JSON form, to be freed by free(). */
+/* Returns the JSON form, which the caller frees with free(). */
 char* cw_servers_text(const cw_servers_t* list);
 struct json_t;
-/* Reads an entry. False: it names no server, and fault says why. */
+/* Reads and validates one entry. Returns false and sets fault when it is invalid. */
 bool cw_server_parse(cw_server_t* server, const char* id, const struct json_t* entry, const cw_server_names_t* names,
                      cw_server_fault_t* fault);
-/* Counts an entry that names no server. */
+/* Counts an invalid entry and records its key and fault. */
 void cw_servers_refuse(cw_servers_t* list, const char* key, cw_server_fault_t fault);
-/* Refuses the entries without a start where others have one: servers of one source all tell it, or none does. */
+/* Refuses the entries without a start time if others have one: a source gives start times for all servers or none. */
 void cw_servers_drop_unstarted(cw_servers_t* list);
-/* Id of this life of the server: of its id and its start. */
+/* Id of this instance of the server: hash of its id and start time. */
 uint64_t cw_server_life(const cw_server_t* server);
-/* The servers, and the halls that are closed, as fields of a jansson object. */
+/* Sets the servers and the closed halls as fields of a jansson object. */
 void cw_servers_json(const cw_servers_t* list, struct json_t* document);
 void cw_servers_add(cw_servers_t* list, const cw_server_t* server);
-/* Sorts the list by id, which cw_servers_put and cw_servers_remove need. */
+/* Sorts the list by id, as cw_servers_put and cw_servers_remove require. */
 void cw_servers_sort(cw_servers_t* list);
-/* Adds the server to a sorted list, or replaces what the list says of it. */
+/* Inserts the server into a sorted list, or replaces the entry with its id. */
 void cw_servers_put(cw_servers_t* list, const cw_server_t* server);
-/* Takes the server out of a sorted list; nothing where it is not there. */
+/* Removes the server from a sorted list, if it is there. */
 void cw_servers_remove(cw_servers_t* list, const char* id);
 void cw_servers_copy(cw_servers_t* to, const cw_servers_t* from);
 void cw_servers_free(cw_servers_t* list);
-/* Id of what the list says, whatever its order and age; never 0. */
+/* Hash of the servers' instances, addresses and states and of the closed halls, independent of the order and age of
+   the list; never 0. */
 uint64_t cw_servers_id(const cw_servers_t* list);
-/* Adds a hall; one that is there already, or finds no place, changes nothing. False: no place. */
+/* Adds a hall unless it is already there. Returns false when the set is full. */
 bool cw_closed_add(cw_closed_t* closed, const char* hall);
 bool cw_closed_has(const cw_closed_t* closed, const char* hall);
-/* The same halls, whatever the order and the revision. */
+/* Whether both hold the same halls, in any order and at any revision. */
 bool cw_closed_equal(const cw_closed_t* a, const cw_closed_t* b);
-/* Whether both say the same of the same server, how long it stays slow among it. */
+/* Whether all fields are equal, including cold_ms, but apart from revision. */
 bool cw_server_equal(const cw_server_t* a, const cw_server_t* b);
-/* The same of the same servers in the same order. */
+/* Whether both hold equal servers in the same order, and the same closed halls. */
 bool cw_servers_equal(const cw_servers_t* a, const cw_servers_t* b);
 
 #endif /* CHALKWAY_SERVERS_H */
@@ -200,8 +202,8 @@
     }
 }
 
-/* Where the id stands in a sorted list, or would go. */
-static uint32_t _cw_servers_place(const cw_servers_t* list, const char* id) {
+/* Index of the id in a sorted list, or the index at which to insert it. */
+static uint32_t _cw_servers_lower_bound(const cw_servers_t* list, const char* id) {
     uint32_t low = 0;
     uint32_t high = list->count;
     while (low < high) {
@@ -215,13 +217,13 @@
     return low;
 }
 
-static bool _cw_servers_is_at(const cw_servers_t* list, uint32_t at, const char* id) {
+static bool _cw_servers_has_id_at(const cw_servers_t* list, uint32_t at, const char* id) {
     return at < list->count && strcmp(list->items[at].id, id) == 0;
 }
 
 void cw_servers_put(cw_servers_t* list, const cw_server_t* server) {
-    uint32_t at = _cw_servers_place(list, server->id);
-    if (!_cw_servers_is_at(list, at, server->id)) {
+    uint32_t at = _cw_servers_lower_bound(list, server->id);
+    if (!_cw_servers_has_id_at(list, at, server->id)) {
         cw_servers_add(list, server);
         memmove(&list->items[at + 1], &list->items[at], (list->count - 1 - at) * sizeof(*list->items));
     }
@@ -229,8 +231,8 @@
 }
 
 void cw_servers_remove(cw_servers_t* list, const char* id) {
-    uint32_t at = _cw_servers_place(list, id);
-    if (_cw_servers_is_at(list, at, id)) {
+    uint32_t at = _cw_servers_lower_bound(list, id);
+    if (_cw_servers_has_id_at(list, at, id)) {
         list->count--;
         memmove(&list->items[at], &list->items[at + 1], (list->count - at) * sizeof(*list->items));
     }
@@ -258,7 +260,7 @@
     list->refused.fault = fault;
     cw_copy(list->refused.key, sizeof(list->refused.key), key);
     for (char* c = list->refused.key; *c; c++) {
-        *c = (unsigned char)*c <= ' ' || *c == 0x7f || *c == '"' ? '?' : *c; /* it goes into a log line */
+        *c = (unsigned char)*c <= ' ' || *c == 0x7f || *c == '"' ? '?' : *c; /* the key is written into a log line */
     }
 }
 
@@ -275,7 +277,8 @@
         if (list->items[i].started_ms) {
             list->items[kept++] = list->items[i];
         } else {
-            cw_servers_refuse(list, list->items[i].id, (cw_server_fault_t){"start", "missing, where others have one"});
+            cw_servers_refuse(list, list->items[i].id,
+                              (cw_server_fault_t){"start", "missing, while other entries have one"});
         }
     }
     list->count = kept;
@@ -312,38 +315,38 @@
     return true;
 }
 
-/* -- what an entry must hold ---------------------------------------------- */
+/* -- validation of an entry ----------------------------------------------- */
 
-#define _CW_SLOTS_MAX 1000000 /* no server works on more at once */
+#define _CW_SLOTS_MAX 1000000 /* no server runs more requests at once */
 
 typedef enum _cw_field_kind_t {
-    _CW_FIELD_NAME = 0, /* visible characters that stand in log lines and header fields as they are */
-    _CW_FIELD_ADDRESS,
-    _CW_FIELD_COUNT, /* a whole number */
-    _CW_FIELD_TIME,  /* a whole number, Unix ms */
-    _CW_FIELD_SPAN,  /* a number of ms, fractions allowed */
-    _CW_FIELD_FLAG,
+    _CW_FIELD_NAME = 0,     /* visible characters that log lines and header fields hold without escaping */
+    _CW_FIELD_ADDRESS,      /* IPv4:PORT */
+    _CW_FIELD_COUNT,        /* an integer */
+    _CW_FIELD_TIMESTAMP_MS, /* an integer, Unix ms */
+    _CW_FIELD_DURATION_MS,  /* a number of ms, fractions allowed */
+    _CW_FIELD_BOOL,
     _CW_FIELD_STATE
 } _cw_field_kind_t;
 
-/* One field of an entry: what it must be, and where it goes; out NULL: it is checked only. */
+/* One field of an entry: its type, its bounds, and where its value is stored; out NULL: it is validated only. */
 typedef struct _cw_field_t {
-    const char* name; /* NULL: the source has none */
+    const char* name; /* NULL: the source does not have it */
     _cw_field_kind_t kind;
     bool required;
     int64_t min, max;
     void* out;
-    size_t size; /* of a text, its end included */
+    size_t size; /* of a text, with its terminating zero */
 } _cw_field_t;
 
-static const char* _cw_field_name(const _cw_field_t* f, const char* text) {
+static const char* _cw_field_read_name(const _cw_field_t* f, const char* text) {
     size_t length = strlen(text);
     if (!length || length >= f->size) {
         return "empty or too long";
     }
     for (const char* c = text; *c; c++) {
         if ((unsigned char)*c <= ' ' || *c == 0x7f || *c == '"' || *c == '\\') {
-            return "holds a blank, a quote or a control character";
+            return "contains a space, a quote, a backslash or a control character";
         }
     }
     if (f->out) {
@@ -352,33 +355,33 @@
     return NULL;
 }
 
-static const char* _cw_field_address(const _cw_field_t* f, const char* text) {
+static const char* _cw_field_read_address(const _cw_field_t* f, const char* text) {
     char ip[CW_SERVER_ADDRESS_MAX];
     struct in_addr parsed;
     const char* colon = strrchr(text, ':');
     size_t digits = colon ? strspn(colon + 1, "0123456789") : 0;
     if (!colon || strlen(text) >= f->size || !digits || digits > 5 || colon[1 + digits]) {
-        return "no IP:PORT";
+        return "not an address of the form IP:PORT";
     }
     cw_copy(ip, sizeof(ip), text);
     ip[colon - text] = 0;
     long port = strtol(colon + 1, NULL, 10);
     if (port < 1 || port > UINT16_MAX || inet_pton(AF_INET, ip, &parsed) != 1) {
-        return "no IP:PORT";
+        return "not an address of the form IP:PORT";
     }
     cw_copy(f->out, f->size, text);
     return NULL;
 }
 
-static const char* _cw_field_whole(const _cw_field_t* f, const json_t* value) {
+static const char* _cw_field_read_integer(const _cw_field_t* f, const json_t* value) {
     json_int_t number = json_integer_value(value);
     if (!json_is_integer(value)) {
-        return "no whole number";
+        return "not an integer";
     }
     if (number < f->min || number > f->max) {
         return "out of range";
     }
-    if (f->out && f->kind == _CW_FIELD_TIME) {
+    if (f->out && f->kind == _CW_FIELD_TIMESTAMP_MS) {
         *(int64_t*)f->out = number;
     } else if (f->out) {
         *(uint32_t*)f->out = (uint32_t)number;
@@ -386,25 +389,25 @@
     return NULL;
 }
 
-static const char* _cw_field_span(const _cw_field_t* f, const json_t* value) {
+static const char* _cw_field_read_duration(const _cw_field_t* f, const json_t* value) {
     double ms = json_number_value(value);
     if (!json_is_number(value) || !(ms >= (double)f->min && ms <= (double)f->max)) {
-        return "no span of time";
+        return "not a duration in ms, or out of range";
     }
     *(uint32_t*)f->out = (uint32_t)ms;
     return NULL;
 }
 
-static const char* _cw_field_state(const _cw_field_t* f, const char* word, const cw_server_names_t* names) {
+static const char* _cw_field_read_state(const _cw_field_t* f, const char* word, const cw_server_names_t* names) {
     bool leaving = strcmp(word, names->state_leaving) == 0;
     if (!leaving && strcmp(word, names->state_ready) != 0) {
-        return "no state that is known";
+        return "unknown state";
     }
     *(bool*)f->out = leaving;
     return NULL;
 }
 
-/* What is wrong with the field, NULL: nothing. */
+/* Reads one field; returns the reason why it is invalid, or NULL. */
 static const char* _cw_field_read(const _cw_field_t* f, const json_t* entry, const cw_server_names_t* names) {
     const json_t* value = f->name ? json_object_get(entry, f->name) : NULL;
     if (!value) {
@@ -412,21 +415,21 @@
     }
     switch (f->kind) {
         case _CW_FIELD_NAME:
-            return json_is_string(value) ? _cw_field_name(f, json_string_value(value)) : "no text";
+            return json_is_string(value) ? _cw_field_read_name(f, json_string_value(value)) : "not a string";
         case _CW_FIELD_ADDRESS:
-            return json_is_string(value) ? _cw_field_address(f, json_string_value(value)) : "no text";
+            return json_is_string(value) ? _cw_field_read_address(f, json_string_value(value)) : "not a string";
         case _CW_FIELD_STATE:
-            return json_is_string(value) ? _cw_field_state(f, json_string_value(value), names) : "no text";
+            return json_is_string(value) ? _cw_field_read_state(f, json_string_value(value), names) : "not a string";
         case _CW_FIELD_COUNT:
-        case _CW_FIELD_TIME:
-            return _cw_field_whole(f, value);
-        case _CW_FIELD_SPAN:
-            return _cw_field_span(f, value);
-        case _CW_FIELD_FLAG:
+        case _CW_FIELD_TIMESTAMP_MS:
+            return _cw_field_read_integer(f, value);
+        case _CW_FIELD_DURATION_MS:
+            return _cw_field_read_duration(f, value);
+        case _CW_FIELD_BOOL:
             if (json_is_boolean(value)) {
                 *(bool*)f->out = json_is_true(value);
             }
-            return json_is_boolean(value) ? NULL : "neither true nor false";
+            return json_is_boolean(value) ? NULL : "not a boolean";
     }
     return NULL;
 }
@@ -438,18 +441,18 @@
         {names->address, _CW_FIELD_ADDRESS, true, 0, 0, server->address, sizeof(server->address)},
         {names->hall, _CW_FIELD_NAME, true, 0, 0, server->hall, sizeof(server->hall)},
         {names->slots, _CW_FIELD_COUNT, true, 1, _CW_SLOTS_MAX, &server->slots, 0},
-        {names->leaving, _CW_FIELD_FLAG, names->strict, 0, 0, &server->leaving, 0},
+        {names->leaving, _CW_FIELD_BOOL, names->strict, 0, 0, &server->leaving, 0},
         {names->state, _CW_FIELD_STATE, names->strict, 0, 0, &server->leaving, 0},
-        {names->cold_ms, _CW_FIELD_SPAN, names->strict, 0, UINT32_MAX, &server->cold_ms, 0},
-        {names->started_ms, _CW_FIELD_TIME, false, 1, INT64_MAX, &server->started_ms, 0},
+        {names->cold_ms, _CW_FIELD_DURATION_MS, names->strict, 0, UINT32_MAX, &server->cold_ms, 0},
+        {names->started_ms, _CW_FIELD_TIMESTAMP_MS, false, 1, INT64_MAX, &server->started_ms, 0},
         {names->other_text, _CW_FIELD_NAME, true, 0, 0, NULL, SIZE_MAX},
         {names->other_count, _CW_FIELD_COUNT, true, 0, INT64_MAX, NULL, 0},
     };
     const _cw_field_t id_field = {"id", _CW_FIELD_NAME, true, 0, 0, server->id, sizeof(server->id)};
     *server = (cw_server_t){0};
-    *fault = (cw_server_fault_t){"id", id ? _cw_field_name(&id_field, id) : "missing"};
+    *fault = (cw_server_fault_t){"id", id ? _cw_field_read_name(&id_field, id) : "missing"};
     if (!fault->reason && !json_is_object(entry)) {
-        *fault = (cw_server_fault_t){"entry", "cannot be read as an object"};
+        *fault = (cw_server_fault_t){"entry", "not a JSON object"};
     }
     for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]) && !fault->reason; i++) {
         *fault = (cw_server_fault_t){fields[i].name, _cw_field_read(&fields[i], entry, names)};
@@ -457,7 +460,7 @@
     return !fault->reason;
 }
 
-/* -- the JSON form -------------------------------------------------------- */
+/* -- JSON form ------------------------------------------------------------ */
 
 static const cw_server_names_t _cw_servers_names = {.address = "address",
                                                     .pool = "pool",
@@ -467,13 +470,14 @@
                                                     .started_ms = "started_ms",
                                                     .leaving = "leaving"};
 
-static cw_status_t _cw_closed_read(cw_closed_t* closed, const json_t* document, cw_error_t* err) {
+static cw_status_t _cw_closed_halls_from_json(cw_closed_t* closed, const json_t* document, cw_error_t* err) {
     const json_t* halls = json_object_get(document, "closed");
     closed->at = json_integer_value(json_object_get(document, "closed_at"));
     for (size_t i = 0; i < json_array_size(halls); i++) {
         const char* hall = json_string_value(json_array_get(halls, i));
         if (!hall || !cw_closed_add(closed, hall)) {
-            return cw_fail(err, CW_ERR_INVALID, "servers", NULL, "closed hall %zu is no name, or one too many", i);
+            return cw_fail(err, CW_ERR_INVALID, "servers", NULL,
+                           "closed hall %zu is not a string or exceeds the limit of 16 halls", i);
         }
     }
     return CW_OK;
@@ -486,11 +490,11 @@
     cw_status_t status = CW_OK;
     if (!json_is_array(items)) {
         status = cw_fail(err, CW_ERR_INVALID, "servers", NULL, "no list of servers: %s",
-                         document ? "the field is missing" : problem.text);
+                         document ? "the field servers is missing" : problem.text);
     }
     list->at = json_integer_value(json_object_get(document, "at"));
     list->age_ms = (uint32_t)json_integer_value(json_object_get(document, "age_ms"));
-    status = status == CW_OK ? _cw_closed_read(&list->closed, document, err) : status;
+    status = status == CW_OK ? _cw_closed_halls_from_json(&list->closed, document, err) : status;
     for (size_t i = 0; i < json_array_size(items) && status == CW_OK; i++) {
         cw_server_t server;
         cw_server_fault_t fault;
