--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -4,26 +4,28 @@
     chalkway_store.h -- published resources, by revision
 
     WHAT IT IS
-        Holds what operators publish: Workspace, RequestClass, Pool and
-        Upstream, each a JSON document under a key with the platform's
-        revision. Documents are typed and checked; an invalid one leaves its
-        last valid version in force and says why in its status. Nothing goes
-        back: an item with a lower revision than one already seen is
-        dropped, a deletion stays as a tombstone. All valid documents form
-        one immutable view; a request keeps the view it began with.
+        Holds the resources that operators publish: Workspace, RequestClass,
+        Pool and Upstream, each a JSON document under a key, with the
+        revision that the platform gave it. Each document is validated by the
+        schema of its kind. An invalid one leaves its last valid version in
+        force, and the reason is kept for its status. Revisions of a key
+        never decrease: a document with a lower revision than the highest one
+        seen is dropped, and a deletion stays as a tombstone. All valid
+        documents form one immutable view; a request uses the same view from
+        its start to its end.
 
     HOW TO USE IT
             cw_store_t* store = cw_store_setup(&(cw_store_desc_t){0});
             cw_store_put(store, "pools/chat", 12, "{\"kind\":\"engine\"}");
-            cw_store_put(store, "pools/old", 13, NULL);            // deleted
-            cw_store_commit(store, 13);                            // complete up to revision 13
-            cw_view_t* view = cw_store_view(store);                // a reference
+            cw_store_put(store, "pools/old", 13, NULL);            // deletes it
+            cw_store_commit(store, 13);                            // all changes up to revision 13 were put
+            cw_view_t* view = cw_store_view(store);                // takes a reference
             const cw_class_t* c = cw_view_class(view, id);
             cw_view_release(view);
 
     WHAT IT DOES NOT DO
-        It reads from nowhere itself and writes to nowhere. Items are
-        allocated when they first appear; a view when it changes.
+        No input or output. Memory is allocated for each new key, for each
+        version of a document and for each new view.
 
     LICENCE
         MIT, see LICENSE.
@@ -46,47 +48,47 @@
     CW_KIND_COUNT
 } cw_kind_t;
 
-/* A customer. */
+/* A customer. Its limits apply to all entry daemons together. */
 typedef struct cw_workspace_t {
     char name[CW_NAME_MAX];
     uint64_t id;
-    uint32_t weight;                                        /* share within a tier, default 1 */
-    double rate;                                            /* requests a second over all entries, 0: no limit */
-    uint32_t concurrency;                                   /* requests at once over all entries, 0: no limit */
+    uint32_t weight;                                        /* fair share within a tier, default 1 */
+    double rate;                                            /* requests per second, 0: no limit */
+    uint32_t concurrency;                                   /* concurrent requests, 0: no limit */
     uint8_t digests[CW_WORKSPACE_DIGESTS][CW_DIGEST_BYTES]; /* BLAKE2b-256 of its bearer tokens */
     uint32_t digest_count;
 } cw_workspace_t;
 
-/* A kind of request, with its service level. */
+/* A class of requests, with its service level. */
 typedef struct cw_class_t {
     char name[CW_NAME_MAX];
     uint64_t id;
-    uint8_t tier;         /* 0..3 */
+    uint8_t tier;         /* 0..3, 0 is served first */
     bool is_protected;    /* never shed or preempted for a lower tier */
     bool repeatable;      /* may run more than once */
-    bool preemptible;     /* may be cancelled while it runs, for a protected class */
-    uint32_t deadline_ms; /* for the whole answer */
-    uint32_t queue_ms;    /* longest wait */
-    uint32_t cost;        /* first estimate, in tokens */
-    uint32_t est_ms;      /* first estimate of the run time */
-    double weight;        /* in goodput */
+    bool preemptible;     /* a running request may be cancelled in favour of a protected class */
+    uint32_t deadline_ms; /* for the complete response */
+    uint32_t queue_ms;    /* longest wait for a slot */
+    uint32_t cost;        /* initial estimate, in tokens */
+    uint32_t est_ms;      /* initial estimate of the run time */
+    double weight;        /* of its requests in the goodput */
     char pools[CW_CLASS_POOLS][CW_NAME_MAX];
     uint32_t pool_count;
 } cw_class_t;
 
-/* Upstreams that serve the same. */
+/* A group of interchangeable upstreams. */
 typedef struct cw_pool_t {
     char name[CW_NAME_MAX];
     uint64_t id;
-    bool engine; /* a model engine, else a plain service */
+    bool engine; /* its upstreams are model engines, otherwise plain services */
     char model[CW_NAME_MAX];
-    uint32_t shard_size; /* upstreams in one shard, default 24 */
-    uint32_t reserve;    /* slots of a shard kept for protected classes */
-    bool resumes;        /* its engines continue a stream at a token (header Chalkway-Resume-From) */
-    double floor[CW_TIERS];
+    uint32_t shard_size;    /* upstreams in one shard, default 24 */
+    uint32_t reserve;       /* slots of a shard reserved for protected classes */
+    bool resumes;           /* its engines can resume a stream at a token (header Chalkway-Resume-From) */
+    double floor[CW_TIERS]; /* minimum share of the served cost for each tier that has waiting requests */
 } cw_pool_t;
 
-/* A back end. */
+/* A back end that runs requests. */
 typedef struct cw_upstream_t {
     char name[CW_NAME_MAX];
     uint64_t id;
@@ -94,32 +96,32 @@
     uint64_t pool_id;
     char address[CW_ADDRESS_MAX]; /* IP:PORT */
     char hall[CW_NAME_MAX];
-    uint32_t slots;     /* requests at once */
-    bool leaving;       /* no new work */
-    bool drops_repeats; /* recognises a repeated call name itself */
+    uint32_t slots;     /* concurrent requests */
+    bool leaving;       /* gets no new requests */
+    bool drops_repeats; /* deduplicates calls by their name (header Idempotency-Key) */
 } cw_upstream_t;
 
-/* One consistent set of valid resources. */
+/* An immutable, reference-counted set of all valid resources. */
 typedef struct cw_view_t {
     uint32_t refs;
     int64_t revision;
     cw_workspace_t* workspaces;
     cw_class_t* classes;
     cw_pool_t* pools;
-    cw_upstream_t* upstreams; /* those whose pool exists, in order of name */
+    cw_upstream_t* upstreams; /* those whose pool is published, sorted by name */
     uint32_t workspace_count, class_count, pool_count, upstream_count;
-    cw_map_t by_id;     /* mix(kind + 1, id) -> index */
+    cw_map_t by_id;     /* cw_mix(kind + 1, id) -> index in the array of its kind */
     cw_map_t by_digest; /* first 8 bytes of a token digest -> workspace index */
 } cw_view_t;
 
-/* What is known of one document. */
+/* The newest and the valid version of one document. */
 typedef struct cw_item_t {
     char key[CW_KEY_MAX];
-    int64_t revision;           /* highest seen */
-    int64_t in_force;           /* revision of the version in use, 0: none */
-    char* value;                /* newest text, NULL: deleted */
-    char* valid;                /* text in use, NULL: none */
-    char reason[CW_REASON_MAX]; /* why the newest is not in force, "" when it is */
+    int64_t revision;           /* of the newest version */
+    int64_t in_force;           /* revision of the version in force, 0: none */
+    char* value;                /* text of the newest version, NULL: deleted */
+    char* valid;                /* text of the version in force, NULL: none */
+    char reason[CW_REASON_MAX]; /* why the newest version is not in force, "" when it is */
     cw_kind_t kind;
 } cw_item_t;
 
@@ -132,30 +134,33 @@
 
 cw_store_t* cw_store_setup(const cw_store_desc_t* desc);
 void cw_store_shutdown(cw_store_t* store);
-/* Takes one document; value NULL means deleted. CW_ERR_STALE when a higher revision of the key is known,
-   CW_ERR_INVALID when the document is wrong (it is still recorded, with the reason), CW_ERR_FULL. */
+/* Stores one version of a document; value NULL deletes it. Returns CW_ERR_STALE when the store has a higher revision of
+   the key, CW_ERR_INVALID when the document is invalid (it is recorded with the reason) or the key names no kind, and
+   CW_ERR_FULL when there is no room for another key. */
 cw_status_t cw_store_put(cw_store_t* store, const char* key, int64_t revision, const char* value);
-/* Everything up to revision has been put. Builds the next view when something changed. Lower ones are ignored. */
+/* Declares that all changes up to revision were put, unless it is lower than the current one, and builds a new view if
+   a document changed. */
 void cw_store_commit(cw_store_t* store, int64_t revision);
-/* The store is complete up to this revision; 0 before the first commit. */
+/* Revision up to which the store holds all changes; 0 before the first commit. */
 int64_t cw_store_revision(const cw_store_t* store);
-/* The newest view with a reference for the caller; never NULL. */
+/* Returns the current view, never NULL, with a reference that the caller releases. */
 cw_view_t* cw_store_view(cw_store_t* store);
 void cw_view_release(cw_view_t* view);
+/* Adds a reference to the view. */
 cw_view_t* cw_view_keep(cw_view_t* view);
 uint32_t cw_store_count(const cw_store_t* store);
 const cw_item_t* cw_store_at(const cw_store_t* store, uint32_t index);
 const cw_item_t* cw_store_find(const cw_store_t* store, const char* key);
-/* Checks a document without storing it; the reason comes in err. */
+/* Validates a document without storing it; err says why it is invalid. */
 cw_status_t cw_store_validate(const char* key, const char* value, cw_error_t* err);
 
 const cw_workspace_t* cw_view_workspace(const cw_view_t* view, uint64_t id);
 const cw_class_t* cw_view_class(const cw_view_t* view, uint64_t id);
 const cw_pool_t* cw_view_pool(const cw_view_t* view, uint64_t id);
 const cw_upstream_t* cw_view_upstream(const cw_view_t* view, uint64_t id);
-/* The workspace of a bearer token's digest, compared in constant time; NULL when there is none. */
+/* Returns the workspace of a bearer token's digest, compared in constant time; NULL when there is none. */
 const cw_workspace_t* cw_view_auth(const cw_view_t* view, const uint8_t digest[CW_DIGEST_BYTES]);
-/* "workspaces", "classes", "pools", "upstreams": the part of a key before the slash. */
+/* Part of a key before the slash: "workspaces", "classes", "pools" or "upstreams". */
 const char* cw_kind_name(cw_kind_t kind);
 
 #endif /* CHALKWAY_STORE_H */
@@ -188,14 +193,14 @@
     return ((unsigned)kind < CW_KIND_COUNT) ? names[kind] : "?";
 }
 
-/* -- documents ------------------------------------------------------------ */
+/* -- validation of documents ---------------------------------------------- */
 
-/* Reads the fields of one JSON object and keeps the first thing wrong with it. */
+/* Reads the fields of one JSON object and records the first error. */
 typedef struct _cw_doc_t {
     json_t* root;
     cw_error_t* err;
     cw_status_t status;
-    uint32_t known; /* fields of the object that were asked for */
+    uint32_t known_fields; /* fields of the object that its schema has */
 } _cw_doc_t;
 
 static void _cw_doc_fail(_cw_doc_t* doc, const char* field, const char* what) {
@@ -206,53 +211,53 @@
 
 static json_t* _cw_doc_field(_cw_doc_t* doc, const char* field) {
     json_t* value = json_object_get(doc->root, field);
-    doc->known += value ? 1 : 0;
+    doc->known_fields += value ? 1 : 0;
     return value;
 }
 
-static double _cw_doc_number(_cw_doc_t* doc, const char* field, double initial, double min, double max) {
+static double _cw_doc_number(_cw_doc_t* doc, const char* field, double default_value, double min, double max) {
     json_t* value = _cw_doc_field(doc, field);
     if (!value) {
-        return initial;
+        return default_value;
     }
     double number = json_number_value(value);
     if (!json_is_number(value) || number < min || number > max) {
         char what[64];
         snprintf(what, sizeof(what), "must be a number from %g to %g", min, max);
         _cw_doc_fail(doc, field, what);
-        return initial;
+        return default_value;
     }
     return number;
 }
 
-static uint32_t _cw_doc_count(_cw_doc_t* doc, const char* field, uint32_t initial, uint32_t min, uint32_t max) {
+static uint32_t _cw_doc_integer(_cw_doc_t* doc, const char* field, uint32_t default_value, uint32_t min, uint32_t max) {
     json_t* value = json_object_get(doc->root, field);
     if (value && !json_is_integer(value)) {
         _cw_doc_fail(doc, field, "must be a whole number");
     }
-    return (uint32_t)_cw_doc_number(doc, field, initial, min, max);
+    return (uint32_t)_cw_doc_number(doc, field, default_value, min, max);
 }
 
-static bool _cw_doc_flag(_cw_doc_t* doc, const char* field, bool initial) {
+static bool _cw_doc_bool(_cw_doc_t* doc, const char* field, bool default_value) {
     json_t* value = _cw_doc_field(doc, field);
     if (value && !json_is_boolean(value)) {
         _cw_doc_fail(doc, field, "must be true or false");
     }
-    return value ? json_is_true(value) : initial;
+    return value ? json_is_true(value) : default_value;
 }
 
-static void _cw_doc_text(_cw_doc_t* doc, const char* field, char* out, size_t size, bool needed) {
+static void _cw_doc_string(_cw_doc_t* doc, const char* field, char* out, size_t size, bool required) {
     json_t* value = _cw_doc_field(doc, field);
     out[0] = 0;
     if (!value) {
-        if (needed) {
+        if (required) {
             _cw_doc_fail(doc, field, "is missing");
         }
         return;
     }
     const char* text = json_string_value(value);
     if (!text || !text[0] || strlen(text) >= size) {
-        _cw_doc_fail(doc, field, "must be a text that is not empty or too long");
+        _cw_doc_fail(doc, field, "must be a string, neither empty nor too long");
         return;
     }
     cw_copy(out, size, text);
@@ -271,7 +276,7 @@
 }
 
 static cw_status_t _cw_doc_close(_cw_doc_t* doc) {
-    if (doc->status == CW_OK && json_object_size(doc->root) != doc->known) {
+    if (doc->status == CW_OK && json_object_size(doc->root) != doc->known_fields) {
         doc->status = cw_fail(doc->err, CW_ERR_INVALID, "validate", NULL, "has a field that its kind does not know");
     }
     json_decref(doc->root);
@@ -297,9 +302,9 @@
 }
 
 static void _cw_parse_workspace(_cw_doc_t* doc, cw_workspace_t* out) {
-    out->weight = _cw_doc_count(doc, "weight", 1, 1, 1000);
+    out->weight = _cw_doc_integer(doc, "weight", 1, 1, 1000);
     out->rate = _cw_doc_number(doc, "rate", 0, 0, 1e6);
-    out->concurrency = _cw_doc_count(doc, "concurrency", 0, 0, 1000000);
+    out->concurrency = _cw_doc_integer(doc, "concurrency", 0, 0, 1000000);
     _cw_doc_digests(doc, out);
 }
 
@@ -320,14 +325,14 @@
 }
 
 static void _cw_parse_class(_cw_doc_t* doc, cw_class_t* out) {
-    out->tier = (uint8_t)_cw_doc_count(doc, "tier", 1, 0, CW_TIERS - 1);
-    out->is_protected = _cw_doc_flag(doc, "protected", false);
-    out->repeatable = _cw_doc_flag(doc, "repeatable", true);
-    out->preemptible = _cw_doc_flag(doc, "preemptible", false);
-    out->deadline_ms = _cw_doc_count(doc, "deadline_ms", 30000, 10, 3600000);
-    out->queue_ms = _cw_doc_count(doc, "queue_ms", out->deadline_ms / 2, 1, 3600000);
-    out->cost = _cw_doc_count(doc, "cost", 100, 1, 10000000);
-    out->est_ms = _cw_doc_count(doc, "estimate_ms", 50, 1, 3600000);
+    out->tier = (uint8_t)_cw_doc_integer(doc, "tier", 1, 0, CW_TIERS - 1);
+    out->is_protected = _cw_doc_bool(doc, "protected", false);
+    out->repeatable = _cw_doc_bool(doc, "repeatable", true);
+    out->preemptible = _cw_doc_bool(doc, "preemptible", false);
+    out->deadline_ms = _cw_doc_integer(doc, "deadline_ms", 30000, 10, 3600000);
+    out->queue_ms = _cw_doc_integer(doc, "queue_ms", out->deadline_ms / 2, 1, 3600000);
+    out->cost = _cw_doc_integer(doc, "cost", 100, 1, 10000000);
+    out->est_ms = _cw_doc_integer(doc, "estimate_ms", 50, 1, 3600000);
     out->weight = _cw_doc_number(doc, "weight", 1, 0, 1e6);
     _cw_doc_pools(doc, out);
     if (out->is_protected && out->preemptible) {
@@ -339,8 +344,8 @@
 }
 
 static void _cw_doc_floors(_cw_doc_t* doc, cw_pool_t* out) {
-    static const double initial[CW_TIERS] = {0.0, 0.10, 0.05, 0.02};
-    memcpy(out->floor, initial, sizeof(initial));
+    static const double default_value[CW_TIERS] = {0.0, 0.10, 0.05, 0.02};
+    memcpy(out->floor, default_value, sizeof(default_value));
     json_t* list = _cw_doc_field(doc, "floors");
     if (!list) {
         return;
@@ -360,20 +365,20 @@
 
 static void _cw_parse_pool(_cw_doc_t* doc, cw_pool_t* out) {
     char kind[CW_NAME_MAX];
-    _cw_doc_text(doc, "kind", kind, sizeof(kind), true);
+    _cw_doc_string(doc, "kind", kind, sizeof(kind), true);
     out->engine = strcmp(kind, "engine") == 0;
     if (kind[0] && !out->engine && strcmp(kind, "service") != 0) {
         _cw_doc_fail(doc, "kind", "must be \"engine\" or \"service\"");
     }
-    _cw_doc_text(doc, "model", out->model, sizeof(out->model), false);
-    out->shard_size = _cw_doc_count(doc, "shard_size", 24, 1, CW_PICK_MAX / 2);
-    out->reserve = _cw_doc_count(doc, "reserve", 0, 0, 10000);
-    out->resumes = _cw_doc_flag(doc, "resumes", false);
+    _cw_doc_string(doc, "model", out->model, sizeof(out->model), false);
+    out->shard_size = _cw_doc_integer(doc, "shard_size", 24, 1, CW_PICK_MAX / 2);
+    out->reserve = _cw_doc_integer(doc, "reserve", 0, 0, 10000);
+    out->resumes = _cw_doc_bool(doc, "resumes", false);
     _cw_doc_floors(doc, out);
 }
 
 static void _cw_doc_address(_cw_doc_t* doc, char* out, size_t size) {
-    _cw_doc_text(doc, "address", out, size, true);
+    _cw_doc_string(doc, "address", out, size, true);
     char ip[CW_ADDRESS_MAX];
     cw_copy(ip, sizeof(ip), out);
     char* colon = strrchr(ip, ':');
@@ -390,12 +395,12 @@
 }
 
 static void _cw_parse_upstream(_cw_doc_t* doc, cw_upstream_t* out) {
-    _cw_doc_text(doc, "pool", out->pool, sizeof(out->pool), true);
+    _cw_doc_string(doc, "pool", out->pool, sizeof(out->pool), true);
     _cw_doc_address(doc, out->address, sizeof(out->address));
-    _cw_doc_text(doc, "hall", out->hall, sizeof(out->hall), true);
-    out->slots = _cw_doc_count(doc, "slots", 8, 1, 100000);
-    out->leaving = _cw_doc_flag(doc, "leaving", false);
-    out->drops_repeats = _cw_doc_flag(doc, "drops_repeats", false);
+    _cw_doc_string(doc, "hall", out->hall, sizeof(out->hall), true);
+    out->slots = _cw_doc_integer(doc, "slots", 8, 1, 100000);
+    out->leaving = _cw_doc_bool(doc, "leaving", false);
+    out->drops_repeats = _cw_doc_bool(doc, "drops_repeats", false);
     out->pool_id = out->pool[0] ? cw_name_id(out->pool) : 0;
 }
 
@@ -406,8 +411,8 @@
     cw_upstream_t upstream;
 } _cw_parsed_t;
 
-/* Splits KIND/NAME; returns CW_KIND_COUNT when the key names no resource. */
-static cw_kind_t _cw_key_kind(const char* key, const char** name) {
+/* Splits a key KIND/NAME; returns CW_KIND_COUNT when the key names no resource. */
+static cw_kind_t _cw_parse_key(const char* key, const char** name) {
     for (int kind = 0; kind < CW_KIND_COUNT; kind++) {
         const char* prefix = cw_kind_name((cw_kind_t)kind);
         size_t len = strlen(prefix);
@@ -421,7 +426,7 @@
 
 static cw_status_t _cw_parse(const char* key, const char* value, _cw_parsed_t* out, cw_error_t* err) {
     const char* name = NULL;
-    cw_kind_t kind = _cw_key_kind(key, &name);
+    cw_kind_t kind = _cw_parse_key(key, &name);
     if (kind == CW_KIND_COUNT) {
         return cw_fail(err, CW_ERR_INVALID, "validate", NULL, "the key is not KIND/NAME of a known kind");
     }
@@ -431,7 +436,7 @@
         json_decref(doc.root);
         return doc.status;
     }
-    cw_copy(out->workspace.name, CW_NAME_MAX, name); /* name and id come first in all four */
+    cw_copy(out->workspace.name, CW_NAME_MAX, name); /* all members of the union begin with name and id */
     out->workspace.id = cw_name_id(name);
     switch (kind) {
         case CW_KIND_WORKSPACE:
@@ -492,9 +497,9 @@
 static void _cw_view_add_workspace(cw_view_t* v, const cw_workspace_t* w) {
     v->workspaces[v->workspace_count] = *w;
     for (uint32_t i = 0; i < w->digest_count; i++) {
-        uint64_t start;
-        memcpy(&start, w->digests[i], sizeof(start));
-        cw_map_put(&v->by_digest, start ? start : 1, v->workspace_count);
+        uint64_t first_bytes;
+        memcpy(&first_bytes, w->digests[i], sizeof(first_bytes));
+        cw_map_put(&v->by_digest, first_bytes ? first_bytes : 1, v->workspace_count);
     }
     cw_map_put(&v->by_id, _cw_view_key(CW_KIND_WORKSPACE, w->id), v->workspace_count++);
 }
@@ -520,11 +525,11 @@
     }
 }
 
-static int _cw_item_order(const void* a, const void* b) {
+static int _cw_item_compare_keys(const void* a, const void* b) {
     return strcmp((*(cw_item_t* const*)a)->key, (*(cw_item_t* const*)b)->key);
 }
 
-/* Takes upstreams without a pool and classes without any pool out of the view. */
+/* Whether every pool that an upstream or a class refers to is in the view; sets reason if one is not. */
 static bool _cw_view_resolves(const cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p, char* reason) {
     if (kind == CW_KIND_UPSTREAM && !cw_view_pool(v, p->upstream.pool_id)) {
         snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->upstream.pool);
@@ -539,6 +544,7 @@
     return true;
 }
 
+/* Adds the valid documents to the view, either all pools or everything else: other kinds refer to pools. */
 static void _cw_view_fill(cw_store_t* s, cw_view_t* v, cw_item_t** sorted, bool pools) {
     for (uint32_t i = 0; i < s->count; i++) {
         cw_item_t* item = sorted[i];
@@ -571,7 +577,7 @@
     v->upstreams = cw_alloc(a, kinds[CW_KIND_UPSTREAM], sizeof(*v->upstreams));
     cw_item_t** sorted = cw_alloc(a, s->count, sizeof(*sorted));
     memcpy(sorted, s->items, s->count * sizeof(*sorted));
-    qsort(sorted, s->count, sizeof(*sorted), _cw_item_order);
+    qsort(sorted, s->count, sizeof(*sorted), _cw_item_compare_keys);
     _cw_view_fill(s, v, sorted, true);
     _cw_view_fill(s, v, sorted, false);
     cw_free(a, sorted);
@@ -603,9 +609,9 @@
 }
 
 const cw_workspace_t* cw_view_auth(const cw_view_t* v, const uint8_t digest[CW_DIGEST_BYTES]) {
-    uint64_t start;
-    memcpy(&start, digest, sizeof(start));
-    uint32_t i = cw_map_get(&v->by_digest, start ? start : 1);
+    uint64_t first_bytes;
+    memcpy(&first_bytes, digest, sizeof(first_bytes));
+    uint32_t i = cw_map_get(&v->by_digest, first_bytes ? first_bytes : 1);
     if (i == CW_MAP_NONE) {
         return NULL;
     }
@@ -636,7 +642,7 @@
     return s;
 }
 
-static void _cw_item_set(cw_store_t* s, char** field, const char* value) {
+static void _cw_store_set_text(cw_store_t* s, char** field, const char* value) {
     cw_free(&s->desc.allocator, *field);
     *field = NULL;
     if (value) {
@@ -649,8 +655,8 @@
 void cw_store_shutdown(cw_store_t* s) {
     cw_allocator_t a = s->desc.allocator;
     for (uint32_t i = 0; i < s->count; i++) {
-        _cw_item_set(s, &s->items[i]->value, NULL);
-        _cw_item_set(s, &s->items[i]->valid, NULL);
+        _cw_store_set_text(s, &s->items[i]->value, NULL);
+        _cw_store_set_text(s, &s->items[i]->valid, NULL);
         cw_free(&a, s->items[i]);
     }
     cw_view_release(s->view);
@@ -659,7 +665,7 @@
     cw_free(&a, s);
 }
 
-static cw_item_t* _cw_store_item(cw_store_t* s, const char* key, cw_kind_t kind) {
+static cw_item_t* _cw_store_find_or_add(cw_store_t* s, const char* key, cw_kind_t kind) {
     uint64_t id = cw_name_id(key);
     uint32_t i = cw_map_get(&s->by_key, id);
     if (i != CW_MAP_NONE) {
@@ -678,11 +684,11 @@
 
 cw_status_t cw_store_put(cw_store_t* s, const char* key, int64_t revision, const char* value) {
     const char* name = NULL;
-    cw_kind_t kind = _cw_key_kind(key, &name);
+    cw_kind_t kind = _cw_parse_key(key, &name);
     if (kind == CW_KIND_COUNT) {
         return CW_ERR_INVALID;
     }
-    cw_item_t* item = _cw_store_item(s, key, kind);
+    cw_item_t* item = _cw_store_find_or_add(s, key, kind);
     if (!item) {
         return CW_ERR_FULL;
     }
@@ -690,13 +696,13 @@
         return revision < item->revision ? CW_ERR_STALE : CW_OK;
     }
     item->revision = revision;
-    _cw_item_set(s, &item->value, value);
+    _cw_store_set_text(s, &item->value, value);
     cw_error_t err = {0};
     if (value && cw_store_validate(key, value, &err) != CW_OK) {
         cw_copy(item->reason, sizeof(item->reason), err.message);
         return CW_ERR_INVALID;
     }
-    _cw_item_set(s, &item->valid, value);
+    _cw_store_set_text(s, &item->valid, value);
     item->in_force = revision;
     item->reason[0] = 0;
     s->dirty = true;
