--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -5,9 +5,9 @@
 
     WHAT IT IS
         An immutable table read from one JSON document. A route is found by
-        host and the longest prefix of the path; a workspace by one of its
-        keys. A document that is wrong anywhere is refused as a whole, so the
-        revision before it stays in force. Unknown fields are passed over.
+        host and longest path prefix, a workspace by one of its keys. A
+        document with any error is refused as a whole, so that the previous
+        revision stays in force. Unknown fields are ignored.
 
             {"revision": 7,
              "routes": [{"name": "chat", "host": "a.example", "prefix": "/chat/", "kind": "stream",
@@ -20,13 +20,14 @@
              "workspaces": [{"name": "kiosks", "keys": ["secret"], "tier": 1}]}
 
     HOW TO USE IT
-            cw_catalog_t* c = cw_catalog_read(text, size, &err);   // NULL: err says what is wrong
+            cw_catalog_t* c = cw_catalog_read(text, size, &err);   // NULL: invalid, err says why
             const cw_route_t* route = cw_catalog_route(c, host, path, path_size);
             const cw_tenant_t* workspace = cw_catalog_workspace(c, key);
             cw_catalog_release(c);
 
     WHAT IT DOES NOT DO
-        It fetches nothing and knows no servers; see chalkway_balance.h.
+        It fetches no documents and holds no servers; see
+        chalkway_balance.h.
 
     LICENCE
         MIT, see LICENSE.
@@ -34,12 +35,12 @@
 #include "chalkway_core.h"
 
 #define CW_ROUTE_POOLS 8
-#define CW_ACCESS_KEY_MAX 256 /* bytes of a key, with its final zero */
+#define CW_ACCESS_KEY_MAX 256 /* bytes of a key, with its terminating zero */
 
 typedef enum cw_route_kind_t {
     CW_ROUTE_ONCE = 0,   /* may run at most once */
     CW_ROUTE_REPEATABLE, /* may run again after any failure */
-    CW_ROUTE_STREAM      /* answers with events; once, unless it may be resumed */
+    CW_ROUTE_STREAM      /* responds with server-sent events; runs at most once unless it may be resumed */
 } cw_route_kind_t;
 
 typedef struct cw_route_pool_t {
@@ -52,13 +53,13 @@
     const char* host; /* lower case */
     const char* prefix;
     cw_route_kind_t kind;
-    bool resume;         /* stream: may go on at another server */
-    bool open;           /* needs no key */
-    uint32_t timeout_ms; /* longest time it is held */
-    uint32_t target_ms;  /* to the answer, or the first event */
-    uint32_t gap_ms;     /* longest pause between events that is in time, 0: no matter */
-    uint32_t tier;       /* 0 goes first */
-    uint32_t attempts;   /* most servers that one request is sent to */
+    bool resume;         /* a broken stream may be resumed at another server */
+    bool open;           /* requests need no key */
+    uint32_t timeout_ms; /* deadline of a request */
+    uint32_t target_ms;  /* target latency of the response, or of the first event of a stream */
+    uint32_t gap_ms;     /* target for the time between two events of a stream, 0: none */
+    uint32_t tier;       /* priority, 0 is served first */
+    uint32_t attempts;   /* maximum number of servers that one request is sent to */
     uint32_t pool_count;
     cw_route_pool_t pools[CW_ROUTE_POOLS];
 } cw_route_t;
@@ -66,18 +67,18 @@
 typedef struct cw_catalog_pool_t {
     const char* name;
     const char* health;     /* path of the health check, NULL: none */
-    uint32_t connections;   /* that one server takes from all daemons together, 0: no limit */
-    double cold_per_s;      /* requests a second that a cold server bears from all daemons together, 0: no limit */
-    uint32_t slots;         /* engine: requests at once, 0: not an engine */
-    uint32_t memory_tokens; /* engine: tokens that its memory holds */
-    uint32_t event_tokens;  /* engine: tokens in one event */
-    uint32_t token_bytes;   /* engine: memory of one token, 0: not told */
-    uint32_t link_mbps;     /* engine: between two engines, 0: nothing is moved between them */
+    uint32_t connections;   /* limit of one server for all daemons together, 0: no limit */
+    double cold_per_s;      /* requests per second that a cold server accepts from all daemons together, 0: no limit */
+    uint32_t slots;         /* engine: concurrent requests, 0: the pool has no engines */
+    uint32_t memory_tokens; /* engine: capacity of its KV cache */
+    uint32_t event_tokens;  /* engine: tokens in one event of a stream */
+    uint32_t token_bytes;   /* engine: bytes of KV cache per token, 0: unknown */
+    uint32_t link_mbps;     /* engine: bandwidth between two engines, 0: they do not transfer KV cache */
 } cw_catalog_pool_t;
 
 typedef struct cw_tenant_t {
     const char* name;
-    bool has_tier; /* its tier goes before the route's */
+    bool has_tier; /* its tier overrides the tier of the route */
     uint32_t tier;
     uint32_t key_count;
     const char** keys;
@@ -86,8 +87,8 @@
 typedef struct cw_catalog_limits_t {
     uint32_t head_bytes;
     uint32_t body_bytes;
-    uint32_t head_ms; /* to send a head */
-    uint32_t idle_ms; /* a connection may rest */
+    uint32_t head_ms; /* timeout for receiving a request head */
+    uint32_t idle_ms; /* timeout of an idle connection */
 } cw_catalog_limits_t;
 
 typedef struct cw_catalog_t {
@@ -96,20 +97,21 @@
     cw_route_t* routes;
     cw_catalog_pool_t* pools;
     cw_tenant_t* workspaces;
-    bool needs_keys; /* workspaces are declared */
+    bool needs_keys; /* the document declares workspaces, so requests need one of their keys */
     cw_catalog_limits_t limits;
     struct _cw_catalog_index_t* index; /* private */
 } cw_catalog_t;
 
-/* Reads a document; NULL and err when it is not valid. Holds one reference. */
+/* Reads a document and returns it with one reference; returns NULL and sets err when it is invalid. */
 cw_catalog_t* cw_catalog_read(const char* text, size_t size, cw_error_t* err);
+/* Adds a reference. */
 cw_catalog_t* cw_catalog_hold(cw_catalog_t* catalog);
 void cw_catalog_release(cw_catalog_t* catalog);
-/* Route with the longest prefix that begins the path; NULL: none. host without port, any case. */
+/* Finds the route with the longest prefix of the path; NULL: none. host has no port and may have any case. */
 const cw_route_t* cw_catalog_route(const cw_catalog_t* catalog, const char* host, const char* path, size_t path_size);
-/* Workspace that holds the key; NULL: none. */
+/* Finds the workspace that has the key; NULL: none. */
 const cw_tenant_t* cw_catalog_workspace(const cw_catalog_t* catalog, const char* key);
-/* Pool of a route for a draw of any size: pools get draws by their weights. */
+/* Chooses a pool of the route by weight; draw is a random number of any size. */
 const cw_catalog_pool_t* cw_catalog_pool(const cw_catalog_t* catalog, const cw_route_t* route, uint64_t draw);
 
 #endif /* CHALKWAY_CATALOG_H */
@@ -128,14 +130,14 @@
 
 #include "chalkway_map.h"
 
-#define _CW_CATALOG_STEP "catalog"
+#define _CW_CATALOG_ERROR_STEP "catalog"
 #define _CW_CATALOG_HOST_MAX 256
 
-/* The document itself, whose texts the tables point into, and the maps over them. */
+/* The JSON document, into whose texts the tables point, and the indexes of the tables. */
 struct _cw_catalog_index_t {
     uint32_t references;
     json_t* document;
-    char* hosts; /* lower-case copies, one after the other */
+    char* hosts; /* lower-case copies of the routes' hosts, concatenated */
     cw_map_t routes;
     cw_map_t keys;
 };
@@ -151,64 +153,65 @@
     return id ? id : 1;
 }
 
-/* What the reading functions share: the first fault ends all reading. */
+/* State of the reading functions; only the first error is reported. */
 typedef struct _cw_catalog_reader_t {
     cw_error_t* err;
-    bool bad;
+    bool failed;
 } _cw_catalog_reader_t;
 
-static void _cw_catalog_bad(_cw_catalog_reader_t* r, const char* where, const char* key, const char* why) {
-    if (!r->bad) {
-        cw_fail(r->err, CW_ERR_INVALID, _CW_CATALOG_STEP, NULL, "%s: \"%s\" %s", where, key, why);
+static void _cw_catalog_fail(_cw_catalog_reader_t* r, const char* where, const char* key, const char* why) {
+    if (!r->failed) {
+        cw_fail(r->err, CW_ERR_INVALID, _CW_CATALOG_ERROR_STEP, NULL, "%s: \"%s\" %s", where, key, why);
     }
-    r->bad = true;
+    r->failed = true;
 }
 
-static const char* _cw_catalog_text(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key) {
+static const char* _cw_catalog_string(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key) {
     const json_t* value = json_object_get(o, key);
     if (!json_is_string(value) || json_string_length(value) == 0) {
-        _cw_catalog_bad(r, where, key, "must be a text");
+        _cw_catalog_fail(r, where, key, "must be a non-empty string");
         return "";
     }
     return json_string_value(value);
 }
 
-/* A whole number from 0 to UINT32_MAX; initial when it is absent. */
-static double _cw_catalog_real(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key,
-                               double initial) {
+/* Reads a number from 0 to UINT32_MAX; default_value when the field is absent or null. */
+static double _cw_catalog_double(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key,
+                                 double default_value) {
     const json_t* value = json_object_get(o, key);
     if (!value || json_is_null(value)) {
-        return initial;
+        return default_value;
     }
     double number = json_number_value(value);
     if (!json_is_number(value) || number < 0 || number > UINT32_MAX) {
-        _cw_catalog_bad(r, where, key, "must be a number from 0");
-        return initial;
+        _cw_catalog_fail(r, where, key, "must be a number from 0 to 4294967295");
+        return default_value;
     }
     return number;
 }
 
-static uint32_t _cw_catalog_number(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key,
-                                   uint32_t initial) {
-    return (uint32_t)_cw_catalog_real(r, o, where, key, initial);
+/* Like _cw_catalog_double; fractions are truncated. */
+static uint32_t _cw_catalog_uint32(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key,
+                                   uint32_t default_value) {
+    return (uint32_t)_cw_catalog_double(r, o, where, key, default_value);
 }
 
-static bool _cw_catalog_flag(const json_t* o, const char* key) {
+static bool _cw_catalog_bool(const json_t* o, const char* key) {
     return json_is_true(json_object_get(o, key));
 }
 
 static void _cw_catalog_read_pool(_cw_catalog_reader_t* r, const json_t* o, cw_catalog_pool_t* pool) {
-    pool->name = _cw_catalog_text(r, o, "pool", "name");
+    pool->name = _cw_catalog_string(r, o, "pool", "name");
     pool->health = json_string_value(json_object_get(o, "health"));
-    pool->connections = _cw_catalog_number(r, o, pool->name, "connections", 0);
-    pool->cold_per_s = _cw_catalog_real(r, o, pool->name, "cold_per_s", 0);
+    pool->connections = _cw_catalog_uint32(r, o, pool->name, "connections", 0);
+    pool->cold_per_s = _cw_catalog_double(r, o, pool->name, "cold_per_s", 0);
     const json_t* engine = json_object_get(o, "engine");
     if (json_is_object(engine)) {
-        pool->slots = _cw_catalog_number(r, engine, pool->name, "slots", 1);
-        pool->memory_tokens = _cw_catalog_number(r, engine, pool->name, "memory_tokens", 0);
-        pool->event_tokens = _cw_catalog_number(r, engine, pool->name, "event_tokens", 1);
-        pool->token_bytes = _cw_catalog_number(r, engine, pool->name, "token_bytes", 0);
-        pool->link_mbps = _cw_catalog_number(r, engine, pool->name, "link_mbps", 0);
+        pool->slots = _cw_catalog_uint32(r, engine, pool->name, "slots", 1);
+        pool->memory_tokens = _cw_catalog_uint32(r, engine, pool->name, "memory_tokens", 0);
+        pool->event_tokens = _cw_catalog_uint32(r, engine, pool->name, "event_tokens", 1);
+        pool->token_bytes = _cw_catalog_uint32(r, engine, pool->name, "token_bytes", 0);
+        pool->link_mbps = _cw_catalog_uint32(r, engine, pool->name, "link_mbps", 0);
     }
 }
 
@@ -226,23 +229,23 @@
     const json_t* pools = json_object_get(o, "pools");
     size_t count = json_array_size(pools);
     if (count == 0 || count > CW_ROUTE_POOLS) {
-        _cw_catalog_bad(r, route->name, "pools", "must name 1 to 8 pools");
+        _cw_catalog_fail(r, route->name, "pools", "must name 1 to 8 pools");
         return;
     }
     for (size_t i = 0; i < count; i++) {
         const json_t* entry = json_array_get(pools, i);
-        const char* name = _cw_catalog_text(r, entry, route->name, "pool");
+        const char* name = _cw_catalog_string(r, entry, route->name, "pool");
         cw_route_pool_t* pool = &route->pools[i];
         pool->pool = _cw_catalog_pool_index(c, name);
-        pool->weight = _cw_catalog_number(r, entry, route->name, "weight", 1);
+        pool->weight = _cw_catalog_uint32(r, entry, route->name, "weight", 1);
         if (pool->pool == UINT32_MAX) {
-            _cw_catalog_bad(r, route->name, name, "is no pool of the document");
+            _cw_catalog_fail(r, route->name, name, "is no pool of the document");
         }
     }
     route->pool_count = (uint32_t)count;
 }
 
-static cw_route_kind_t _cw_catalog_kind(_cw_catalog_reader_t* r, const char* where, const char* kind) {
+static cw_route_kind_t _cw_catalog_route_kind(_cw_catalog_reader_t* r, const char* where, const char* kind) {
     if (strcmp(kind, "once") == 0) {
         return CW_ROUTE_ONCE;
     }
@@ -250,42 +253,42 @@
         return CW_ROUTE_REPEATABLE;
     }
     if (strcmp(kind, "stream") != 0) {
-        _cw_catalog_bad(r, where, "kind", "must be once, repeatable or stream");
+        _cw_catalog_fail(r, where, "kind", "must be once, repeatable or stream");
     }
     return CW_ROUTE_STREAM;
 }
 
 static void _cw_catalog_read_route(_cw_catalog_reader_t* r, const cw_catalog_t* c, const json_t* o, cw_route_t* route) {
-    route->name = _cw_catalog_text(r, o, "route", "name");
-    route->host = _cw_catalog_text(r, o, route->name, "host");
-    route->prefix = _cw_catalog_text(r, o, route->name, "prefix");
+    route->name = _cw_catalog_string(r, o, "route", "name");
+    route->host = _cw_catalog_string(r, o, route->name, "host");
+    route->prefix = _cw_catalog_string(r, o, route->name, "prefix");
     size_t size = strlen(route->prefix);
     if (size && (route->prefix[0] != '/' || route->prefix[size - 1] != '/')) {
-        _cw_catalog_bad(r, route->name, "prefix", "must begin and end with a slash");
-    }
-    route->kind = _cw_catalog_kind(r, route->name, _cw_catalog_text(r, o, route->name, "kind"));
-    route->timeout_ms = _cw_catalog_number(r, o, route->name, "timeout_ms", 60000);
-    route->target_ms = _cw_catalog_number(r, o, route->name, "target_ms", 1000);
-    route->gap_ms = _cw_catalog_number(r, o, route->name, "gap_ms", 0);
-    route->tier = _cw_catalog_number(r, o, route->name, "tier", 0);
-    route->attempts = _cw_catalog_number(r, o, route->name, "attempts", 1);
+        _cw_catalog_fail(r, route->name, "prefix", "must begin and end with a slash");
+    }
+    route->kind = _cw_catalog_route_kind(r, route->name, _cw_catalog_string(r, o, route->name, "kind"));
+    route->timeout_ms = _cw_catalog_uint32(r, o, route->name, "timeout_ms", 60000);
+    route->target_ms = _cw_catalog_uint32(r, o, route->name, "target_ms", 1000);
+    route->gap_ms = _cw_catalog_uint32(r, o, route->name, "gap_ms", 0);
+    route->tier = _cw_catalog_uint32(r, o, route->name, "tier", 0);
+    route->attempts = _cw_catalog_uint32(r, o, route->name, "attempts", 1);
     route->attempts = route->attempts ? route->attempts : 1;
-    route->open = _cw_catalog_flag(o, "open");
-    route->resume = _cw_catalog_flag(o, "resume");
+    route->open = _cw_catalog_bool(o, "open");
+    route->resume = _cw_catalog_bool(o, "resume");
     _cw_catalog_read_route_pools(r, c, o, route);
 }
 
 static void _cw_catalog_read_workspace(_cw_catalog_reader_t* r, const json_t* o, cw_tenant_t* workspace) {
-    workspace->name = _cw_catalog_text(r, o, "workspace", "name");
+    workspace->name = _cw_catalog_string(r, o, "workspace", "name");
     workspace->has_tier = json_is_number(json_object_get(o, "tier"));
-    workspace->tier = _cw_catalog_number(r, o, workspace->name, "tier", 0);
+    workspace->tier = _cw_catalog_uint32(r, o, workspace->name, "tier", 0);
     const json_t* keys = json_object_get(o, "keys");
     workspace->key_count = (uint32_t)json_array_size(keys);
     workspace->keys = cw_alloc(NULL, workspace->key_count + 1, sizeof(char*));
     for (uint32_t i = 0; i < workspace->key_count; i++) {
         const char* key = json_string_value(json_array_get(keys, i));
         if (!key || !key[0] || strlen(key) >= CW_ACCESS_KEY_MAX) {
-            _cw_catalog_bad(r, workspace->name, "keys", "must hold texts of up to 255 bytes");
+            _cw_catalog_fail(r, workspace->name, "keys", "must be a list of strings of 1 to 255 bytes");
             key = "";
         }
         workspace->keys[i] = key;
@@ -293,13 +296,13 @@
 }
 
 static void _cw_catalog_read_limits(_cw_catalog_reader_t* r, const json_t* o, cw_catalog_limits_t* limits) {
-    limits->head_bytes = _cw_catalog_number(r, o, "limits", "head_bytes", 16384);
-    limits->body_bytes = _cw_catalog_number(r, o, "limits", "body_bytes", 1 << 20);
-    limits->head_ms = _cw_catalog_number(r, o, "limits", "head_ms", 10000);
-    limits->idle_ms = _cw_catalog_number(r, o, "limits", "idle_ms", 60000);
+    limits->head_bytes = _cw_catalog_uint32(r, o, "limits", "head_bytes", 16384);
+    limits->body_bytes = _cw_catalog_uint32(r, o, "limits", "body_bytes", 1 << 20);
+    limits->head_ms = _cw_catalog_uint32(r, o, "limits", "head_ms", 10000);
+    limits->idle_ms = _cw_catalog_uint32(r, o, "limits", "idle_ms", 60000);
 }
 
-static void _cw_catalog_lower_hosts(cw_catalog_t* c) {
+static void _cw_catalog_lowercase_hosts(cw_catalog_t* c) {
     size_t bytes = 1;
     for (uint32_t i = 0; i < c->route_count; i++) {
         bytes += strlen(c->routes[i].host) + 1;
@@ -316,8 +319,8 @@
     }
 }
 
-static void _cw_catalog_index(cw_catalog_t* c) {
-    _cw_catalog_lower_hosts(c);
+static void _cw_catalog_build_index(cw_catalog_t* c) {
+    _cw_catalog_lowercase_hosts(c);
     c->index->routes = cw_map_setup(c->route_count + 1, NULL);
     for (uint32_t i = 0; i < c->route_count; i++) {
         const cw_route_t* route = &c->routes[i];
@@ -340,7 +343,7 @@
     const json_t* pools = json_object_get(document, "pools");
     const json_t* workspaces = json_object_get(document, "workspaces");
     if (!json_is_array(routes) || !json_is_array(pools)) {
-        _cw_catalog_bad(r, "document", "routes, pools", "must be lists");
+        _cw_catalog_fail(r, "document", "routes, pools", "must be lists");
         return;
     }
     c->pools = cw_alloc(NULL, json_array_size(pools) + 1, sizeof(*c->pools));
@@ -363,7 +366,8 @@
     json_error_t problem;
     json_t* document = json_loadb(text, size, 0, &problem);
     if (!json_is_object(document)) {
-        cw_fail(err, CW_ERR_INVALID, _CW_CATALOG_STEP, NULL, "no JSON object: %s", document ? "other" : problem.text);
+        cw_fail(err, CW_ERR_INVALID, _CW_CATALOG_ERROR_STEP, NULL, "no JSON object: %s",
+                document ? "other" : problem.text);
         json_decref(document);
         return NULL;
     }
@@ -375,14 +379,14 @@
     const json_t* revision = json_object_get(document, "revision");
     c->revision = json_integer_value(revision);
     if (c->revision <= 0) {
-        _cw_catalog_bad(&reader, "document", "revision", "must be a whole number above 0");
+        _cw_catalog_fail(&reader, "document", "revision", "must be an integer above 0");
     }
     _cw_catalog_read_tables(&reader, c, document);
-    if (reader.bad) {
+    if (reader.failed) {
         cw_catalog_release(c);
         return NULL;
     }
-    _cw_catalog_index(c);
+    _cw_catalog_build_index(c);
     return c;
 }
 
