--- a/chalkway_changes.h
+++ b/chalkway_changes.h
@@ -1,80 +1,81 @@
 #ifndef CHALKWAY_CHANGES_H
 #define CHALKWAY_CHANGES_H
 /*
-    chalkway_changes.h -- what changed between lists of servers
+    chalkway_changes.h -- deltas between lists of servers
 
     WHAT IT IS
         Every daemon of a fleet fetches each new list of servers from a peer.
-        A whole list of thousands for each of hundreds of daemons, because
-        one server leaves, would fill their links. So each entry carries the
-        source's revision at which it last changed, and a daemon remembers
-        which entries went and when. To a peer that says up to which revision
-        its list is complete it gives what changed after that. Neither must
-        have had a list of the other: daemons that took different steps, by
-        different readers of the source, still tell each other little.
+        If hundreds of daemons fetched a full list of thousands of servers
+        each time one server leaves, their links would be saturated. So each
+        entry carries the source revision at which it last changed, and a
+        daemon records which entries were removed, at which revision. A peer
+        sends the revision of its own list and gets a delta: the changes
+        after that revision. The two daemons need no earlier list in common,
+        so a delta stays small even if they got their lists from different
+        daemons that poll the source, at different revisions.
 
-        The id of the list that the changes lead to goes along. Where the
-        result is another list, the peer reads the whole one.
+        A delta carries the hash of the list that results from it. If the
+        peer gets another result, it fetches the full list.
 
     HOW TO USE IT
-        The holder:
+        The daemon that serves its list:
             cw_changes_note(&changes, &before, &after);        // both sorted
             cw_delta_t delta = {0};
-            if (cw_changes_since(&changes, &list, have, &delta)) { text = cw_delta_text(&delta); }
-        The other one:
+            if (cw_changes_since(&changes, &list, peer_revision, &delta)) { text = cw_delta_text(&delta); }
+        The peer:
             if (cw_delta_read(&delta, text, size, &err) == CW_OK && cw_delta_apply(&list, &delta)) { ... }
-        Both free the delta by cw_delta_free.
+        Both free the delta with cw_delta_free.
 
     WHAT IT DOES NOT DO
-        No sockets. A peer whose list is too old, or of a source without
-        revisions, gets nothing here: it reads the whole list.
+        No sockets. There is no delta for a peer whose list is too old, or
+        for a source without revisions: the peer fetches the full list.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_servers.h"
 
-/* What leads from a list that is complete up to a revision to a later one. */
+/* The changes from one list of a source to a later one. */
 typedef struct cw_delta_t {
-    int64_t since;     /* the revision */
-    uint64_t to;       /* id of the later list */
-    int64_t at;        /* of the later list, see cw_servers_t */
+    int64_t since;     /* revision of the earlier list: every change after it is included */
+    uint64_t to;       /* hash of the later list, see cw_servers_id */
+    int64_t at;        /* revision of the later list, see cw_servers_t */
     uint32_t age_ms;   /* of the later list */
-    cw_servers_t put;  /* servers that are new or of which something changed; sorted. All halls that are closed */
-    cw_servers_t gone; /* of these only the id counts */
+    cw_servers_t put;  /* servers that were added or changed, sorted; and all halls closed in the later list */
+    cw_servers_t gone; /* servers that were removed; only their ids are set */
 } cw_delta_t;
 
-/* An entry that went. */
+/* An entry that was removed. */
 typedef struct cw_gone_t {
-    int64_t revision; /* not before it went */
+    int64_t revision; /* at or after its removal */
     char id[CW_NAME_MAX];
 } cw_gone_t;
 
-/* All zero: nothing is remembered. */
+/* The entries that were removed from a list. All zero: none is recorded. */
 typedef struct cw_changes_t {
-    int64_t since; /* all that went after this revision is remembered; 0: nothing is */
+    int64_t since; /* all removals after this revision are recorded, 0: none */
     uint32_t count, capacity;
-    cw_gone_t* gone; /* in order of their revisions */
+    cw_gone_t* gone; /* sorted by revision */
 } cw_changes_t;
 
-/* Remembers what went, and completes the revisions of the entries of after. Both lists are sorted; before is empty for
-   the first one. */
+/* Records the servers that after lacks, and sets the revisions of the entries of after. Both lists are sorted; before
+   is empty when after is the first list. */
 void cw_changes_note(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after);
-/* All of the list that changed after the revision; false when that is not known, or no shorter than the list. The delta
-   must be zero. */
-bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t have, cw_delta_t* delta);
-/* Remembers that an entry went, at a revision no lower than the last one's. */
+/* Collects the changes of the list after the revision. Returns false when they are not all recorded, or are so many
+   that the delta would be no shorter than the list. The delta must be zero. */
+bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* delta);
+/* Records the removal of an entry, at a revision no lower than that of the last removal. */
 void cw_changes_add_gone(cw_changes_t* changes, const char* id, int64_t revision);
 void cw_changes_free(cw_changes_t* changes);
 
-/* The JSON form, to be freed by free(). */
+/* Returns the JSON form, which the caller frees with free(). */
 char* cw_delta_text(const cw_delta_t* delta);
-/* Whether the text is the JSON form of a delta, not of a whole list. */
+/* Whether the text begins as the JSON form of a delta does, and not as that of a full list. */
 bool cw_delta_is(const char* text, size_t size);
 /* Reads the JSON form; the delta must be zero. */
 cw_status_t cw_delta_read(cw_delta_t* delta, const char* text, size_t size, cw_error_t* err);
-/* Changes the sorted list; false when it is not complete up to where the delta begins, or does not become the list that
-   the delta leads to: it is of no use then. */
+/* Applies the delta to the sorted list. Returns false when the list is older than the revision from which the delta
+   starts, or when the result is not the list for which the delta was made: the result must not be used then. */
 bool cw_delta_apply(cw_servers_t* list, const cw_delta_t* delta);
 void cw_delta_free(cw_delta_t* delta);
 
@@ -90,8 +91,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define _CW_DELTA_SHARE 4   /* a change of more than this part of the list is no shorter than the list */
-#define _CW_CHANGES_MIN 256 /* entries that went are remembered, also by a short list */
+#define _CW_DELTA_DIVISOR 4          /* above 1/4 of the list's entries, a delta is no shorter than the full list */
+#define _CW_CHANGES_REMOVALS_MIN 256 /* limit of recorded removals for a short list */
 
 void cw_delta_free(cw_delta_t* delta) {
     cw_servers_free(&delta->put);
@@ -104,8 +105,8 @@
     *changes = (cw_changes_t){0};
 }
 
-/* Forgets the older half. */
-static void _cw_changes_forget(cw_changes_t* changes) {
+/* Drops the older half of the recorded removals. */
+static void _cw_changes_drop_oldest(cw_changes_t* changes) {
     uint32_t dropped = changes->count / 2;
     changes->since = changes->gone[dropped - 1].revision;
     changes->count -= dropped;
@@ -126,16 +127,16 @@
     cw_copy(gone->id, sizeof(gone->id), id);
 }
 
-/* The revision of an entry that is not as it was: after all that the list before was complete up to. */
-static void _cw_changes_stamp(cw_server_t* now, const cw_servers_t* before, const cw_servers_t* after) {
+/* Sets the revision of an entry that changed, above the revision of the list before. */
+static void _cw_changes_set_revision(cw_server_t* now, const cw_servers_t* before, const cw_servers_t* after) {
     now->revision = now->revision ? now->revision : after->at;
     now->revision = now->revision > before->at ? now->revision : before->at + 1;
 }
 
-/* Walks both sorted lists side by side. */
-static void _cw_changes_walk(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after) {
-    uint32_t most = after->count / _CW_DELTA_SHARE;
-    most = most > _CW_CHANGES_MIN ? most : _CW_CHANGES_MIN;
+/* Walks both sorted lists in parallel; records removals and sets the revisions of the entries of after. */
+static void _cw_changes_compare(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after) {
+    uint32_t max_removals = after->count / _CW_DELTA_DIVISOR;
+    max_removals = max_removals > _CW_CHANGES_REMOVALS_MIN ? max_removals : _CW_CHANGES_REMOVALS_MIN;
     uint32_t i = 0;
     uint32_t j = 0;
     while (i < before->count || j < after->count) {
@@ -143,14 +144,14 @@
         cw_server_t* now = j < after->count ? &after->items[j] : NULL;
         int order = !old ? 1 : !now ? -1 : strcmp(old->id, now->id);
         if (order < 0) {
-            if (changes->count >= most) {
-                _cw_changes_forget(changes);
+            if (changes->count >= max_removals) {
+                _cw_changes_drop_oldest(changes);
             }
             cw_changes_add_gone(changes, old->id, after->at);
         } else if (order == 0 && cw_server_equal(old, now)) {
             now->revision = old->revision;
         } else {
-            _cw_changes_stamp(now, before, after);
+            _cw_changes_set_revision(now, before, after);
         }
         i += order <= 0;
         j += order >= 0;
@@ -158,31 +159,31 @@
 }
 
 void cw_changes_note(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after) {
-    bool follows = changes->since && before->at && after->at >= before->at;
-    if (follows) {
-        _cw_changes_walk(changes, before, after);
+    bool is_successor = changes->since && before->at && after->at >= before->at;
+    if (is_successor) {
+        _cw_changes_compare(changes, before, after);
     } else {
-        changes->count = 0; /* the first list, or its revisions say nothing of those before */
+        changes->count = 0; /* the first list, or its revisions can't be compared with those before */
         changes->since = after->at;
     }
 }
 
-bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t have, cw_delta_t* delta) {
-    if (!changes->since || have < changes->since || have > list->at) {
+bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* delta) {
+    if (!changes->since || peer_revision < changes->since || peer_revision > list->at) {
         return false;
     }
-    *delta = (cw_delta_t){.since = have, .at = list->at, .put = {.closed = list->closed}};
+    *delta = (cw_delta_t){.since = peer_revision, .at = list->at, .put = {.closed = list->closed}};
     for (uint32_t i = 0; i < list->count; i++) {
-        if (list->items[i].revision > have) {
+        if (list->items[i].revision > peer_revision) {
             cw_servers_add(&delta->put, &list->items[i]);
         }
     }
-    for (uint32_t i = changes->count; i-- > 0 && changes->gone[i].revision > have;) {
+    for (uint32_t i = changes->count; i-- > 0 && changes->gone[i].revision > peer_revision;) {
         cw_server_t server = {.slots = 0};
         cw_copy(server.id, sizeof(server.id), changes->gone[i].id);
         cw_servers_add(&delta->gone, &server);
     }
-    if (delta->put.count + delta->gone.count > list->count / _CW_DELTA_SHARE) {
+    if (delta->put.count + delta->gone.count > list->count / _CW_DELTA_DIVISOR) {
         cw_delta_free(delta);
         return false;
     }
@@ -206,7 +207,7 @@
     return cw_servers_id(list) == delta->to;
 }
 
-/* -- JSON ----------------------------------------------------------------- */
+/* -- JSON form ------------------------------------------------------------ */
 
 char* cw_delta_text(const cw_delta_t* delta) {
     json_t* document = json_object();
@@ -242,7 +243,7 @@
     delta->at = delta->put.at;
     delta->age_ms = delta->put.age_ms;
     if (status == CW_OK && (delta->since <= 0 || delta->at < delta->since || !delta->to || !json_is_array(gone))) {
-        status = cw_fail(err, CW_ERR_INVALID, "servers", NULL, "changes without the lists that they lead from and to");
+        status = cw_fail(err, CW_ERR_INVALID, "servers", NULL, "delta without gone or a valid since, to or at");
     }
     for (size_t i = 0; status == CW_OK && i < json_array_size(gone); i++) {
         const char* id = json_string_value(json_array_get(gone, i));
