--- a/chalkway_packed.h
+++ b/chalkway_packed.h
@@ -1,35 +1,39 @@
 #ifndef CHALKWAY_PACKED_H
 #define CHALKWAY_PACKED_H
 /*
-    chalkway_packed.h -- compact form of a list of servers
+    chalkway_packed.h -- compact encoding of a list of servers
 
     WHAT IT IS
-        The form in which a daemon gives a peer its whole list: MessagePack
-        values, one after the other. Names of pools and halls are written
-        once, addresses as numbers, starts and revisions as distances. An
-        entry takes some 40 bytes, a fifth of its JSON form
-        (chalkway_servers.h), and is read without a tree of all of them. What
-        went from the list goes along, so that whoever takes it over can tell
-        changes since as early a revision as the giver.
+        The encoding in which a daemon sends its full list to a peer: a
+        sequence of MessagePack values. Names of pools and halls are written
+        once and referred to by index, addresses are written as integers,
+        start times and revisions as differences from those of the first
+        entry. An entry takes some 40 bytes, a fifth of its JSON form
+        (chalkway_servers.h), and entries are decoded one by one, without a
+        parse tree of the whole list. The recorded removals
+        (chalkway_changes.h) are included, so that the receiver can serve
+        deltas from as early a revision as the sender.
 
     HOW TO USE IT
             size_t size = 0;
-            char* bytes = cw_packed_write(&list, &changes, &size);    // to be freed by free()
+            char* bytes = cw_packed_write(&list, &changes, &size);    // free it with free()
             if (cw_packed_is(bytes, size) && cw_packed_read(&list, &changes, bytes, size, &err) == CW_OK) { ... }
 
     WHAT IT DOES NOT DO
-        No form for changes, which are short: see chalkway_changes.h.
+        It does not encode deltas: they are short and are sent as JSON, see
+        chalkway_changes.h.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_changes.h"
 
-/* The compact form, to be freed by free(). */
+/* Encodes the list and the removals; the caller frees the result with free(). */
 char* cw_packed_write(const cw_servers_t* list, const cw_changes_t* changes, size_t* size);
-/* Whether the bytes begin as the compact form does. */
+/* Whether the bytes begin with the magic string of the encoding. */
 bool cw_packed_is(const char* bytes, size_t size);
-/* Reads the compact form; an entry that is wrong refuses the list. The list and the changes must be empty. */
+/* Decodes a list and its removals; one invalid value makes it refuse the whole list. The list and the changes must be
+   empty. */
 cw_status_t cw_packed_read(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size, cw_error_t* err);
 
 #endif /* CHALKWAY_PACKED_H */
@@ -46,15 +50,16 @@
 #include <string.h>
 
 #define _CW_PACKED_MAGIC "chalkway-servers-1"
-#define _CW_PACKED_ZONE 256 /* numbers and texts take none of it */
+#define _CW_PACKED_ZONE_BYTES 256 /* the library's allocator; integers and strings take nothing from it */
 
-/* Names that entries refer to by their place. */
+/* A table of names; entries refer to a name by its index. */
 typedef struct _cw_packed_names_t {
     uint32_t count, capacity;
     char (*names)[CW_NAME_MAX];
 } _cw_packed_names_t;
 
-static uint32_t _cw_packed_name(_cw_packed_names_t* n, const char* name) {
+/* Index of the name, which is added if it is new. */
+static uint32_t _cw_packed_name_index(_cw_packed_names_t* n, const char* name) {
     for (uint32_t i = 0; i < n->count; i++) {
         if (strcmp(n->names[i], name) == 0) {
             return i;
@@ -71,8 +76,8 @@
     return n->count++;
 }
 
-/* IP and port as one number; 0: no such address. */
-static uint64_t _cw_packed_address(const char* text) {
+/* IPv4 address and port as one integer, (ip << 16) | port; 0: not a valid address. */
+static uint64_t _cw_packed_address_number(const char* text) {
     char ip[CW_SERVER_ADDRESS_MAX];
     struct in_addr parsed;
     cw_copy(ip, sizeof(ip), text);
@@ -85,42 +90,42 @@
     return inet_pton(AF_INET, ip, &parsed) == 1 ? (uint64_t)ntohl(parsed.s_addr) << 16U | port : 0;
 }
 
-/* -- writing -------------------------------------------------------------- */
+/* -- encoding ------------------------------------------------------------- */
 
-static void _cw_packed_put_text(msgpack_packer* p, const char* text) {
+static void _cw_packed_put_string(msgpack_packer* p, const char* text) {
     msgpack_pack_str_with_body(p, text, strlen(text));
 }
 
 static void _cw_packed_put_names(msgpack_packer* p, const _cw_packed_names_t* n) {
     msgpack_pack_uint32(p, n->count);
     for (uint32_t i = 0; i < n->count; i++) {
-        _cw_packed_put_text(p, n->names[i]);
+        _cw_packed_put_string(p, n->names[i]);
     }
 }
 
-static void _cw_packed_put_closed(msgpack_packer* p, const cw_closed_t* closed) {
+static void _cw_packed_put_closed_halls(msgpack_packer* p, const cw_closed_t* closed) {
     msgpack_pack_int64(p, closed->at);
     msgpack_pack_uint32(p, closed->count);
     for (uint32_t i = 0; i < closed->count; i++) {
-        _cw_packed_put_text(p, closed->halls[i]);
+        _cw_packed_put_string(p, closed->halls[i]);
     }
 }
 
-static void _cw_packed_put_gone(msgpack_packer* p, const cw_changes_t* changes) {
+static void _cw_packed_put_removals(msgpack_packer* p, const cw_changes_t* changes) {
     msgpack_pack_int64(p, changes->since);
     msgpack_pack_uint32(p, changes->count);
     for (uint32_t i = 0; i < changes->count; i++) {
-        _cw_packed_put_text(p, changes->gone[i].id);
+        _cw_packed_put_string(p, changes->gone[i].id);
         msgpack_pack_int64(p, changes->gone[i].revision);
     }
 }
 
 static void _cw_packed_put_server(msgpack_packer* p, const cw_server_t* s, _cw_packed_names_t* pools,
                                   _cw_packed_names_t* halls, const cw_server_t* base) {
-    _cw_packed_put_text(p, s->id);
-    msgpack_pack_uint64(p, _cw_packed_address(s->address));
-    msgpack_pack_uint32(p, _cw_packed_name(pools, s->pool));
-    msgpack_pack_uint32(p, _cw_packed_name(halls, s->hall));
+    _cw_packed_put_string(p, s->id);
+    msgpack_pack_uint64(p, _cw_packed_address_number(s->address));
+    msgpack_pack_uint32(p, _cw_packed_name_index(pools, s->pool));
+    msgpack_pack_uint32(p, _cw_packed_name_index(halls, s->hall));
     msgpack_pack_uint32(p, s->slots);
     msgpack_pack_uint32(p, s->leaving);
     msgpack_pack_uint32(p, s->cold_ms);
@@ -134,17 +139,17 @@
     _cw_packed_names_t pools = {0};
     _cw_packed_names_t halls = {0};
     for (uint32_t i = 0; i < list->count; i++) {
-        _cw_packed_name(&pools, list->items[i].pool);
-        _cw_packed_name(&halls, list->items[i].hall);
+        _cw_packed_name_index(&pools, list->items[i].pool);
+        _cw_packed_name_index(&halls, list->items[i].hall);
     }
     msgpack_sbuffer buffer;
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    _cw_packed_put_text(&packer, _CW_PACKED_MAGIC);
+    _cw_packed_put_string(&packer, _CW_PACKED_MAGIC);
     msgpack_pack_int64(&packer, list->at);
     msgpack_pack_uint32(&packer, list->age_ms);
-    _cw_packed_put_closed(&packer, &list->closed);
+    _cw_packed_put_closed_halls(&packer, &list->closed);
     _cw_packed_put_names(&packer, &pools);
     _cw_packed_put_names(&packer, &halls);
     msgpack_pack_int64(&packer, base->started_ms);
@@ -153,111 +158,112 @@
     for (uint32_t i = 0; i < list->count; i++) {
         _cw_packed_put_server(&packer, &list->items[i], &pools, &halls, base);
     }
-    _cw_packed_put_gone(&packer, changes);
+    _cw_packed_put_removals(&packer, changes);
     free(pools.names);
     free(halls.names);
     *size = buffer.size;
     return msgpack_sbuffer_release(&buffer);
 }
 
-/* -- reading -------------------------------------------------------------- */
+/* -- decoding ------------------------------------------------------------- */
 
-typedef struct _cw_packed_in_t {
+typedef struct _cw_packed_input_t {
     const char* bytes;
     size_t size, at;
     msgpack_zone zone;
-    bool bad;
-} _cw_packed_in_t;
+    bool is_invalid;
+} _cw_packed_input_t;
 
-/* The next value. Only numbers and texts are read: the library allocates what the head of an array announces. */
-static msgpack_object _cw_packed_next(_cw_packed_in_t* in) {
+/* Decodes the next value. Only integers and strings are accepted: for an array, the library would allocate as many
+   elements as its head announces, before it reads them. */
+static msgpack_object _cw_packed_next(_cw_packed_input_t* in) {
     uint8_t type = in->at < in->size ? (uint8_t)in->bytes[in->at] : 0xc0;
-    bool scalar = type <= 0x7f || type >= 0xe0 || (type >= 0xa0 && type <= 0xbf) || (type >= 0xcc && type <= 0xd3) ||
-                  (type >= 0xd9 && type <= 0xdb);
+    bool is_scalar = type <= 0x7f || type >= 0xe0 || (type >= 0xa0 && type <= 0xbf) || (type >= 0xcc && type <= 0xd3) ||
+                     (type >= 0xd9 && type <= 0xdb);
     msgpack_object o = {.type = MSGPACK_OBJECT_NIL};
     msgpack_unpack_return got = MSGPACK_UNPACK_PARSE_ERROR;
-    if (!in->bad && scalar) {
-        got = msgpack_unpack(in->bytes, in->size, &in->at, &in->zone, &o); /* a text lies in the bytes themselves */
+    if (!in->is_invalid && is_scalar) {
+        got = msgpack_unpack(in->bytes, in->size, &in->at, &in->zone, &o); /* a string refers to the input bytes */
     }
-    in->bad = got != MSGPACK_UNPACK_SUCCESS && got != MSGPACK_UNPACK_EXTRA_BYTES;
+    in->is_invalid = got != MSGPACK_UNPACK_SUCCESS && got != MSGPACK_UNPACK_EXTRA_BYTES;
     return o;
 }
 
-static int64_t _cw_packed_get(_cw_packed_in_t* in, int64_t least, int64_t most) {
+static int64_t _cw_packed_get_integer(_cw_packed_input_t* in, int64_t min, int64_t max) {
     msgpack_object o = _cw_packed_next(in);
-    bool positive = o.type == MSGPACK_OBJECT_POSITIVE_INTEGER && o.via.u64 <= INT64_MAX;
-    bool number = positive || o.type == MSGPACK_OBJECT_NEGATIVE_INTEGER;
-    in->bad = in->bad || !number || o.via.i64 < least || o.via.i64 > most;
-    return in->bad ? least : o.via.i64;
+    bool is_positive = o.type == MSGPACK_OBJECT_POSITIVE_INTEGER && o.via.u64 <= INT64_MAX;
+    bool is_integer = is_positive || o.type == MSGPACK_OBJECT_NEGATIVE_INTEGER;
+    in->is_invalid = in->is_invalid || !is_integer || o.via.i64 < min || o.via.i64 > max;
+    return in->is_invalid ? min : o.via.i64;
 }
 
-/* A name of visible characters. */
-static void _cw_packed_get_name(_cw_packed_in_t* in, char* out) {
+/* Decodes a name; it must consist of visible ASCII characters. */
+static void _cw_packed_get_name(_cw_packed_input_t* in, char* out) {
     msgpack_object o = _cw_packed_next(in);
-    in->bad = in->bad || o.type != MSGPACK_OBJECT_STR || !o.via.str.size || o.via.str.size >= CW_NAME_MAX;
-    uint32_t size = in->bad ? 0 : o.via.str.size;
+    in->is_invalid = in->is_invalid || o.type != MSGPACK_OBJECT_STR || !o.via.str.size || o.via.str.size >= CW_NAME_MAX;
+    uint32_t size = in->is_invalid ? 0 : o.via.str.size;
     for (uint32_t i = 0; i < size; i++) {
         out[i] = o.via.str.ptr[i];
-        in->bad = in->bad || (unsigned char)out[i] <= ' ' || (unsigned char)out[i] >= 0x7f;
+        in->is_invalid = in->is_invalid || (unsigned char)out[i] <= ' ' || (unsigned char)out[i] >= 0x7f;
     }
     out[size] = 0;
 }
 
-static void _cw_packed_get_names(_cw_packed_in_t* in, _cw_packed_names_t* n) {
+static void _cw_packed_get_names(_cw_packed_input_t* in, _cw_packed_names_t* n) {
     char name[CW_NAME_MAX];
-    int64_t count = _cw_packed_get(in, 0, UINT32_MAX);
-    for (int64_t i = 0; i < count && !in->bad; i++) {
+    int64_t count = _cw_packed_get_integer(in, 0, UINT32_MAX);
+    for (int64_t i = 0; i < count && !in->is_invalid; i++) {
         _cw_packed_get_name(in, name);
-        in->bad = in->bad || _cw_packed_name(n, name) != i; /* given twice */
+        in->is_invalid = in->is_invalid || _cw_packed_name_index(n, name) != i; /* listed twice */
     }
 }
 
-static void _cw_packed_get_closed(_cw_packed_in_t* in, cw_closed_t* closed) {
+static void _cw_packed_get_closed_halls(_cw_packed_input_t* in, cw_closed_t* closed) {
     char name[CW_NAME_MAX];
-    closed->at = _cw_packed_get(in, 0, INT64_MAX);
-    int64_t count = _cw_packed_get(in, 0, CW_CLOSED_MAX);
-    for (int64_t i = 0; i < count && !in->bad; i++) {
+    closed->at = _cw_packed_get_integer(in, 0, INT64_MAX);
+    int64_t count = _cw_packed_get_integer(in, 0, CW_CLOSED_MAX);
+    for (int64_t i = 0; i < count && !in->is_invalid; i++) {
         _cw_packed_get_name(in, name);
-        in->bad = in->bad || !cw_closed_add(closed, name);
+        in->is_invalid = in->is_invalid || !cw_closed_add(closed, name);
     }
 }
 
-static void _cw_packed_get_address(_cw_packed_in_t* in, char* out) {
-    uint64_t number = (uint64_t)_cw_packed_get(in, 1, (INT64_C(1) << 48) - 1);
+static void _cw_packed_get_address(_cw_packed_input_t* in, char* out) {
+    uint64_t number = (uint64_t)_cw_packed_get_integer(in, 1, (INT64_C(1) << 48) - 1);
     struct in_addr ip = {.s_addr = htonl((uint32_t)(number >> 16U))};
     char text[INET_ADDRSTRLEN];
     inet_ntop(AF_INET, &ip, text, sizeof(text));
     snprintf(out, CW_SERVER_ADDRESS_MAX, "%s:%u", text, (unsigned)(number & UINT16_MAX));
-    in->bad = in->bad || !(number & UINT16_MAX);
+    in->is_invalid = in->is_invalid || !(number & UINT16_MAX);
 }
 
-static void _cw_packed_get_server(_cw_packed_in_t* in, cw_server_t* s, const _cw_packed_names_t* pools,
+static void _cw_packed_get_server(_cw_packed_input_t* in, cw_server_t* s, const _cw_packed_names_t* pools,
                                   const _cw_packed_names_t* halls, const cw_server_t* base) {
     _cw_packed_get_name(in, s->id);
     _cw_packed_get_address(in, s->address);
-    int64_t pool = _cw_packed_get(in, 0, (int64_t)pools->count - 1);
-    int64_t hall = _cw_packed_get(in, 0, (int64_t)halls->count - 1);
-    s->slots = (uint32_t)_cw_packed_get(in, 1, _CW_SLOTS_MAX);
-    s->leaving = _cw_packed_get(in, 0, 1) != 0;
-    s->cold_ms = (uint32_t)_cw_packed_get(in, 0, UINT32_MAX);
-    s->started_ms = base->started_ms + _cw_packed_get(in, -base->started_ms, INT64_MAX - base->started_ms);
-    s->revision = base->revision + _cw_packed_get(in, -base->revision, INT64_MAX - base->revision);
-    if (!in->bad) {
+    int64_t pool = _cw_packed_get_integer(in, 0, (int64_t)pools->count - 1);
+    int64_t hall = _cw_packed_get_integer(in, 0, (int64_t)halls->count - 1);
+    s->slots = (uint32_t)_cw_packed_get_integer(in, 1, _CW_SLOTS_MAX);
+    s->leaving = _cw_packed_get_integer(in, 0, 1) != 0;
+    s->cold_ms = (uint32_t)_cw_packed_get_integer(in, 0, UINT32_MAX);
+    s->started_ms = base->started_ms + _cw_packed_get_integer(in, -base->started_ms, INT64_MAX - base->started_ms);
+    s->revision = base->revision + _cw_packed_get_integer(in, -base->revision, INT64_MAX - base->revision);
+    if (!in->is_invalid) {
         cw_copy(s->pool, sizeof(s->pool), pools->names[pool]);
         cw_copy(s->hall, sizeof(s->hall), halls->names[hall]);
     }
 }
 
-/* In the order of their revisions. */
-static void _cw_packed_get_gone(_cw_packed_in_t* in, cw_changes_t* changes) {
-    changes->since = _cw_packed_get(in, 0, INT64_MAX);
-    int64_t count = _cw_packed_get(in, 0, UINT32_MAX);
+/* Decodes the removals, which must be sorted by revision. */
+static void _cw_packed_get_removals(_cw_packed_input_t* in, cw_changes_t* changes) {
+    changes->since = _cw_packed_get_integer(in, 0, INT64_MAX);
+    int64_t count = _cw_packed_get_integer(in, 0, UINT32_MAX);
     int64_t last = changes->since;
     char id[CW_NAME_MAX];
-    for (int64_t i = 0; i < count && !in->bad; i++) {
+    for (int64_t i = 0; i < count && !in->is_invalid; i++) {
         _cw_packed_get_name(in, id);
-        last = _cw_packed_get(in, last, INT64_MAX);
-        if (!in->bad) {
+        last = _cw_packed_get_integer(in, last, INT64_MAX);
+        if (!in->is_invalid) {
             cw_changes_add_gone(changes, id, last);
         }
     }
@@ -269,36 +275,36 @@
 }
 
 cw_status_t cw_packed_read(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size, cw_error_t* err) {
-    _cw_packed_in_t in = {
-        .bytes = bytes, .size = size, .at = sizeof(_CW_PACKED_MAGIC), .bad = !cw_packed_is(bytes, size)};
+    _cw_packed_input_t in = {
+        .bytes = bytes, .size = size, .at = sizeof(_CW_PACKED_MAGIC), .is_invalid = !cw_packed_is(bytes, size)};
     _cw_packed_names_t pools = {0};
     _cw_packed_names_t halls = {0};
     cw_server_t base = {.slots = 0};
-    msgpack_zone_init(&in.zone, _CW_PACKED_ZONE);
-    list->at = _cw_packed_get(&in, 0, INT64_MAX);
-    list->age_ms = (uint32_t)_cw_packed_get(&in, 0, UINT32_MAX);
-    _cw_packed_get_closed(&in, &list->closed);
+    msgpack_zone_init(&in.zone, _CW_PACKED_ZONE_BYTES);
+    list->at = _cw_packed_get_integer(&in, 0, INT64_MAX);
+    list->age_ms = (uint32_t)_cw_packed_get_integer(&in, 0, UINT32_MAX);
+    _cw_packed_get_closed_halls(&in, &list->closed);
     _cw_packed_get_names(&in, &pools);
     _cw_packed_get_names(&in, &halls);
-    base.started_ms = _cw_packed_get(&in, 0, INT64_MAX);
-    base.revision = _cw_packed_get(&in, 0, INT64_MAX);
-    int64_t count = _cw_packed_get(&in, 0, UINT32_MAX);
-    for (int64_t i = 0; i < count && !in.bad; i++) {
+    base.started_ms = _cw_packed_get_integer(&in, 0, INT64_MAX);
+    base.revision = _cw_packed_get_integer(&in, 0, INT64_MAX);
+    int64_t count = _cw_packed_get_integer(&in, 0, UINT32_MAX);
+    for (int64_t i = 0; i < count && !in.is_invalid; i++) {
         cw_server_t server = {.slots = 0};
         _cw_packed_get_server(&in, &server, &pools, &halls, &base);
-        if (!in.bad) {
+        if (!in.is_invalid) {
             cw_servers_add(list, &server);
         }
     }
-    _cw_packed_get_gone(&in, changes);
+    _cw_packed_get_removals(&in, changes);
     free(pools.names);
     free(halls.names);
     msgpack_zone_destroy(&in.zone);
-    if (in.bad || in.at != size) {
+    if (in.is_invalid || in.at != size) {
         cw_servers_free(list);
         cw_changes_free(changes);
-        return cw_fail(err, CW_ERR_INVALID, "servers", NULL, "a compact list is wrong near byte %zu of %zu", in.at,
-                       size);
+        return cw_fail(err, CW_ERR_INVALID, "servers", NULL, "compact list of servers is invalid near byte %zu of %zu",
+                       in.at, size);
     }
     return CW_OK;
 }
