--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -7,7 +7,7 @@
         An immutable table read from one JSON document. A route is found by
         host and longest path prefix, a workspace by one of its keys. A
         document with any error is refused as a whole, so that the previous
-        revision stays in force. Unknown fields are ignored.
+        revision stays active. Unknown fields are ignored.
 
             {"revision": 7,
              "routes": [{"name": "chat", "host": "a.example", "prefix": "/chat/", "kind": "stream",
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -12,9 +12,9 @@
               "revision": 498}], "closed": ["b"], "closed_at": 512}
 
         A server may restart under the same id and has then lost its caches
-        and its requests. An instance is therefore identified by id and start
+        and its requests. An incarnation is therefore identified by id and start
         time (cw_server_life). leaving, cold_ms, started_ms and revision are
-        optional; a source without start times has to give each instance an
+        optional; a source without start times has to give each incarnation an
         id of its own.
 
         One table of fields validates the entries of all sources, which
@@ -113,7 +113,7 @@
 void cw_servers_refuse(cw_servers_t* list, const char* key, cw_server_fault_t fault);
 /* Refuses the entries without a start time if others have one: a source gives start times for all servers or none. */
 void cw_servers_drop_unstarted(cw_servers_t* list);
-/* Id of this instance of the server: hash of its id and start time. */
+/* Id of this incarnation of the server: hash of its id and start time. */
 uint64_t cw_server_life(const cw_server_t* server);
 /* Sets the servers and the closed halls as fields of a jansson object. */
 void cw_servers_json(const cw_servers_t* list, struct json_t* document);
@@ -126,7 +126,7 @@
 void cw_servers_remove(cw_servers_t* list, const char* id);
 void cw_servers_copy(cw_servers_t* to, const cw_servers_t* from);
 void cw_servers_free(cw_servers_t* list);
-/* Hash of the servers' instances, addresses and states and of the closed halls, independent of the order and age of
+/* Hash of the servers' incarnations, addresses and states and of the closed halls, independent of the order and age of
    the list; never 0. */
 uint64_t cw_servers_id(const cw_servers_t* list);
 /* Adds a hall unless it is already there. Returns false when the set is full. */
--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -7,25 +7,25 @@
         Holds the resources that operators publish: Workspace, RequestClass,
         Pool and Upstream, each a JSON document under a key, with the
         revision that the platform gave it. Each document is validated by the
-        schema of its kind. An invalid one leaves its last valid version in
-        force, and the reason is kept for its status. Revisions of a key
-        never decrease: a document with a lower revision than the highest one
-        seen is dropped, and a deletion stays as a tombstone. All valid
-        documents form one immutable view; a request uses the same view from
-        its start to its end.
+        schema of its kind. If it is invalid, its last valid version stays
+        active, and its status tells the reason. Revisions of a key never
+        decrease: a document with a lower revision than the highest one
+        seen is dropped, and a deletion stays as a tombstone. All active
+        documents form one immutable snapshot; a request uses the same
+        snapshot from its start to its end.
 
     HOW TO USE IT
             cw_store_t* store = cw_store_setup(&(cw_store_desc_t){0});
             cw_store_put(store, "pools/chat", 12, "{\"kind\":\"engine\"}");
             cw_store_put(store, "pools/old", 13, NULL);            // deletes it
             cw_store_commit(store, 13);                            // all changes up to revision 13 were put
-            cw_view_t* view = cw_store_view(store);                // takes a reference
-            const cw_class_t* c = cw_view_class(view, id);
-            cw_view_release(view);
+            cw_view_t* snapshot = cw_store_view(store);            // takes a reference
+            const cw_class_t* c = cw_view_class(snapshot, id);
+            cw_view_release(snapshot);
 
     WHAT IT DOES NOT DO
         No input or output. Memory is allocated for each new key, for each
-        version of a document and for each new view.
+        version of a document and for each new snapshot.
 
     LICENCE
         MIT, see LICENSE.
@@ -101,7 +101,7 @@
     bool drops_repeats; /* deduplicates calls by their name (header Idempotency-Key) */
 } cw_upstream_t;
 
-/* An immutable, reference-counted set of all valid resources. */
+/* An immutable, reference-counted set of all active resources. */
 typedef struct cw_view_t {
     uint32_t refs;
     int64_t revision;
@@ -114,14 +114,14 @@
     cw_map_t by_digest; /* first 8 bytes of a token digest -> workspace index */
 } cw_view_t;
 
-/* The newest and the valid version of one document. */
+/* The newest and the active version of one document. */
 typedef struct cw_item_t {
     char key[CW_KEY_MAX];
     int64_t revision;           /* of the newest version */
-    int64_t in_force;           /* revision of the version in force, 0: none */
+    int64_t in_force;           /* of the active version, 0: none */
     char* value;                /* text of the newest version, NULL: deleted */
-    char* valid;                /* text of the version in force, NULL: none */
-    char reason[CW_REASON_MAX]; /* why the newest version is not in force, "" when it is */
+    char* valid;                /* text of the active version, NULL: none */
+    char reason[CW_REASON_MAX]; /* why the newest version is not active, "" when it is */
     cw_kind_t kind;
 } cw_item_t;
 
@@ -138,28 +138,28 @@
    the key, CW_ERR_INVALID when the document is invalid (it is recorded with the reason) or the key names no kind, and
    CW_ERR_FULL when there is no room for another key. */
 cw_status_t cw_store_put(cw_store_t* store, const char* key, int64_t revision, const char* value);
-/* Declares that all changes up to revision were put, unless it is lower than the current one, and builds a new view if
-   a document changed. */
+/* Declares that all changes up to revision were put, unless it is lower than the current one, and builds a new snapshot
+   if a document changed. */
 void cw_store_commit(cw_store_t* store, int64_t revision);
 /* Revision up to which the store holds all changes; 0 before the first commit. */
 int64_t cw_store_revision(const cw_store_t* store);
-/* Returns the current view, never NULL, with a reference that the caller releases. */
+/* Returns the current snapshot, never NULL, with a reference that the caller releases. */
 cw_view_t* cw_store_view(cw_store_t* store);
-void cw_view_release(cw_view_t* view);
-/* Adds a reference to the view. */
-cw_view_t* cw_view_keep(cw_view_t* view);
+void cw_view_release(cw_view_t* snapshot);
+/* Adds a reference to the snapshot. */
+cw_view_t* cw_view_keep(cw_view_t* snapshot);
 uint32_t cw_store_count(const cw_store_t* store);
 const cw_item_t* cw_store_at(const cw_store_t* store, uint32_t index);
 const cw_item_t* cw_store_find(const cw_store_t* store, const char* key);
 /* Validates a document without storing it; err says why it is invalid. */
 cw_status_t cw_store_validate(const char* key, const char* value, cw_error_t* err);
 
-const cw_workspace_t* cw_view_workspace(const cw_view_t* view, uint64_t id);
-const cw_class_t* cw_view_class(const cw_view_t* view, uint64_t id);
-const cw_pool_t* cw_view_pool(const cw_view_t* view, uint64_t id);
-const cw_upstream_t* cw_view_upstream(const cw_view_t* view, uint64_t id);
+const cw_workspace_t* cw_view_workspace(const cw_view_t* snapshot, uint64_t id);
+const cw_class_t* cw_view_class(const cw_view_t* snapshot, uint64_t id);
+const cw_pool_t* cw_view_pool(const cw_view_t* snapshot, uint64_t id);
+const cw_upstream_t* cw_view_upstream(const cw_view_t* snapshot, uint64_t id);
 /* Returns the workspace of a bearer token's digest, compared in constant time; NULL when there is none. */
-const cw_workspace_t* cw_view_auth(const cw_view_t* view, const uint8_t digest[CW_DIGEST_BYTES]);
+const cw_workspace_t* cw_view_auth(const cw_view_t* snapshot, const uint8_t digest[CW_DIGEST_BYTES]);
 /* Part of a key before the slash: "workspaces", "classes", "pools" or "upstreams". */
 const char* cw_kind_name(cw_kind_t kind);
 
@@ -185,7 +185,7 @@
     cw_map_t by_key;
     int64_t revision;
     bool dirty;
-    cw_view_t* view;
+    cw_view_t* snapshot;
 };
 
 const char* cw_kind_name(cw_kind_t kind) {
@@ -460,13 +460,13 @@
     return _cw_parse(key, value, &parsed, err);
 }
 
-/* -- views ---------------------------------------------------------------- */
+/* -- snapshots ------------------------------------------------------------ */
 
-static uint64_t _cw_view_key(cw_kind_t kind, uint64_t id) {
+static uint64_t _cw_snapshot_key(cw_kind_t kind, uint64_t id) {
     return cw_mix((uint64_t)kind + 1, id);
 }
 
-static cw_view_t* _cw_view_new(const cw_allocator_t* a, uint32_t capacity) {
+static cw_view_t* _cw_snapshot_new(const cw_allocator_t* a, uint32_t capacity) {
     cw_view_t* v = cw_alloc(a, 1, sizeof(*v));
     v->refs = 1;
     v->by_id = cw_map_setup(capacity + 1, a);
@@ -494,21 +494,21 @@
     return v;
 }
 
-static void _cw_view_add_workspace(cw_view_t* v, const cw_workspace_t* w) {
+static void _cw_snapshot_add_workspace(cw_view_t* v, const cw_workspace_t* w) {
     v->workspaces[v->workspace_count] = *w;
     for (uint32_t i = 0; i < w->digest_count; i++) {
         uint64_t first_bytes;
         memcpy(&first_bytes, w->digests[i], sizeof(first_bytes));
         cw_map_put(&v->by_digest, first_bytes ? first_bytes : 1, v->workspace_count);
     }
-    cw_map_put(&v->by_id, _cw_view_key(CW_KIND_WORKSPACE, w->id), v->workspace_count++);
+    cw_map_put(&v->by_id, _cw_snapshot_key(CW_KIND_WORKSPACE, w->id), v->workspace_count++);
 }
 
-static void _cw_view_add(cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p) {
-    uint64_t key = _cw_view_key(kind, p->workspace.id);
+static void _cw_snapshot_add(cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p) {
+    uint64_t key = _cw_snapshot_key(kind, p->workspace.id);
     switch (kind) {
         case CW_KIND_WORKSPACE:
-            _cw_view_add_workspace(v, &p->workspace);
+            _cw_snapshot_add_workspace(v, &p->workspace);
             break;
         case CW_KIND_CLASS:
             cw_map_put(&v->by_id, key, v->class_count);
@@ -529,8 +529,8 @@
     return strcmp((*(cw_item_t* const*)a)->key, (*(cw_item_t* const*)b)->key);
 }
 
-/* Whether every pool that an upstream or a class refers to is in the view; sets reason if one is not. */
-static bool _cw_view_resolves(const cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p, char* reason) {
+/* Whether every pool that an upstream or a class refers to is in the snapshot; sets reason if one is not. */
+static bool _cw_snapshot_has_pools_of(const cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p, char* reason) {
     if (kind == CW_KIND_UPSTREAM && !cw_view_pool(v, p->upstream.pool_id)) {
         snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->upstream.pool);
         return false;
@@ -544,8 +544,8 @@
     return true;
 }
 
-/* Adds the valid documents to the view, either all pools or everything else: other kinds refer to pools. */
-static void _cw_view_fill(cw_store_t* s, cw_view_t* v, cw_item_t** sorted, bool pools) {
+/* Adds the active documents to the snapshot, either all pools or everything else: other kinds refer to pools. */
+static void _cw_snapshot_fill(cw_store_t* s, cw_view_t* v, cw_item_t** sorted, bool pools) {
     for (uint32_t i = 0; i < s->count; i++) {
         cw_item_t* item = sorted[i];
         _cw_parsed_t parsed;
@@ -554,8 +554,8 @@
             continue;
         }
         char reason[CW_REASON_MAX] = "";
-        if (_cw_view_resolves(v, item->kind, &parsed, reason)) {
-            _cw_view_add(v, item->kind, &parsed);
+        if (_cw_snapshot_has_pools_of(v, item->kind, &parsed, reason)) {
+            _cw_snapshot_add(v, item->kind, &parsed);
         }
         if (item->in_force == item->revision) {
             cw_copy(item->reason, sizeof(item->reason), reason);
@@ -563,13 +563,13 @@
     }
 }
 
-static cw_view_t* _cw_store_build(cw_store_t* s) {
+static cw_view_t* _cw_store_build_snapshot(cw_store_t* s) {
     const cw_allocator_t* a = &s->desc.allocator;
     uint32_t kinds[CW_KIND_COUNT] = {0};
     for (uint32_t i = 0; i < s->count; i++) {
         kinds[s->items[i]->kind] += s->items[i]->valid ? 1 : 0;
     }
-    cw_view_t* v = _cw_view_new(a, s->count);
+    cw_view_t* v = _cw_snapshot_new(a, s->count);
     v->revision = s->revision;
     v->workspaces = cw_alloc(a, kinds[CW_KIND_WORKSPACE], sizeof(*v->workspaces));
     v->classes = cw_alloc(a, kinds[CW_KIND_CLASS], sizeof(*v->classes));
@@ -578,33 +578,33 @@
     cw_item_t** sorted = cw_alloc(a, s->count, sizeof(*sorted));
     memcpy(sorted, s->items, s->count * sizeof(*sorted));
     qsort(sorted, s->count, sizeof(*sorted), _cw_item_compare_keys);
-    _cw_view_fill(s, v, sorted, true);
-    _cw_view_fill(s, v, sorted, false);
+    _cw_snapshot_fill(s, v, sorted, true);
+    _cw_snapshot_fill(s, v, sorted, false);
     cw_free(a, sorted);
     return v;
 }
 
-static uint32_t _cw_view_index(const cw_view_t* v, cw_kind_t kind, uint64_t id) {
-    return id ? cw_map_get(&v->by_id, _cw_view_key(kind, id)) : CW_MAP_NONE;
+static uint32_t _cw_snapshot_index(const cw_view_t* v, cw_kind_t kind, uint64_t id) {
+    return id ? cw_map_get(&v->by_id, _cw_snapshot_key(kind, id)) : CW_MAP_NONE;
 }
 
 const cw_workspace_t* cw_view_workspace(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_view_index(v, CW_KIND_WORKSPACE, id);
+    uint32_t i = _cw_snapshot_index(v, CW_KIND_WORKSPACE, id);
     return i == CW_MAP_NONE ? NULL : &v->workspaces[i];
 }
 
 const cw_class_t* cw_view_class(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_view_index(v, CW_KIND_CLASS, id);
+    uint32_t i = _cw_snapshot_index(v, CW_KIND_CLASS, id);
     return i == CW_MAP_NONE ? NULL : &v->classes[i];
 }
 
 const cw_pool_t* cw_view_pool(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_view_index(v, CW_KIND_POOL, id);
+    uint32_t i = _cw_snapshot_index(v, CW_KIND_POOL, id);
     return i == CW_MAP_NONE ? NULL : &v->pools[i];
 }
 
 const cw_upstream_t* cw_view_upstream(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_view_index(v, CW_KIND_UPSTREAM, id);
+    uint32_t i = _cw_snapshot_index(v, CW_KIND_UPSTREAM, id);
     return i == CW_MAP_NONE ? NULL : &v->upstreams[i];
 }
 
@@ -638,7 +638,7 @@
     s->desc = d;
     s->items = cw_alloc(&d.allocator, d.max_items, sizeof(*s->items));
     s->by_key = cw_map_setup(d.max_items, &d.allocator);
-    s->view = _cw_store_build(s);
+    s->snapshot = _cw_store_build_snapshot(s);
     return s;
 }
 
@@ -659,7 +659,7 @@
         _cw_store_set_text(s, &s->items[i]->valid, NULL);
         cw_free(&a, s->items[i]);
     }
-    cw_view_release(s->view);
+    cw_view_release(s->snapshot);
     cw_map_shutdown(&s->by_key);
     cw_free(&a, s->items);
     cw_free(&a, s);
@@ -714,8 +714,8 @@
         s->revision = revision;
     }
     if (s->dirty) {
-        cw_view_t* old = s->view;
-        s->view = _cw_store_build(s);
+        cw_view_t* old = s->snapshot;
+        s->snapshot = _cw_store_build_snapshot(s);
         s->dirty = false;
         cw_view_release(old);
     }
@@ -726,7 +726,7 @@
 }
 
 cw_view_t* cw_store_view(cw_store_t* s) {
-    return cw_view_keep(s->view);
+    return cw_view_keep(s->snapshot);
 }
 
 uint32_t cw_store_count(const cw_store_t* s) {
