--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -4,13 +4,13 @@
     chalkway_wire.h -- messages between daemons, as msgpack
 
     WHAT IT IS
-        One typed struct for each message and one function for each that
-        lists its fields; the same list serves counting, packing and
-        unpacking. A message is a msgpack array: type first, then fields.
-        Fields missing at the end read as zero and unknown ones at the end
-        are ignored, so that versions can be mixed during an upgrade. Over
-        TCP each message is a frame: four bytes of length, highest first,
-        then the array. Over UDP a datagram is one gossip message.
+        Each message has a typed struct and one function that lists its
+        fields; the same function counts, packs and unpacks them. A message
+        is a msgpack array: its type, then its fields. Missing fields at the
+        end are read as zero and unknown fields at the end are ignored, so
+        that versions can be mixed during an upgrade. Over TCP each message
+        is a frame: the length of the array in four bytes, big-endian, then
+        the array. Over UDP each datagram is one gossip message.
 
     HOW TO USE IT
             cw_wire_t* wire = cw_wire_setup(NULL);
@@ -18,8 +18,8 @@
             cw_status_t s = cw_wire_decode(wire, bytes, len, &msg, &err);
 
     WHAT IT DOES NOT DO
-        No sockets. Lists and chunks in a decoded message point into the
-        decoder and are valid until the next decode.
+        No sockets. Grant lists and document chunks in a decoded message
+        point into the decoder and are valid until the next decode.
 
     LICENCE
         MIT, see LICENSE.
@@ -28,22 +28,22 @@
 #include "chalkway_shard.h"
 
 #define CW_WIRE_VERSION 2
-#define CW_FRAME_MAX (2U << 20) /* bytes of one frame, a document of 1 MiB and its key included */
+#define CW_FRAME_MAX (2U << 20) /* bytes of one frame; has room for a document of 1 MiB with its key */
 #define CW_FRAME_HEADER 4
 #define CW_LIST_MAX 4096
 #define CW_CHUNK_MAX 256
 
 typedef enum cw_msg_type_t {
     CW_MSG_NONE = 0,
-    CW_MSG_HELLO,
-    CW_MSG_WANT,
-    CW_MSG_CANCEL,
-    CW_MSG_ACTION, /* grant, refuse, preempt, resync */
-    CW_MSG_DONE,
-    CW_MSG_DIGEST,
-    CW_MSG_LIST,
-    CW_MSG_PULL,
-    CW_MSG_CHUNK,
+    CW_MSG_HELLO,  /* identifies the sender of a connection */
+    CW_MSG_WANT,   /* slot request */
+    CW_MSG_CANCEL, /* cancels a slot request */
+    CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
+    CW_MSG_DONE,   /* grant release */
+    CW_MSG_DIGEST, /* digest of the grants that an entry holds */
+    CW_MSG_LIST,   /* the same with the grants themselves */
+    CW_MSG_PULL,   /* asks for all documents after a revision */
+    CW_MSG_CHUNK,  /* some of these documents */
     CW_MSG_TYPE_COUNT
 } cw_msg_type_t;
 
@@ -53,7 +53,7 @@
     char cluster[CW_NAME_MAX];
 } cw_hello_t;
 
-/* One document in a chunk. value NULL: deleted. */
+/* One document in a chunk; value NULL: it was deleted. */
 typedef struct cw_chunk_item_t {
     const char* key;
     const char* value;
@@ -61,28 +61,28 @@
 } cw_chunk_item_t;
 
 typedef struct cw_chunk_t {
-    int64_t revision; /* when last is set: the sender is complete up to here */
-    bool last;
+    int64_t revision; /* if last is set: revision up to which the sender's documents are complete */
+    bool last;        /* no more chunks follow */
     uint32_t count;
     cw_chunk_item_t items[CW_CHUNK_MAX];
 } cw_chunk_t;
 
 typedef struct cw_msg_t {
     cw_msg_type_t type;
-    uint64_t shard; /* want, cancel, action, done, digest, list */
+    uint64_t shard; /* slot request, cancel, action, grant release, digest, grant list */
     union {
         cw_hello_t hello;
         cw_want_t want;
         uint32_t cancel_seq;
         struct {
             cw_shard_action_t action;
-            uint32_t wait_ms; /* the shard's load, for the choice of a shard */
+            uint32_t wait_ms; /* estimated wait at the shard, by which entries choose one */
         };
         cw_done_t done;
         struct {
             cw_digest_t digest;
-            uint32_t held_count; /* list */
-            cw_held_t* held;
+            uint32_t held_count; /* grant list */
+            cw_held_t* held;     /* grant list */
         };
         int64_t pull_since;
         cw_chunk_t chunk;
@@ -98,15 +98,15 @@
 
 cw_wire_t* cw_wire_setup(const cw_allocator_t* allocator);
 void cw_wire_shutdown(cw_wire_t* wire);
-/* The message as a frame with its length, valid until the next call. */
+/* Encodes a message as a frame with its length; valid until the next call. */
 cw_bytes_t cw_wire_frame(cw_wire_t* wire, const cw_msg_t* msg);
-/* Reads the body of a frame (without its length). CW_ERR_PROTOCOL when it is no known message. */
+/* Decodes the body of a frame, without its length. Returns CW_ERR_PROTOCOL when it is not a valid message. */
 cw_status_t cw_wire_decode(cw_wire_t* wire, const uint8_t* body, size_t size, cw_msg_t* msg, cw_error_t* err);
-/* Length of the body from a frame's first four bytes. */
+/* Length of a frame's body, read from the frame's first four bytes. */
 uint32_t cw_wire_body_size(const uint8_t header[CW_FRAME_HEADER]);
-/* A gossip message as a datagram, valid until the next call. */
+/* Encodes a gossip message as a datagram; valid until the next call. */
 cw_bytes_t cw_wire_datagram(cw_wire_t* wire, const char* cluster, const cw_gossip_t* gossip);
-/* Reads a datagram; CW_ERR_PROTOCOL also for another cluster. */
+/* Decodes a datagram. Returns CW_ERR_PROTOCOL when it is not a valid message or comes from another cluster. */
 cw_status_t cw_wire_gossip(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size, cw_gossip_t* gossip,
                            cw_error_t* err);
 
@@ -129,13 +129,13 @@
 
 typedef enum _cw_io_mode_t { _CW_IO_COUNT, _CW_IO_PACK, _CW_IO_UNPACK } _cw_io_mode_t;
 
-/* Walks the fields of a message to count, pack or unpack them. */
+/* Visitor of a message's fields that counts, packs or unpacks them. */
 typedef struct _cw_io_t {
     _cw_io_mode_t mode;
-    uint32_t at;
+    uint32_t at; /* counting: fields so far; unpacking: index of the next field */
     msgpack_packer packer;
     const msgpack_object_array* in;
-    bool bad;
+    bool is_invalid;
 } _cw_io_t;
 
 static const msgpack_object* _cw_io_next(_cw_io_t* io) {
@@ -153,7 +153,7 @@
         if (!o) {
             return 0;
         }
-        io->bad = io->bad || o->type != MSGPACK_OBJECT_POSITIVE_INTEGER;
+        io->is_invalid = io->is_invalid || o->type != MSGPACK_OBJECT_POSITIVE_INTEGER;
         return o->via.u64;
     }
     return value;
@@ -169,13 +169,13 @@
 
 static void _cw_io_u32(_cw_io_t* io, uint32_t* field) {
     uint64_t value = _cw_io_uint(io, *field);
-    io->bad = io->bad || value > UINT32_MAX;
+    io->is_invalid = io->is_invalid || value > UINT32_MAX;
     *field = (uint32_t)value;
 }
 
 static void _cw_io_u8(_cw_io_t* io, uint8_t* field) {
     uint64_t value = _cw_io_uint(io, *field);
-    io->bad = io->bad || value > UINT8_MAX;
+    io->is_invalid = io->is_invalid || value > UINT8_MAX;
     *field = (uint8_t)value;
 }
 
@@ -183,7 +183,7 @@
     *field = _cw_io_uint(io, *field ? 1 : 0) != 0;
 }
 
-static void _cw_io_text(_cw_io_t* io, char* field, size_t size) {
+static void _cw_io_string(_cw_io_t* io, char* field, size_t size) {
     if (io->mode == _CW_IO_COUNT) {
         io->at++;
     } else if (io->mode == _CW_IO_PACK) {
@@ -195,7 +195,7 @@
             return;
         }
         if (o->type != MSGPACK_OBJECT_STR || o->via.str.size >= size) {
-            io->bad = true;
+            io->is_invalid = true;
             return;
         }
         if (o->via.str.size) {
@@ -205,7 +205,7 @@
     }
 }
 
-/* At most max bytes, as a text of any content, which earlier versions read over; size: how many, 0 where the field is
+/* Binary data of at most max bytes, packed as a string, which earlier versions skip; size is 0 if the field is
    missing. */
 static void _cw_io_bytes(_cw_io_t* io, uint8_t* field, uint32_t max, uint32_t* size) {
     if (io->mode == _CW_IO_COUNT) {
@@ -215,7 +215,7 @@
     } else {
         const msgpack_object* o = _cw_io_next(io);
         bool fits = o && o->type == MSGPACK_OBJECT_STR && o->via.str.size <= max;
-        io->bad = io->bad || (o && !fits);
+        io->is_invalid = io->is_invalid || (o && !fits);
         *size = fits ? o->via.str.size : 0;
         if (*size) {
             memcpy(field, o->via.str.ptr, *size);
@@ -223,11 +223,11 @@
     }
 }
 
-/* An enum below count. */
+/* An enum value below count. */
 static uint32_t _cw_io_enum(_cw_io_t* io, uint32_t value, uint32_t count) {
     uint64_t read = _cw_io_uint(io, value);
     if (read >= count) {
-        io->bad = true;
+        io->is_invalid = true;
         return 0;
     }
     return (uint32_t)read;
@@ -238,11 +238,11 @@
 static void _cw_fields_hello(_cw_io_t* io, cw_hello_t* h) {
     _cw_io_u32(io, &h->version);
     _cw_io_u64(io, &h->host);
-    _cw_io_text(io, h->cluster, sizeof(h->cluster));
-    io->bad = io->bad || (io->mode == _CW_IO_UNPACK && !h->host);
+    _cw_io_string(io, h->cluster, sizeof(h->cluster));
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && !h->host);
 }
 
-static void _cw_fields_want(_cw_io_t* io, cw_want_t* w) {
+static void _cw_fields_slot_request(_cw_io_t* io, cw_want_t* w) {
     _cw_io_u32(io, &w->seq);
     _cw_io_u8(io, &w->tier);
     _cw_io_u8(io, &w->flags);
@@ -256,7 +256,7 @@
     _cw_io_u64(io, &w->exclude);
     _cw_io_u64(io, &w->hall);
     _cw_io_u32(io, &w->need_ms);
-    io->bad = io->bad || (io->mode == _CW_IO_UNPACK && (!w->seq || !w->workspace || w->tier >= CW_TIERS));
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!w->seq || !w->workspace || w->tier >= CW_TIERS));
 }
 
 static void _cw_fields_action(_cw_io_t* io, cw_shard_action_t* a) {
@@ -270,20 +270,20 @@
     _cw_io_u32(io, &a->retry_after_ms);
 }
 
-static void _cw_fields_done(_cw_io_t* io, cw_done_t* d) {
+static void _cw_fields_grant_release(_cw_io_t* io, cw_done_t* d) {
     _cw_io_u64(io, &d->grant);
     d->result = (cw_pick_result_t)_cw_io_enum(io, d->result, CW_PICK_CANCELLED + 1);
     _cw_io_u32(io, &d->took_ms);
     _cw_io_u32(io, &d->cost);
 }
 
-static void _cw_fields_digest(_cw_io_t* io, cw_digest_t* d) {
+static void _cw_fields_grant_digest(_cw_io_t* io, cw_digest_t* d) {
     _cw_io_u64(io, &d->last);
     _cw_io_u64(io, &d->xored);
     _cw_io_u32(io, &d->count);
 }
 
-static void _cw_fields_held(_cw_io_t* io, cw_held_t* h) {
+static void _cw_fields_held_grant(_cw_io_t* io, cw_held_t* h) {
     _cw_io_u64(io, &h->grant);
     _cw_io_u64(io, &h->upstream);
     _cw_io_u64(io, &h->workspace);
@@ -291,7 +291,7 @@
     _cw_io_u32(io, &h->cost);
     _cw_io_u8(io, &h->tier);
     _cw_io_u8(io, &h->flags);
-    io->bad = io->bad || (io->mode == _CW_IO_UNPACK && (!h->grant || !h->workspace));
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!h->grant || !h->workspace));
 }
 
 static void _cw_fields_member(_cw_io_t* io, cw_member_info_t* i) {
@@ -299,35 +299,36 @@
     i->state = (cw_member_state_t)_cw_io_enum(io, i->state, CW_MEMBER_STATE_COUNT);
     _cw_io_bool(io, &i->leaving);
     _cw_io_u32(io, &i->link_mbps);
-    _cw_io_text(io, i->name, sizeof(i->name));
-    _cw_io_text(io, i->hall, sizeof(i->hall));
-    _cw_io_text(io, i->peer, sizeof(i->peer));
-    _cw_io_text(io, i->http, sizeof(i->http));
+    _cw_io_string(io, i->name, sizeof(i->name));
+    _cw_io_string(io, i->hall, sizeof(i->hall));
+    _cw_io_string(io, i->peer, sizeof(i->peer));
+    _cw_io_string(io, i->http, sizeof(i->http));
     if (io->mode == _CW_IO_UNPACK) {
         i->id = cw_name_id(i->name);
-        io->bad = io->bad || !i->name[0];
+        io->is_invalid = io->is_invalid || !i->name[0];
     }
 }
 
-#define _CW_HELD_FIELDS 7
+#define _CW_HELD_GRANT_FIELDS 7
 
-static void _cw_fields_list(_cw_io_t* io, cw_msg_t* msg, cw_held_t* room) {
-    _cw_fields_digest(io, &msg->digest);
+static void _cw_fields_grant_list(_cw_io_t* io, cw_msg_t* msg, cw_held_t* held_buffer) {
+    _cw_fields_grant_digest(io, &msg->digest);
     _cw_io_u32(io, &msg->held_count);
     if (io->mode == _CW_IO_UNPACK) {
-        msg->held = room;
-        if (msg->held_count > CW_LIST_MAX || io->at + (uint64_t)msg->held_count * _CW_HELD_FIELDS > io->in->size) {
-            io->bad = true;
+        msg->held = held_buffer;
+        if (msg->held_count > CW_LIST_MAX ||
+            io->at + (uint64_t)msg->held_count * _CW_HELD_GRANT_FIELDS > io->in->size) {
+            io->is_invalid = true;
             msg->held_count = 0;
         }
     }
     for (uint32_t i = 0; i < msg->held_count; i++) {
-        _cw_fields_held(io, &msg->held[i]);
+        _cw_fields_held_grant(io, &msg->held[i]);
     }
 }
 
-/* Texts of a chunk are not copied: they point into the decoder, each with a zero packed at its end. */
-static void _cw_io_document(_cw_io_t* io, const char** text) {
+/* Keys and values of a chunk are not copied: they point into the decoder, so each is packed with a terminating zero. */
+static void _cw_io_borrowed_string(_cw_io_t* io, const char** text) {
     if (io->mode == _CW_IO_COUNT) {
         io->at++;
     } else if (io->mode == _CW_IO_PACK) {
@@ -342,31 +343,31 @@
         if (o && o->type == MSGPACK_OBJECT_STR && o->via.str.size && !o->via.str.ptr[o->via.str.size - 1]) {
             *text = o->via.str.ptr;
         } else if (!o || o->type != MSGPACK_OBJECT_NIL) {
-            io->bad = true;
+            io->is_invalid = true;
         }
     }
 }
 
-static void _cw_fields_chunk(_cw_io_t* io, cw_chunk_t* c) {
+static void _cw_fields_document_chunk(_cw_io_t* io, cw_chunk_t* c) {
     _cw_io_i64(io, &c->revision);
     _cw_io_bool(io, &c->last);
     _cw_io_u32(io, &c->count);
     if (c->count > CW_CHUNK_MAX) {
-        io->bad = true;
+        io->is_invalid = true;
         c->count = 0;
     }
     for (uint32_t i = 0; i < c->count; i++) {
-        _cw_io_document(io, &c->items[i].key);
-        _cw_io_document(io, &c->items[i].value);
+        _cw_io_borrowed_string(io, &c->items[i].key);
+        _cw_io_borrowed_string(io, &c->items[i].value);
         _cw_io_i64(io, &c->items[i].revision);
-        io->bad = io->bad || (io->mode == _CW_IO_UNPACK && !c->items[i].key);
+        io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && !c->items[i].key);
     }
 }
 
-static void _cw_fields_msg(_cw_io_t* io, cw_msg_t* msg, cw_held_t* room) {
+static void _cw_fields_msg(_cw_io_t* io, cw_msg_t* msg, cw_held_t* held_buffer) {
     msg->type = (cw_msg_type_t)_cw_io_enum(io, msg->type, CW_MSG_TYPE_COUNT);
-    bool of_shard = msg->type >= CW_MSG_WANT && msg->type <= CW_MSG_LIST;
-    if (of_shard) {
+    bool is_for_shard = msg->type >= CW_MSG_WANT && msg->type <= CW_MSG_LIST;
+    if (is_for_shard) {
         _cw_io_u64(io, &msg->shard);
     }
     switch (msg->type) {
@@ -374,7 +375,7 @@
             _cw_fields_hello(io, &msg->hello);
             break;
         case CW_MSG_WANT:
-            _cw_fields_want(io, &msg->want);
+            _cw_fields_slot_request(io, &msg->want);
             break;
         case CW_MSG_CANCEL:
             _cw_io_u32(io, &msg->cancel_seq);
@@ -384,28 +385,28 @@
             _cw_io_u32(io, &msg->wait_ms);
             break;
         case CW_MSG_DONE:
-            _cw_fields_done(io, &msg->done);
+            _cw_fields_grant_release(io, &msg->done);
             break;
         case CW_MSG_DIGEST:
-            _cw_fields_digest(io, &msg->digest);
+            _cw_fields_grant_digest(io, &msg->digest);
             break;
         case CW_MSG_LIST:
-            _cw_fields_list(io, msg, room);
+            _cw_fields_grant_list(io, msg, held_buffer);
             break;
         case CW_MSG_PULL:
             _cw_io_i64(io, &msg->pull_since);
             break;
         case CW_MSG_CHUNK:
-            _cw_fields_chunk(io, &msg->chunk);
+            _cw_fields_document_chunk(io, &msg->chunk);
             break;
         default:
-            io->bad = true;
+            io->is_invalid = true;
             break;
     }
 }
 
-/* A summary travels as two bytes a bucket, the lower one first; a number of buckets that is no power of two is refused.
- */
+/* A summary is packed as two bytes per bucket, little-endian; a number of buckets that is not a power of two is
+   refused. */
 static void _cw_fields_summary(_cw_io_t* io, cw_summary_t* s) {
     uint8_t bytes[2 * CW_SUMMARY_BUCKETS];
     uint32_t size = 2 * s->buckets;
@@ -414,16 +415,16 @@
         bytes[2 * i + 1] = (uint8_t)(s->sums[i] >> 8U);
     }
     _cw_io_bytes(io, bytes, sizeof(bytes), &size);
-    bool power = !(size / 2 & (size / 2 - 1));
-    io->bad = io->bad || size % 2 || !power;
-    s->buckets = io->bad ? 0 : size / 2;
+    bool is_power_of_two = !(size / 2 & (size / 2 - 1));
+    io->is_invalid = io->is_invalid || size % 2 || !is_power_of_two;
+    s->buckets = io->is_invalid ? 0 : size / 2;
     for (size_t i = 0; i < s->buckets; i++) {
         s->sums[i] = (uint16_t)(bytes[2 * i] | bytes[2 * i + 1] << 8U);
     }
 }
 
 static void _cw_fields_gossip(_cw_io_t* io, cw_gossip_t* g, char* cluster) {
-    _cw_io_text(io, cluster, CW_NAME_MAX);
+    _cw_io_string(io, cluster, CW_NAME_MAX);
     g->kind = (cw_gossip_kind_t)_cw_io_enum(io, g->kind, CW_GOSSIP_NEWS_ONLY + 1);
     _cw_io_u32(io, &g->seq);
     _cw_io_bool(io, &g->join);
@@ -434,7 +435,7 @@
     _cw_fields_member(io, &g->from);
     _cw_io_u32(io, &g->news_count);
     if (g->news_count > CW_GOSSIP_NEWS) {
-        io->bad = true;
+        io->is_invalid = true;
         g->news_count = 0;
     }
     for (uint32_t i = 0; i < g->news_count; i++) {
@@ -462,7 +463,7 @@
     cw_free(&a, wire);
 }
 
-static _cw_io_t _cw_wire_packer(cw_wire_t* wire, uint32_t fields) {
+static _cw_io_t _cw_wire_begin_array(cw_wire_t* wire, uint32_t fields) {
     _cw_io_t io = {.mode = _CW_IO_PACK};
     msgpack_packer_init(&io.packer, &wire->buffer, msgpack_sbuffer_write);
     msgpack_pack_array(&io.packer, fields);
@@ -475,7 +476,7 @@
     _cw_fields_msg(&counter, &copy, NULL);
     msgpack_sbuffer_clear(&wire->buffer);
     msgpack_sbuffer_write(&wire->buffer, "\0\0\0\0", CW_FRAME_HEADER);
-    _cw_io_t io = _cw_wire_packer(wire, counter.at);
+    _cw_io_t io = _cw_wire_begin_array(wire, counter.at);
     _cw_fields_msg(&io, &copy, NULL);
     uint32_t body = (uint32_t)(wire->buffer.size - CW_FRAME_HEADER);
     for (uint32_t i = 0; i < CW_FRAME_HEADER; i++) {
@@ -488,8 +489,8 @@
     return ((uint32_t)header[0] << 24) | ((uint32_t)header[1] << 16) | ((uint32_t)header[2] << 8) | header[3];
 }
 
-/* Big-endian number of size bytes. */
-static uint64_t _cw_wire_number(const uint8_t* at, size_t size) {
+/* Reads a big-endian integer of size bytes. */
+static uint64_t _cw_wire_read_big_endian(const uint8_t* at, size_t size) {
     uint64_t value = 0;
     for (size_t i = 0; i < size; i++) {
         value = value << 8 | at[i];
@@ -497,28 +498,29 @@
     return value;
 }
 
-/* Bytes of one field with its type byte, or 0 when it is no number, text or nil, or does not fit. */
+/* Size of one field, including its type byte; 0 when it is not an unsigned integer, a string or nil, or is longer than
+   left bytes. */
 static size_t _cw_wire_field_size(const uint8_t* at, size_t left) {
     uint8_t type = at[0];
-    size_t length_bytes = 0;
+    size_t length_size = 0;
     size_t size = 1;
-    if (type <= 0x7f || type == 0xc0) { /* small number, nil */
+    if (type <= 0x7f || type == 0xc0) { /* positive fixint, nil */
         size = 1;
-    } else if (type >= 0xcc && type <= 0xcf) { /* numbers of 1, 2, 4, 8 bytes */
+    } else if (type >= 0xcc && type <= 0xcf) { /* uint of 1, 2, 4, 8 bytes */
         size = 1 + ((size_t)1 << (type - 0xcc));
-    } else if (type >= 0xa0 && type <= 0xbf) { /* short text */
+    } else if (type >= 0xa0 && type <= 0xbf) { /* fixstr */
         size = 1 + (size_t)(type & 0x1f);
-    } else if (type >= 0xd9 && type <= 0xdb) { /* text with a length of 1, 2, 4 bytes */
-        length_bytes = (size_t)1 << (type - 0xd9);
-        size = left > length_bytes ? 1 + length_bytes + _cw_wire_number(at + 1, length_bytes) : 0;
+    } else if (type >= 0xd9 && type <= 0xdb) { /* str with a length of 1, 2, 4 bytes */
+        length_size = (size_t)1 << (type - 0xd9);
+        size = left > length_size ? 1 + length_size + _cw_wire_read_big_endian(at + 1, length_size) : 0;
     } else {
         size = 0;
     }
     return size <= left ? size : 0;
 }
 
-/* Whether the bytes are one flat array that holds what its head announces. The library allocates by the head alone, so
-   a few bytes could ask it for gigabytes. */
+/* Whether the bytes start with a flat array that has all elements that its head announces. The library allocates by
+   the head alone, so without this check a message of a few bytes could make it allocate gigabytes. */
 static bool _cw_wire_is_flat(const uint8_t* data, size_t size) {
     size_t head = 0;
     uint64_t count = 0;
@@ -527,10 +529,10 @@
         count = data[0] & 0x0f;
     } else if (size >= 3 && data[0] == 0xdc) {
         head = 3;
-        count = _cw_wire_number(data + 1, 2);
+        count = _cw_wire_read_big_endian(data + 1, 2);
     } else if (size >= 5 && data[0] == 0xdd) {
         head = 5;
-        count = _cw_wire_number(data + 1, 4);
+        count = _cw_wire_read_big_endian(data + 1, 4);
     } else {
         return false;
     }
@@ -545,29 +547,29 @@
     return true;
 }
 
-static cw_status_t _cw_wire_open(cw_wire_t* wire, const uint8_t* data, size_t size, msgpack_object* root,
-                                 cw_error_t* err) {
+static cw_status_t _cw_wire_unpack_array(cw_wire_t* wire, const uint8_t* data, size_t size, msgpack_object* root,
+                                         cw_error_t* err) {
     size_t at = 0;
     msgpack_zone_clear(&wire->zone);
     if (!_cw_wire_is_flat(data, size) ||
         msgpack_unpack((const char*)data, size, &at, &wire->zone, root) != MSGPACK_UNPACK_SUCCESS ||
         root->type != MSGPACK_OBJECT_ARRAY) {
-        return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "%zu bytes are no flat msgpack array", size);
+        return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "%zu bytes are not a flat msgpack array", size);
     }
     return CW_OK;
 }
 
 cw_status_t cw_wire_decode(cw_wire_t* wire, const uint8_t* body, size_t size, cw_msg_t* msg, cw_error_t* err) {
     msgpack_object root;
-    cw_status_t status = _cw_wire_open(wire, body, size, &root, err);
+    cw_status_t status = _cw_wire_unpack_array(wire, body, size, &root, err);
     if (status != CW_OK) {
         return status;
     }
     _cw_io_t io = {.mode = _CW_IO_UNPACK, .in = &root.via.array};
-    memset(msg, 0, sizeof(*msg)); /* no field may keep what an earlier message held */
+    memset(msg, 0, sizeof(*msg)); /* no field may keep a value of an earlier message */
     _cw_fields_msg(&io, msg, wire->held);
-    if (io.bad) {
-        return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "message of type %d has a wrong field", (int)msg->type);
+    if (io.is_invalid) {
+        return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "message of type %d has an invalid field", (int)msg->type);
     }
     return CW_OK;
 }
@@ -579,7 +581,7 @@
     _cw_io_t counter = {.mode = _CW_IO_COUNT};
     _cw_fields_gossip(&counter, &copy, name);
     msgpack_sbuffer_clear(&wire->buffer);
-    _cw_io_t io = _cw_wire_packer(wire, counter.at);
+    _cw_io_t io = _cw_wire_begin_array(wire, counter.at);
     _cw_fields_gossip(&io, &copy, name);
     return (cw_bytes_t){.data = (const uint8_t*)wire->buffer.data, .size = wire->buffer.size};
 }
@@ -587,7 +589,7 @@
 cw_status_t cw_wire_gossip(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size, cw_gossip_t* gossip,
                            cw_error_t* err) {
     msgpack_object root;
-    cw_status_t status = _cw_wire_open(wire, data, size, &root, err);
+    cw_status_t status = _cw_wire_unpack_array(wire, data, size, &root, err);
     if (status != CW_OK) {
         return status;
     }
@@ -595,11 +597,12 @@
     char name[CW_NAME_MAX];
     memset(gossip, 0, sizeof(*gossip));
     _cw_fields_gossip(&io, gossip, name);
-    if (io.bad) {
-        return cw_fail(err, CW_ERR_PROTOCOL, "decode", gossip->from.peer, "gossip has a wrong field");
+    if (io.is_invalid) {
+        return cw_fail(err, CW_ERR_PROTOCOL, "decode", gossip->from.peer, "gossip message has an invalid field");
     }
     if (strcmp(name, cluster) != 0) {
-        return cw_fail(err, CW_ERR_PROTOCOL, "decode", gossip->from.peer, "gossip of cluster \"%s\"", name);
+        return cw_fail(err, CW_ERR_PROTOCOL, "decode", gossip->from.peer, "gossip message of another cluster, \"%s\"",
+                       name);
     }
     return CW_OK;
 }
