--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -5,8 +5,8 @@
 
     WHAT IT IS
         The settings of chalkwayd with their sections, keys, units and
-        defaults in one table. Everything wrong with a file is reported at
-        once, each with line, key and reason.
+        defaults in one table. All errors of a file are reported together,
+        each with line, key and reason.
 
     HOW TO USE IT
             cw_settings_t settings;
@@ -38,38 +38,38 @@
     char seeds[CW_SETTINGS_TEXT_MAX]; /* peer addresses, separated by commas */
     /* [platform] */
     char platform[CW_SETTINGS_TEXT_MAX]; /* URL */
-    uint32_t watch_ms;                   /* length of a long poll */
-    uint32_t readers;                    /* hosts of a hall that read the platform */
-    uint32_t hosts_ms;                   /* between two readings of the list of hosts */
-    double platform_rate;                /* calls a second of this host */
+    uint32_t watch_ms;                   /* duration of a long poll */
+    uint32_t readers;                    /* hosts per hall that poll the platform */
+    uint32_t hosts_ms;                   /* interval between polls of the list of hosts */
+    double platform_rate;                /* limit of this host's calls per second */
     /* [entry] */
     uint32_t max_requests;
     uint32_t max_body;
     uint32_t max_connections;
-    uint32_t lookup_ms; /* how long callers may keep a lookup answer */
-    uint32_t ticket_ms;
-    uint32_t silent_ms;           /* allocator's silence until direct mode */
-    uint32_t silent_protected_ms; /* the same for protected classes */
-    uint32_t first_token_ms;      /* a resumable stream without a token for so long is tried elsewhere */
-    uint32_t stall_ms;            /* the same between two tokens */
-    uint32_t max_answer;          /* bytes of a whole answer held */
-    double retry_share;           /* retries for each first try */
+    uint32_t lookup_ms;           /* how long callers may cache a lookup response */
+    uint32_t ticket_ms;           /* lifetime of a ticket */
+    uint32_t silent_ms;           /* timeout for an allocator's response; then the entry uses direct mode */
+    uint32_t silent_protected_ms; /* the same for requests of protected classes */
+    uint32_t first_token_ms;      /* a resumable stream without its first token after this time is retried elsewhere */
+    uint32_t stall_ms;            /* the same for each further token */
+    uint32_t max_answer;          /* bytes of a response that is buffered as a whole */
+    double retry_share;           /* retries allowed per first attempt */
     /* [allocator] */
     char policy[CW_NAME_MAX]; /* shared, solo, lease or round-robin */
-    uint32_t grant_ms;        /* time to use a grant */
-    uint32_t lease_ms;        /* grants of a silent entry return after */
-    uint32_t max_waiting;
-    uint32_t report_ms; /* between two readings of an upstream's load */
+    uint32_t grant_ms;        /* time within which a grant must be used */
+    uint32_t lease_ms;        /* time after which the grants of an entry that sends nothing are reclaimed */
+    uint32_t max_waiting;     /* slot requests queued at one shard */
+    uint32_t report_ms;       /* interval between polls of an upstream's load */
     /* [member] */
-    uint32_t probe_ms;
-    uint32_t probe_timeout_ms;
-    uint32_t suspect_ms;
+    uint32_t probe_ms;         /* interval between probes */
+    uint32_t probe_timeout_ms; /* for the response to a direct probe */
+    uint32_t suspect_ms;       /* time from suspecting a host to declaring it dead */
     /* [log] */
     char log_level[CW_NAME_MAX];
     char log_format[CW_NAME_MAX];
 } cw_settings_t;
 
-#define CW_SETTINGS_MAX 64 /* entries of one table */
+#define CW_SETTINGS_MAX 64 /* settings in one table */
 
 typedef struct cw_settings_errors_t {
     uint32_t count;
@@ -78,33 +78,34 @@
 
 typedef enum cw_setting_kind_t {
     CW_SETTING_TEXT = 0,
-    CW_SETTING_NAME,    /* letters, digits, '-', '.', '_' */
-    CW_SETTING_ADDRESS, /* IP:PORT */
-    CW_SETTING_MS,      /* a time with its unit: 500ms, 5s, 2m */
-    CW_SETTING_BYTES,   /* a size: 1000, 64k, 8m */
-    CW_SETTING_COUNT_KIND,
-    CW_SETTING_NUMBER
+    CW_SETTING_NAME,       /* letters, digits, '-', '.', '_' */
+    CW_SETTING_ADDRESS,    /* IP:PORT */
+    CW_SETTING_MS,         /* a duration with its unit: 500ms, 5s, 2m */
+    CW_SETTING_BYTES,      /* a size in bytes: 1000, 64k, 8m */
+    CW_SETTING_COUNT_KIND, /* an integer */
+    CW_SETTING_NUMBER      /* a real number */
 } cw_setting_kind_t;
 
 typedef struct cw_setting_info_t {
     const char* section;
     const char* key;
     cw_setting_kind_t kind;
-    size_t offset;       /* in cw_settings_t */
-    const char* initial; /* as in the file; NULL: must be given */
-    double min, max;     /* in ms, bytes or as they are */
+    size_t offset;       /* of the field in the struct of settings */
+    const char* initial; /* default, written as in the file; NULL: the setting is required */
+    double min, max;     /* in ms, in bytes or in the setting's own unit */
     const char* help;
 } cw_setting_info_t;
 
 cw_status_t cw_settings_load(const char* path, cw_settings_t* settings, cw_settings_errors_t* errors);
-/* Reads a file by any table of settings (at most CW_SETTINGS_MAX) into a struct of texts (CW_SETTINGS_TEXT_MAX), names
-   and addresses (CW_NAME_MAX), uint32_t and double. The struct must be all zero. */
+/* Reads a file by a table of at most CW_SETTINGS_MAX settings into a struct, whose fields are
+   char[CW_SETTINGS_TEXT_MAX] for texts, char[CW_NAME_MAX] for names and addresses, uint32_t or double. The struct must
+   be zeroed. */
 cw_status_t cw_settings_read(const char* path, const cw_setting_info_t* table, uint32_t count, void* settings,
                              cw_settings_errors_t* errors);
-/* Adds an error unless value is one of the choices, each with a space before and after it. */
+/* Adds an error unless value is one of the choices, a list in which every word has a space before and after it. */
 void cw_settings_choice(const char* path, const char* section, const char* key, const char* value, const char* choices,
                         cw_settings_errors_t* errors);
-/* The table of all settings. */
+/* Returns the table of all settings of chalkwayd. */
 const cw_setting_info_t* cw_settings_info(uint32_t* count);
 
 #endif /* CHALKWAY_SETTINGS_H */
@@ -123,51 +124,70 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define _CW_AT(field) offsetof(cw_settings_t, field)
+#define _CW_SETTINGS_OFFSET(field) offsetof(cw_settings_t, field)
 
 static const cw_setting_info_t _cw_settings[] = {
-    {"host", "name", CW_SETTING_NAME, _CW_AT(name), NULL, 0, 0, "name of this host, unique in the cluster"},
-    {"host", "hall", CW_SETTING_NAME, _CW_AT(hall), NULL, 0, 0, "hall that this host stands in"},
-    {"host", "cluster", CW_SETTING_NAME, _CW_AT(cluster), "chalkway", 0, 0, "peers of other clusters are refused"},
-    {"host", "http", CW_SETTING_ADDRESS, _CW_AT(http), NULL, 0, 0, "address for callers"},
-    {"host", "peer", CW_SETTING_ADDRESS, _CW_AT(peer), NULL, 0, 0, "address for other daemons, TCP and UDP"},
-    {"host", "operator", CW_SETTING_ADDRESS, _CW_AT(operator_http), NULL, 0, 0, "address for operators and metrics"},
-    {"host", "seeds", CW_SETTING_TEXT, _CW_AT(seeds), "", 0, 0, "peer addresses to join, separated by commas"},
-    {"platform", "url", CW_SETTING_TEXT, _CW_AT(platform), "", 0, 0, "base URL of the configuration service"},
-    {"platform", "watch", CW_SETTING_MS, _CW_AT(watch_ms), "20s", 100, 300000, "length of one waiting watch"},
-    {"platform", "readers", CW_SETTING_COUNT_KIND, _CW_AT(readers), "1", 1, 100, "hosts of a hall that read"},
-    {"platform", "hosts", CW_SETTING_MS, _CW_AT(hosts_ms), "15s", 100, 600000,
-     "between two readings of the list of hosts"},
-    {"platform", "rate", CW_SETTING_NUMBER, _CW_AT(platform_rate), "2", 0.1, 1000, "calls a second of this host"},
-    {"entry", "max_requests", CW_SETTING_COUNT_KIND, _CW_AT(max_requests), "4096", 16, 65536, "requests at once"},
-    {"entry", "max_body", CW_SETTING_BYTES, _CW_AT(max_body), "1m", 1024, 67108864, "longest request body"},
-    {"entry", "max_connections", CW_SETTING_COUNT_KIND, _CW_AT(max_connections), "4000", 16, 60000,
+    {"host", "name", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(name), NULL, 0, 0,
+     "name of this host, unique in the cluster"},
+    {"host", "hall", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(hall), NULL, 0, 0, "hall that this host stands in"},
+    {"host", "cluster", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(cluster), "chalkway", 0, 0,
+     "peers of other clusters are refused"},
+    {"host", "http", CW_SETTING_ADDRESS, _CW_SETTINGS_OFFSET(http), NULL, 0, 0, "address for callers"},
+    {"host", "peer", CW_SETTING_ADDRESS, _CW_SETTINGS_OFFSET(peer), NULL, 0, 0,
+     "address for other daemons, TCP and UDP"},
+    {"host", "operator", CW_SETTING_ADDRESS, _CW_SETTINGS_OFFSET(operator_http), NULL, 0, 0,
+     "address for operators and metrics"},
+    {"host", "seeds", CW_SETTING_TEXT, _CW_SETTINGS_OFFSET(seeds), "", 0, 0,
+     "peer addresses to join, separated by commas"},
+    {"platform", "url", CW_SETTING_TEXT, _CW_SETTINGS_OFFSET(platform), "", 0, 0,
+     "base URL of the configuration service"},
+    {"platform", "watch", CW_SETTING_MS, _CW_SETTINGS_OFFSET(watch_ms), "20s", 100, 300000,
+     "duration of one long poll"},
+    {"platform", "readers", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(readers), "1", 1, 100,
+     "hosts per hall that poll the platform"},
+    {"platform", "hosts", CW_SETTING_MS, _CW_SETTINGS_OFFSET(hosts_ms), "15s", 100, 600000,
+     "interval between polls of the list of hosts"},
+    {"platform", "rate", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(platform_rate), "2", 0.1, 1000,
+     "limit of this host's calls per second"},
+    {"entry", "max_requests", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_requests), "4096", 16, 65536,
+     "concurrent requests"},
+    {"entry", "max_body", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_body), "1m", 1024, 67108864,
+     "largest request body"},
+    {"entry", "max_connections", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_connections), "4000", 16, 60000,
      "connections of callers"},
-    {"entry", "lookup_keep", CW_SETTING_MS, _CW_AT(lookup_ms), "5s", 100, 600000,
-     "how long callers keep a lookup answer"},
-    {"entry", "ticket_keep", CW_SETTING_MS, _CW_AT(ticket_ms), "60s", 1000, 3600000, "life of a ticket"},
-    {"entry", "silent", CW_SETTING_MS, _CW_AT(silent_ms), "150ms", 5, 10000, "allocator's silence until direct mode"},
-    {"entry", "silent_protected", CW_SETTING_MS, _CW_AT(silent_protected_ms), "40ms", 5, 10000,
-     "the same for protected classes"},
-    {"entry", "first_token", CW_SETTING_MS, _CW_AT(first_token_ms), "3s", 50, 600000,
-     "a resumable stream without a token for so long is tried elsewhere"},
-    {"entry", "stall", CW_SETTING_MS, _CW_AT(stall_ms), "1500ms", 20, 600000, "the same between two tokens"},
-    {"entry", "max_answer", CW_SETTING_BYTES, _CW_AT(max_answer), "4m", 1024, 67108864, "longest whole answer"},
-    {"entry", "retry_share", CW_SETTING_NUMBER, _CW_AT(retry_share), "0.1", 0, 1, "retries for each first try"},
-    {"allocator", "policy", CW_SETTING_NAME, _CW_AT(policy), "shared", 0, 0,
-     "shared; solo, lease and round-robin are baselines to compare with"},
-    {"allocator", "grant", CW_SETTING_MS, _CW_AT(grant_ms), "500ms", 20, 10000, "time to use a grant"},
-    {"allocator", "lease", CW_SETTING_MS, _CW_AT(lease_ms), "60s", 1000, 600000,
-     "grants of a silent entry return after"},
-    {"allocator", "max_waiting", CW_SETTING_COUNT_KIND, _CW_AT(max_waiting), "4096", 16, 200000,
-     "wants queued at one shard"},
-    {"allocator", "report", CW_SETTING_MS, _CW_AT(report_ms), "1s", 100, 60000,
-     "between two readings of an upstream's load"},
-    {"member", "probe", CW_SETTING_MS, _CW_AT(probe_ms), "1s", 50, 60000, "between two probes"},
-    {"member", "probe_timeout", CW_SETTING_MS, _CW_AT(probe_timeout_ms), "300ms", 10, 30000, "for a direct answer"},
-    {"member", "suspect", CW_SETTING_MS, _CW_AT(suspect_ms), "4s", 100, 600000, "from suspicion to death"},
-    {"log", "level", CW_SETTING_NAME, _CW_AT(log_level), "info", 0, 0, "debug, info, warn or error"},
-    {"log", "format", CW_SETTING_NAME, _CW_AT(log_format), "text", 0, 0, "text or json"},
+    {"entry", "lookup_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(lookup_ms), "5s", 100, 600000,
+     "how long callers may cache a lookup response"},
+    {"entry", "ticket_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(ticket_ms), "60s", 1000, 3600000,
+     "lifetime of a ticket"},
+    {"entry", "silent", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_ms), "150ms", 5, 10000,
+     "timeout for an allocator's response; then the entry uses direct mode"},
+    {"entry", "silent_protected", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_protected_ms), "40ms", 5, 10000,
+     "the same for requests of protected classes"},
+    {"entry", "first_token", CW_SETTING_MS, _CW_SETTINGS_OFFSET(first_token_ms), "3s", 50, 600000,
+     "a resumable stream without its first token after this time is retried elsewhere"},
+    {"entry", "stall", CW_SETTING_MS, _CW_SETTINGS_OFFSET(stall_ms), "1500ms", 20, 600000,
+     "the same for each further token"},
+    {"entry", "max_answer", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_answer), "4m", 1024, 67108864,
+     "largest response that is buffered as a whole"},
+    {"entry", "retry_share", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(retry_share), "0.1", 0, 1,
+     "retries allowed per first attempt"},
+    {"allocator", "policy", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(policy), "shared", 0, 0,
+     "shared; solo, lease and round-robin are baselines for comparison"},
+    {"allocator", "grant", CW_SETTING_MS, _CW_SETTINGS_OFFSET(grant_ms), "500ms", 20, 10000,
+     "time within which a grant must be used"},
+    {"allocator", "lease", CW_SETTING_MS, _CW_SETTINGS_OFFSET(lease_ms), "60s", 1000, 600000,
+     "time after which the grants of an entry that sends nothing are reclaimed"},
+    {"allocator", "max_waiting", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_waiting), "4096", 16, 200000,
+     "slot requests queued at one shard"},
+    {"allocator", "report", CW_SETTING_MS, _CW_SETTINGS_OFFSET(report_ms), "1s", 100, 60000,
+     "interval between polls of an upstream's load"},
+    {"member", "probe", CW_SETTING_MS, _CW_SETTINGS_OFFSET(probe_ms), "1s", 50, 60000, "interval between probes"},
+    {"member", "probe_timeout", CW_SETTING_MS, _CW_SETTINGS_OFFSET(probe_timeout_ms), "300ms", 10, 30000,
+     "timeout for the response to a direct probe"},
+    {"member", "suspect", CW_SETTING_MS, _CW_SETTINGS_OFFSET(suspect_ms), "4s", 100, 600000,
+     "time from suspecting a host to declaring it dead"},
+    {"log", "level", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(log_level), "info", 0, 0, "debug, info, warn or error"},
+    {"log", "format", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(log_format), "text", 0, 0, "text or json"},
 };
 
 #define _CW_SETTINGS_COUNT (sizeof(_cw_settings) / sizeof(_cw_settings[0]))
@@ -177,22 +197,22 @@
     return _cw_settings;
 }
 
-typedef struct _cw_settings_load_t {
+typedef struct _cw_settings_loader_t {
     const char* path;
     const cw_setting_info_t* table;
     uint32_t count;
     void* settings;
     cw_settings_errors_t* errors;
     FILE* file;
-    int line;                  /* read last */
-    int seen[CW_SETTINGS_MAX]; /* line, 0: not in the file */
-} _cw_settings_load_t;
+    int line;                     /* number of the line that was read last */
+    int line_of[CW_SETTINGS_MAX]; /* line of each setting, 0: not in the file */
+} _cw_settings_loader_t;
 
-static void _cw_settings_error(_cw_settings_load_t* load, int line, const char* section, const char* key,
-                               const char* fmt, ...) __attribute__((format(printf, 5, 6)));
+static void _cw_settings_add_error(_cw_settings_loader_t* load, int line, const char* section, const char* key,
+                                   const char* fmt, ...) __attribute__((format(printf, 5, 6)));
 
-static void _cw_settings_error(_cw_settings_load_t* load, int line, const char* section, const char* key,
-                               const char* fmt, ...) {
+static void _cw_settings_add_error(_cw_settings_loader_t* load, int line, const char* section, const char* key,
+                                   const char* fmt, ...) {
     if (load->errors->count == CW_SETTINGS_ERRORS_MAX) {
         return;
     }
@@ -207,8 +227,8 @@
     va_end(args);
 }
 
-/* Reads a number and its unit; false when the unit is none of the kind's. */
-static bool _cw_settings_number(cw_setting_kind_t kind, const char* text, double* out) {
+/* Reads a number with its unit; returns false when it is not a number or the kind does not have the unit. */
+static bool _cw_settings_parse_number(cw_setting_kind_t kind, const char* text, double* out) {
     char* unit = NULL;
     *out = strtod(text, &unit);
     if (unit == text) {
@@ -253,27 +273,28 @@
     return *text && strlen(text) < CW_NAME_MAX;
 }
 
-static void _cw_settings_set(_cw_settings_load_t* load, const cw_setting_info_t* info, int line, const char* value) {
+static void _cw_settings_set(_cw_settings_loader_t* load, const cw_setting_info_t* info, int line, const char* value) {
     char* field = (char*)load->settings + info->offset;
     double number = 0;
     switch (info->kind) {
         case CW_SETTING_TEXT:
             if (strlen(value) >= CW_SETTINGS_TEXT_MAX) {
-                _cw_settings_error(load, line, info->section, info->key, "is too long");
+                _cw_settings_add_error(load, line, info->section, info->key, "is too long");
                 return;
             }
             cw_copy(field, CW_SETTINGS_TEXT_MAX, value);
             return;
         case CW_SETTING_NAME:
             if (!_cw_settings_is_name(value)) {
-                _cw_settings_error(load, line, info->section, info->key, "must be letters, digits, '-', '.' and '_'");
+                _cw_settings_add_error(load, line, info->section, info->key,
+                                       "must be letters, digits, '-', '.' and '_'");
                 return;
             }
             cw_copy(field, CW_NAME_MAX, value);
             return;
         case CW_SETTING_ADDRESS:
             if (!_cw_settings_is_address(value)) {
-                _cw_settings_error(load, line, info->section, info->key, "must be IP:PORT");
+                _cw_settings_add_error(load, line, info->section, info->key, "must be IP:PORT");
                 return;
             }
             cw_copy(field, CW_NAME_MAX, value);
@@ -281,14 +302,14 @@
         default:
             break;
     }
-    if (!_cw_settings_number(info->kind, value, &number)) {
-        const char* wants = info->kind == CW_SETTING_MS      ? "a time with its unit, as 500ms, 5s or 2m"
-                            : info->kind == CW_SETTING_BYTES ? "a size in bytes, as 1000, 64k or 8m"
-                                                             : "a number";
-        _cw_settings_error(load, line, info->section, info->key, "must be %s", wants);
+    if (!_cw_settings_parse_number(info->kind, value, &number)) {
+        const char* expected = info->kind == CW_SETTING_MS      ? "a time with its unit, such as 500ms, 5s or 2m"
+                               : info->kind == CW_SETTING_BYTES ? "a size in bytes, such as 1000, 64k or 8m"
+                                                                : "a number";
+        _cw_settings_add_error(load, line, info->section, info->key, "must be %s", expected);
     } else if (number < info->min || number > info->max) {
-        _cw_settings_error(load, line, info->section, info->key, "must be from %g to %g%s", info->min, info->max,
-                           info->kind == CW_SETTING_MS ? " ms" : "");
+        _cw_settings_add_error(load, line, info->section, info->key, "must be from %g to %g%s", info->min, info->max,
+                               info->kind == CW_SETTING_MS ? " ms" : "");
     } else if (info->kind == CW_SETTING_NUMBER) {
         memcpy(field, &number, sizeof(number));
     } else {
@@ -297,35 +318,35 @@
     }
 }
 
-/* Reads a line for inih and counts it. */
-static char* _cw_settings_next(char* text, int size, void* user) {
-    _cw_settings_load_t* load = user;
+/* Line reader for inih that counts the lines. */
+static char* _cw_settings_next_line(char* text, int size, void* user) {
+    _cw_settings_loader_t* load = user;
     char* got = fgets(text, size, load->file);
     load->line += got ? 1 : 0;
     return got;
 }
 
-static int _cw_settings_line(void* user, const char* section, const char* key, const char* value) {
-    _cw_settings_load_t* load = user;
+static int _cw_settings_on_pair(void* user, const char* section, const char* key, const char* value) {
+    _cw_settings_loader_t* load = user;
     int line = load->line;
     for (uint32_t i = 0; i < load->count; i++) {
         const cw_setting_info_t* info = &load->table[i];
         if (strcmp(section, info->section) != 0 || strcmp(key, info->key) != 0) {
             continue;
         }
-        if (load->seen[i]) {
-            _cw_settings_error(load, line, section, key, "is given twice, first in line %d", load->seen[i]);
+        if (load->line_of[i]) {
+            _cw_settings_add_error(load, line, section, key, "is given twice, first on line %d", load->line_of[i]);
         }
-        load->seen[i] = line;
+        load->line_of[i] = line;
         _cw_settings_set(load, info, line, value);
         return 1;
     }
-    _cw_settings_error(load, line, section, key, "is not known");
+    _cw_settings_add_error(load, line, section, key, "is not known");
     return 1;
 }
 
-/* Two addresses of this host may be the same only with port 0. */
-static void _cw_settings_overlaps(_cw_settings_load_t* load, const cw_settings_t* settings) {
+/* Two addresses of this host must differ, unless the port is 0. */
+static void _cw_settings_check_addresses(_cw_settings_loader_t* load, const cw_settings_t* settings) {
     const struct {
         const char* key;
         const char* value;
@@ -336,7 +357,8 @@
             size_t len = strlen(value);
             bool any_port = len > 2 && strcmp(value + len - 2, ":0") == 0;
             if (value[0] && !any_port && strcmp(value, addresses[j].value) == 0) {
-                _cw_settings_error(load, 0, "host", addresses[i].key, "is the same address as %s", addresses[j].key);
+                _cw_settings_add_error(load, 0, "host", addresses[i].key, "is the same address as %s",
+                                       addresses[j].key);
             }
         }
     }
@@ -347,20 +369,20 @@
     char quoted[CW_NAME_MAX + 2];
     snprintf(quoted, sizeof(quoted), " %s ", value);
     if (!strstr(choices, quoted)) {
-        _cw_settings_load_t load = {.path = path, .errors = errors};
-        _cw_settings_error(&load, 0, section, key, "must be one of%s", choices);
+        _cw_settings_loader_t load = {.path = path, .errors = errors};
+        _cw_settings_add_error(&load, 0, section, key, "must be one of%s", choices);
     }
 }
 
-static void _cw_settings_fill(_cw_settings_load_t* load) {
+static void _cw_settings_fill_defaults(_cw_settings_loader_t* load) {
     for (uint32_t i = 0; i < load->count; i++) {
-        if (load->seen[i]) {
+        if (load->line_of[i]) {
             continue;
         }
         if (load->table[i].initial) {
             _cw_settings_set(load, &load->table[i], 0, load->table[i].initial);
         } else {
-            _cw_settings_error(load, 0, load->table[i].section, load->table[i].key, "is missing");
+            _cw_settings_add_error(load, 0, load->table[i].section, load->table[i].key, "is missing");
         }
     }
 }
@@ -368,18 +390,18 @@
 cw_status_t cw_settings_read(const char* path, const cw_setting_info_t* table, uint32_t count, void* settings,
                              cw_settings_errors_t* errors) {
     assert(count <= CW_SETTINGS_MAX);
-    _cw_settings_load_t load = {.path = path, .table = table, .count = count, .settings = settings, .errors = errors};
+    _cw_settings_loader_t load = {.path = path, .table = table, .count = count, .settings = settings, .errors = errors};
     load.file = fopen(path, "r");
     if (!load.file) {
-        _cw_settings_error(&load, 0, "", "", "the file cannot be read");
+        _cw_settings_add_error(&load, 0, "", "", "the file cannot be opened");
         return CW_ERR_INVALID;
     }
-    int line = ini_parse_stream(_cw_settings_next, &load, _cw_settings_line, &load);
+    int line = ini_parse_stream(_cw_settings_next_line, &load, _cw_settings_on_pair, &load);
     fclose(load.file);
     if (line > 0) {
-        _cw_settings_error(&load, line, "", "", "the line is no section, key or comment");
+        _cw_settings_add_error(&load, line, "", "", "the line is not a section, a key or a comment");
     }
-    _cw_settings_fill(&load);
+    _cw_settings_fill_defaults(&load);
     return errors->count ? CW_ERR_INVALID : CW_OK;
 }
 
@@ -387,10 +409,10 @@
     memset(settings, 0, sizeof(*settings));
     cw_status_t status = cw_settings_read(path, _cw_settings, (uint32_t)_CW_SETTINGS_COUNT, settings, errors);
     if (status != CW_OK && !settings->log_level[0]) {
-        return status; /* the file could not be read */
+        return status; /* the file could not be opened */
     }
-    _cw_settings_load_t load = {.path = path, .errors = errors};
-    _cw_settings_overlaps(&load, settings);
+    _cw_settings_loader_t load = {.path = path, .errors = errors};
+    _cw_settings_check_addresses(&load, settings);
     cw_settings_choice(path, "allocator", "policy", settings->policy, " shared solo lease round-robin ", errors);
     cw_settings_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
     cw_settings_choice(path, "log", "format", settings->log_format, " text json ", errors);
