--- a/chalkway.c
+++ b/chalkway.c
@@ -1,4 +1,4 @@
-/* libchalkway: the implementation of every single-file module. */
+/* libchalkway: the implementations of all single-file modules. */
 #define CHALKWAY_IMPL
 #include "chalkway_backlog.h"
 #include "chalkway_balance.h"
--- a/chalkway_events.h
+++ b/chalkway_events.h
@@ -1,23 +1,24 @@
 #ifndef CHALKWAY_EVENTS_H
 #define CHALKWAY_EVENTS_H
 /*
-    chalkway_events.h -- whole events of a text/event-stream
+    chalkway_events.h -- complete events of a text/event-stream
 
     WHAT IT IS
-        Takes the bytes of a stream as they come and gives back only whole
-        events, so that a stream which breaks off inside an event can go on
-        elsewhere without a piece missing or doubled. It remembers the id of
-        the last event given back. Events up to a given id are left out.
+        Buffers the bytes of a stream of server-sent events and returns only
+        complete events, so that a stream which breaks inside an event can
+        be resumed at another server with no event lost or duplicated. The
+        id of the last event returned is kept. After a restart, events with
+        ids up to that one are skipped.
 
     HOW TO USE IT
             cw_events_t e = {0};
             cw_events_feed(&e, data, size);
             cw_bytes_view_t whole = cw_events_take(&e);   // valid until the next call
-            // after a break: go on with e.last_id, then
+            // when the stream breaks: request the events after e.last_id, then
             cw_events_restart(&e);
 
     WHAT IT DOES NOT DO
-        It does not read the events' data.
+        It does not interpret the data of events.
 
     LICENCE
         MIT, see LICENSE.
@@ -25,7 +26,7 @@
 #include "chalkway_core.h"
 
 #define CW_EVENT_ID_MAX 48
-#define CW_EVENT_BYTES_MAX (1U << 20) /* a longer event is an error */
+#define CW_EVENT_BYTES_MAX (1U << 20) /* a longer event sets bad */
 
 typedef struct cw_bytes_view_t {
     const char* data;
@@ -33,21 +34,22 @@
 } cw_bytes_view_t;
 
 typedef struct cw_events_t {
-    char last_id[CW_EVENT_ID_MAX]; /* of the last event taken, "" none */
-    uint64_t count;                /* events taken */
-    bool bad;                      /* too long, or not in order after a restart */
+    char last_id[CW_EVENT_ID_MAX]; /* id of the last event returned that has one, "": none */
+    uint64_t count;                /* events returned */
+    bool bad;                      /* an event exceeded CW_EVENT_BYTES_MAX; no more events are returned */
     /* private */
-    bool restarted;
+    bool restarted; /* no event with a new id was returned since the restart */
     char* data;
-    size_t size, capacity, taken;
+    size_t size, capacity, taken; /* taken: bytes at the start of data that were returned or skipped */
 } cw_events_t;
 
 void cw_events_feed(cw_events_t* e, const char* data, size_t size);
-/* Whole events that came since the last call; size 0: none. */
+/* Returns the complete events that arrived since the last call, concatenated; size 0: none. Skipped events split the
+   result, so call it until size is 0. */
 cw_bytes_view_t cw_events_take(cw_events_t* e);
-/* The stream broke and goes on elsewhere: what is not whole is dropped. */
+/* Drops an incomplete event after the stream broke; the next bytes come from another stream. */
 void cw_events_restart(cw_events_t* e);
-/* Whether bytes wait that are no whole event. */
+/* Whether the buffer holds an incomplete event. */
 bool cw_events_partial(const cw_events_t* e);
 void cw_events_free(cw_events_t* e);
 
@@ -83,8 +85,8 @@
     e->size += size;
 }
 
-/* Length of the event at the start of the text with its blank line; 0: not whole. */
-static size_t _cw_events_length(const char* text, size_t size) {
+/* Length of the event at the start of the text, with its blank line; 0: it is incomplete. */
+static size_t _cw_sse_event_length(const char* text, size_t size) {
     for (size_t i = 0; i + 1 < size; i++) {
         if (text[i] != '\n') {
             continue;
@@ -99,8 +101,8 @@
     return 0;
 }
 
-/* Value of the event's id line; false: it has none. */
-static bool _cw_events_id(const char* event, size_t size, char id[CW_EVENT_ID_MAX]) {
+/* Copies the value of the event's id line; returns false when it has none. */
+static bool _cw_sse_find_id(const char* event, size_t size, char id[CW_EVENT_ID_MAX]) {
     const char* end = event + size;
     for (const char* line = event; line < end;) {
         const char* next = memchr(line, '\n', (size_t)(end - line));
@@ -125,7 +127,7 @@
     return false;
 }
 
-static bool _cw_events_is_old(const cw_events_t* e, const char* id) {
+static bool _cw_sse_is_duplicate(const cw_events_t* e, const char* id) {
     return e->restarted && e->last_id[0] && strtoull(id, NULL, 10) <= strtoull(e->last_id, NULL, 10);
 }
 
@@ -133,15 +135,15 @@
     size_t begin = e->taken;
     size_t at = begin;
     while (!e->bad) {
-        size_t length = _cw_events_length(e->data + at, e->size - at);
+        size_t length = _cw_sse_event_length(e->data + at, e->size - at);
         if (!length) {
             break;
         }
         char id[CW_EVENT_ID_MAX];
-        bool has_id = _cw_events_id(e->data + at, length, id);
-        if (has_id && _cw_events_is_old(e, id)) {
+        bool has_id = _cw_sse_find_id(e->data + at, length, id);
+        if (has_id && _cw_sse_is_duplicate(e, id)) {
             if (at > begin) {
-                break; /* what is whole before it goes first */
+                break; /* the events before the skipped one are returned first */
             }
             begin = at = at + length;
             e->taken = at;
--- a/chalkway_log.h
+++ b/chalkway_log.h
@@ -5,17 +5,17 @@
 
     WHAT IT IS
         A small logger. Every event has a number and a name from the list
-        below, which docs/EVENTS.md explains; what varies is written as
-        key=value or as one JSON object a line. The text goes to a callback
-        or to standard error.
+        below, which docs/EVENTS.md explains, and key=value pairs. Each event
+        is written as one line, either plain text or a JSON object, to a
+        callback or to standard error.
 
     HOW TO USE IT
             cw_log_t log = {.level = CW_LOG_INFO, .json = false};
             cw_log(&log, CW_EVENT_STARTED, "host=%s http=%s", name, address);
 
     WHAT IT DOES NOT DO
-        No files, no rotation. Values must hold no spaces unless quoted by
-        the caller with "...".
+        No files, no rotation. Values must not contain spaces unless the
+        caller quotes them with "...".
 
     LICENCE
         MIT, see LICENSE.
@@ -76,14 +76,14 @@
 } cw_event_t;
 
 typedef struct cw_log_t {
-    cw_log_level_t level; /* events below are dropped */
+    cw_log_level_t level; /* events of lower levels are dropped */
     bool json;
-    /* Receives each line without its end; NULL: standard error. */
+    /* Receives each line without its line feed; NULL: lines go to standard error. */
     void (*write)(const char* line, void* user_data);
     void* user_data;
 } cw_log_t;
 
-/* Name and level of an event as in docs/EVENTS.md; name "?" when unknown. */
+/* Name and level of an event, as in docs/EVENTS.md; an unknown event has the name "?". */
 typedef struct cw_event_info_t {
     cw_event_t event;
     cw_log_level_t level;
@@ -91,9 +91,9 @@
 } cw_event_info_t;
 
 cw_event_info_t cw_event_info(cw_event_t event);
-/* Level of its name: debug, info, warn or error; info for any other. */
+/* Parses the name of a level: debug, info, warn or error; any other name gives info. */
 cw_log_level_t cw_log_level(const char* name);
-/* Writes one event; fmt makes its key=value pairs, separated by single spaces. */
+/* Writes one event; fmt formats its key=value pairs, separated by single spaces. */
 void cw_log(const cw_log_t* log, cw_event_t event, const char* fmt, ...) __attribute__((format(printf, 3, 4)));
 
 #endif /* CHALKWAY_LOG_H */
@@ -173,8 +173,8 @@
     return (cw_event_info_t){.event = event, .level = CW_LOG_ERROR, .name = "?"};
 }
 
-/* Turns "a=1 b=\"x y\"" into members of a JSON object, all as text. */
-static void _cw_log_pairs(json_t* object, char* pairs) {
+/* Adds pairs such as a=1 b="x y" to a JSON object, all values as strings. Overwrites the text. */
+static void _cw_log_add_pairs(json_t* object, char* pairs) {
     char* at = pairs;
     while (*at) {
         char* equals = strchr(at, '=');
@@ -235,7 +235,7 @@
     if (log->json) {
         json_t* object = json_pack("{s:s,s:s,s:i,s:s}", "time", when, "level", _cw_log_levels[info.level], "event",
                                    (int)event, "name", info.name);
-        _cw_log_pairs(object, pairs);
+        _cw_log_add_pairs(object, pairs);
         text = json_dumps(object, JSON_COMPACT);
         json_decref(object);
     } else {
--- a/chalkway_pushback.h
+++ b/chalkway_pushback.h
@@ -1,32 +1,34 @@
 #ifndef CHALKWAY_PUSHBACK_H
 #define CHALKWAY_PUSHBACK_H
 /*
-    chalkway_pushback.h -- what a server asks of its callers in the head of an answer
+    chalkway_pushback.h -- server pushback in the head of a response
 
     WHAT IT IS
-        Readers of the header fields with which a server holds its callers
-        back. They accept what can be acted on and nothing else, so a field
-        that can't be read changes nothing.
+        Parsers of the header fields with which a server limits its callers:
+        a time to back off and a rate limit. They accept only valid values;
+        an invalid field leaves the result unchanged.
 
     HOW TO USE IT
             double per_s;
             if (cw_pushback_limit(text, &per_s)) { ... }
 
     WHAT IT DOES NOT DO
-        It keeps nothing. Which head speaks for which server, and what follows
-        from it, is the caller's matter.
+        It keeps no state. The caller decides to which server a response
+        applies, and acts on the values.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-#define CW_PUSHBACK_LIMIT_MAX 1e6 /* requests a second; more counts as this */
+#define CW_PUSHBACK_LIMIT_MAX 1e6 /* requests per second; higher rates are reduced to it */
 
-/* Reads a time to rest: seconds, a decimal number, 0 or more; *ms is rounded up and at most max_ms. A date is not read:
-   clocks of two machines may disagree by more than a rest lasts. False: it is none, and *ms is left as it was. */
+/* Parses a backoff in seconds, a decimal number of 0 or more, into *ms, rounded up and at most max_ms. A date is not
+   accepted: the clocks of two machines may differ by more than a backoff lasts. Returns false and leaves *ms unchanged
+   when the text is invalid. */
 bool cw_pushback_rest(const char* text, uint32_t max_ms, uint32_t* ms);
-/* Reads a rate, requests a second: a decimal number, 0 or more. False: it is none, and *per_s is left as it was. */
+/* Parses a rate limit in requests per second, a decimal number of 0 or more. Returns false and leaves *per_s unchanged
+   when the text is invalid. */
 bool cw_pushback_limit(const char* text, double* per_s);
 
 #endif /* CHALKWAY_PUSHBACK_H */
@@ -40,8 +42,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A decimal number without sign, exponent or words such as "inf", blanks around it allowed. */
-static bool _cw_pushback_decimal(const char* text, double* out) {
+/* Parses a decimal number without sign, exponent or words such as "inf"; spaces and tabs around it are allowed. */
+static bool _cw_pushback_parse_decimal(const char* text, double* out) {
     const char* at = text + strspn(text, " \t");
     size_t length = strspn(at, "0123456789.");
     const char* end = at + length;
@@ -59,7 +61,7 @@
 
 bool cw_pushback_limit(const char* text, double* per_s) {
     double value = 0;
-    if (!text || !_cw_pushback_decimal(text, &value)) {
+    if (!text || !_cw_pushback_parse_decimal(text, &value)) {
         return false;
     }
     *per_s = value < CW_PUSHBACK_LIMIT_MAX ? value : CW_PUSHBACK_LIMIT_MAX;
@@ -68,7 +70,7 @@
 
 bool cw_pushback_rest(const char* text, uint32_t max_ms, uint32_t* ms) {
     double seconds = 0;
-    if (!text || !_cw_pushback_decimal(text, &seconds)) {
+    if (!text || !_cw_pushback_parse_decimal(text, &seconds)) {
         return false;
     }
     double value_ms = ceil(seconds * 1000.0);
--- a/chalkway_stream.h
+++ b/chalkway_stream.h
@@ -4,29 +4,29 @@
     chalkway_stream.h -- position in an engine's event stream
 
     WHAT IT IS
-        Engines stream answers as server-sent events, one token each, and
-        end with the event "[DONE]". This module says how many bytes of what
-        has come form whole events, counts them, and notices the end. Only
-        whole events are passed to the caller, so that a stream that is cut
-        can be continued by the same or another engine at the next token
-        with none lost and none doubled.
+        Engines stream responses as server-sent events, one token each, and
+        end them with the event "[DONE]". This module finds how many of the
+        received bytes form complete events, counts the events, and detects
+        the end of the stream. Only complete events are forwarded to the
+        caller, so that the same or another engine can resume a broken
+        stream at the next token, with none lost or duplicated.
 
     HOW TO USE IT
-        Keep the bytes that were not passed on yet; for each block:
+        Buffer the bytes that were not forwarded yet; for each block:
 
             cw_stream_t stream = {0};
             append(pending, block);
-            size_t whole = cw_stream_take(&stream, pending, size);
-            pass_on(pending, whole);
-            drop(pending, whole);
+            size_t complete = cw_stream_take(&stream, pending, size);
+            forward(pending, complete);
+            remove(pending, complete);
 
-        When the stream is cut, drop what is pending and ask the next engine
-        to begin at token stream.tokens.
+        When the stream breaks, discard the pending bytes and ask the next
+        engine to start at token stream.tokens.
 
     WHAT IT DOES NOT DO
-        It does not look into the events. Events end with an empty line of
-        "\n" alone, as engines send them; comments count as tokens, so the
-        pools that may be resumed are declared by their operators.
+        It does not parse the events. Only lines that end in "\n" alone are
+        supported, as engines send them. Comments count as tokens, so
+        operators declare which pools can resume streams.
 
     LICENCE
         MIT, see LICENSE.
@@ -34,11 +34,12 @@
 #include "chalkway_core.h"
 
 typedef struct cw_stream_t {
-    uint32_t tokens; /* whole events so far, without the end event */
-    bool ended;      /* the end event was seen */
+    uint32_t tokens; /* complete events so far, without the end event */
+    bool ended;      /* the end event was received */
 } cw_stream_t;
 
-/* Bytes at the start of data that form whole events; counts them. data begins at the start of an event. */
+/* Counts the complete events at the start of data and returns their size in bytes. data begins at the start of an
+   event. */
 size_t cw_stream_take(cw_stream_t* stream, const char* data, size_t size);
 
 #endif /* CHALKWAY_STREAM_H */
@@ -50,7 +51,7 @@
 
 #include <string.h>
 
-static const char _cw_stream_end[] = "data: [DONE]\n\n";
+static const char _cw_token_stream_end_event[] = "data: [DONE]\n\n";
 
 size_t cw_stream_take(cw_stream_t* stream, const char* data, size_t size) {
     size_t begin = 0;
@@ -59,7 +60,8 @@
             continue;
         }
         size_t length = i + 1 - begin;
-        bool is_end = length == sizeof(_cw_stream_end) - 1 && memcmp(data + begin, _cw_stream_end, length) == 0;
+        bool is_end = length == sizeof(_cw_token_stream_end_event) - 1 &&
+                      memcmp(data + begin, _cw_token_stream_end_event, length) == 0;
         stream->ended = stream->ended || is_end;
         stream->tokens += is_end ? 0 : 1;
         begin = i + 1;
