--- a/samples/runonce.c
+++ b/samples/runonce.c
@@ -1,29 +1,30 @@
-/* Names of calls that run at most once: a ticket, a run, a repeat, another process. */
+/* At-most-once calls by idempotency key: a first call, a retry while it runs, a retry afterwards, and the same key
+   at the host after a restart. */
 #include <chalkway_runonce.h>
 #include <stdio.h>
 
-static const char* const verdicts[] = {"run it",
-                                       "join the running call",
-                                       "give the kept answer",
-                                       "answer lost",
-                                       "unknown: ask the application",
-                                       "no ticket",
-                                       "name used for another call",
-                                       "table full"};
+static const char* const verdict_names[] = {"run it",
+                                            "join the running call",
+                                            "send the stored response",
+                                            "response no longer stored",
+                                            "unknown: ask the application",
+                                            "no ticket",
+                                            "key was used for another call",
+                                            "table full"};
 
 int main(void) {
-    cw_runonce_t* here = cw_runonce_setup(&(cw_runonce_desc_t){.host = "host-1", .incarnation = 77});
-    cw_runonce_t* later = cw_runonce_setup(&(cw_runonce_desc_t){.host = "host-1", .incarnation = 78});
+    cw_runonce_t* table = cw_runonce_setup(&(cw_runonce_desc_t){.host = "host-1", .incarnation = 77});
+    cw_runonce_t* restarted_table = cw_runonce_setup(&(cw_runonce_desc_t){.host = "host-1", .incarnation = 78});
     char name[CW_CALL_NAME_MAX];
-    char answer[] = "booked";
-    snprintf(name, sizeof(name), "%s/booking-1", cw_runonce_ticket(here, 0).text);
-    cw_runonce_begin_t first = cw_runonce_begin(here, 10, 1, name, 5);
-    printf("first:                     %s\n", verdicts[first.verdict]);
-    printf("repeat while it runs:      %s\n", verdicts[cw_runonce_begin(here, 20, 1, name, 5).verdict]);
-    cw_runonce_keep(here, first.record, answer, sizeof(answer));
-    printf("repeat afterwards:         %s\n", verdicts[cw_runonce_begin(here, 30, 1, name, 5).verdict]);
-    printf("the host after a restart:  %s\n", verdicts[cw_runonce_begin(later, 40, 1, name, 5).verdict]);
-    cw_runonce_shutdown(here);
-    cw_runonce_shutdown(later);
+    char response[] = "booked";
+    snprintf(name, sizeof(name), "%s/booking-1", cw_runonce_ticket(table, 0).text);
+    cw_runonce_begin_t first = cw_runonce_begin(table, 10, 1, name, 5);
+    printf("first call:                %s\n", verdict_names[first.verdict]);
+    printf("retry while it runs:       %s\n", verdict_names[cw_runonce_begin(table, 20, 1, name, 5).verdict]);
+    cw_runonce_keep(table, first.record, response, sizeof(response));
+    printf("retry afterwards:          %s\n", verdict_names[cw_runonce_begin(table, 30, 1, name, 5).verdict]);
+    printf("host after a restart:      %s\n", verdict_names[cw_runonce_begin(restarted_table, 40, 1, name, 5).verdict]);
+    cw_runonce_shutdown(table);
+    cw_runonce_shutdown(restarted_table);
     return 0;
 }
--- a/samples/shard.c
+++ b/samples/shard.c
@@ -1,5 +1,5 @@
 /*
-    The decisions without a daemon: one shard, two workspaces, four tiers, on a clock of its own.
+    The decisions of one shard without a daemon, on a simulated clock: two workspaces, two of the four tiers.
     cc samples/shard.c $(pkg-config --cflags --libs --static chalkway)
 */
 #include <chalkway_shard.h>
@@ -26,7 +26,7 @@
         int count = 0;
         while (cw_shard_next(shard, now_ms, &action)) {
             if (action.kind == CW_SHARD_GRANT) {
-                printf("%4lld ms: want %u may run\n", (long long)now_ms, action.seq);
+                printf("%4lld ms: slot request %u is granted\n", (long long)now_ms, action.seq);
                 granted[count++] = action.grant;
             }
         }
