--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -1,5 +1,5 @@
-/* Changes between lists of servers: whoever has an earlier list of the source comes to the newest one by them, and to
-   no other. */
+/* Deltas between lists of servers: applied to an earlier list of the source, a delta gives the newest list or is
+   refused. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,24 +9,24 @@
 
 #define ROUNDS 200
 
-static cw_server_t server(uint32_t number) {
+static cw_server_t make_server(uint32_t number) {
     cw_server_t s = {.address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 4};
     snprintf(s.id, sizeof(s.id), "s%03u", number);
     return s;
 }
 
-static cw_servers_t list_of(uint32_t count) {
+static cw_servers_t make_list(uint32_t count) {
     cw_servers_t list = {0};
     for (uint32_t i = 0; i < count; i++) {
-        cw_server_t s = server(i);
+        cw_server_t s = make_server(i);
         cw_servers_put(&list, &s);
     }
     return list;
 }
 
-/* A server comes, goes, leaves or becomes cold. */
-static void change(cw_servers_t* list, uint64_t random) {
-    cw_server_t s = server((uint32_t)(random % 60));
+/* Adds, removes or changes one server, which may be leaving or cold, and opens or closes a hall. */
+static void change_one_server(cw_servers_t* list, uint64_t random) {
+    cw_server_t s = make_server((uint32_t)(random % 60));
     s.leaving = random / 60 % 3 == 1;
     s.cold_ms = random / 180 % 2 ? 500 : 0;
     list->closed = (cw_closed_t){.at = list->closed.at + 1};
@@ -40,22 +40,22 @@
     }
 }
 
-/* What the holder gives, as it comes over the wire; false: nothing. */
-static bool fetch(const cw_changes_t* changes, const cw_servers_t* list, int64_t have, cw_delta_t* out) {
+/* Gets a delta from a daemon's list and sends it through its JSON form; returns false when there is none. */
+static bool get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t have, cw_delta_t* out) {
     cw_delta_t delta = {0};
-    bool known = cw_changes_since(changes, list, have, &delta);
-    if (known) {
+    bool is_known = cw_changes_since(changes, list, have, &delta);
+    if (is_known) {
         char* text = cw_delta_text(&delta);
         ck_assert(cw_delta_is(text, strlen(text)));
         ck_assert_int_eq(cw_delta_read(out, text, strlen(text), NULL), CW_OK);
         free(text);
     }
     cw_delta_free(&delta);
-    return known;
+    return is_known;
 }
 
-/* Takes over another list, as a host does with each that it reads. */
-static void adopt(cw_changes_t* changes, cw_servers_t* own, const cw_servers_t* list) {
+/* Replaces a host's own list by a newer one that it polled or received. */
+static void apply_list(cw_changes_t* changes, cw_servers_t* own, const cw_servers_t* list) {
     cw_servers_t next;
     cw_servers_copy(&next, list);
     cw_changes_note(changes, own, &next);
@@ -63,28 +63,28 @@
     *own = next;
 }
 
-START_TEST(any_earlier_list_becomes_the_newest) {
+START_TEST(a_delta_turns_any_earlier_list_into_the_newest) {
     static cw_servers_t lists[ROUNDS + 1];
     cw_changes_t changes = {0};
-    lists[0] = list_of(50);
+    lists[0] = make_list(50);
     lists[0].at = 1;
     cw_changes_note(&changes, &(cw_servers_t){0}, &lists[0]);
     for (uint32_t round = 1; round <= ROUNDS; round++) {
         cw_servers_copy(&lists[round], &lists[round - 1]);
         for (uint32_t i = 0; i < 1 + round % 4; i++) {
-            change(&lists[round], cw_mix(round, i));
+            change_one_server(&lists[round], cw_mix(round, i));
         }
         lists[round].at = lists[round - 1].at + 1 + round % 3;
         cw_changes_note(&changes, &lists[round - 1], &lists[round]);
-        for (uint32_t had = round > 8 ? round - 8 : 0; had < round; had++) {
+        for (uint32_t earlier = round > 8 ? round - 8 : 0; earlier < round; earlier++) {
             cw_servers_t list = {0};
             cw_delta_t delta = {0};
-            cw_servers_copy(&list, &lists[had]);
-            if (fetch(&changes, &lists[round], lists[had].at, &delta)) {
+            cw_servers_copy(&list, &lists[earlier]);
+            if (get_delta(&changes, &lists[round], lists[earlier].at, &delta)) {
                 ck_assert(cw_delta_apply(&list, &delta));
                 ck_assert(cw_servers_equal(&list, &lists[round]));
             } else {
-                ck_assert_uint_gt(round - had, 3); /* over a quarter of it changed */
+                ck_assert_uint_gt(round - earlier, 3); /* more than a quarter of the list changed */
             }
             cw_delta_free(&delta);
             cw_servers_free(&list);
@@ -97,42 +97,42 @@
 }
 END_TEST
 
-/* Two hosts read the source at different moments, and a third one hears from either in turn. Where changes led only
-   from one list that the holder had had to its next one, nobody had had the other's lists: every host of a fleet with
-   two readers fetched whole lists, 1.1 MB of 6,003 servers, several times in a day of 45 s. Pattern: a source that
-   several hosts read while a quarter of its servers is replaced. */
-START_TEST(hosts_that_took_different_steps_tell_each_other_little) {
+/* Two hosts poll the source at different times, and a third gets deltas from either in turn. When a delta could start
+   only from a list that its sender had had itself, two pollers had no list in common: in a simulated day of 45 s, every
+   host of a fleet with two pollers fetched full lists, 1.1 MB for 6,003 servers, several times. The case needs several
+   pollers while a quarter of the servers is replaced. */
+START_TEST(deltas_are_small_between_hosts_without_a_common_list) {
     cw_changes_t changes[3];
     memset(changes, 0, sizeof(changes));
     cw_servers_t own[3];
     memset(own, 0, sizeof(own));
-    cw_servers_t source = list_of(400);
-    uint32_t told = 0;
+    cw_servers_t source = make_list(400);
+    uint32_t delta_entries = 0;
     source.at = 10;
     for (uint32_t k = 0; k < 3; k++) {
-        adopt(&changes[k], &own[k], &source);
+        apply_list(&changes[k], &own[k], &source);
     }
     for (uint32_t round = 1; round <= ROUNDS; round++) {
-        change(&source, cw_mix(7, round));
+        change_one_server(&source, cw_mix(7, round));
         source.at += 2;
         uint32_t reader = round % 5 < 2 ? 0 : 1;
-        adopt(&changes[reader], &own[reader], &source);
+        apply_list(&changes[reader], &own[reader], &source);
         if (round % 3) {
-            continue; /* the third host jumps over some */
+            continue; /* the third host misses some lists */
         }
         cw_delta_t delta = {0};
         cw_servers_t next;
-        ck_assert(fetch(&changes[reader], &own[reader], own[2].at, &delta));
+        ck_assert(get_delta(&changes[reader], &own[reader], own[2].at, &delta));
         cw_servers_copy(&next, &own[2]);
         ck_assert(cw_delta_apply(&next, &delta));
         ck_assert(cw_servers_equal(&next, &source));
-        told += delta.put.count + delta.gone.count;
+        delta_entries += delta.put.count + delta.gone.count;
         cw_changes_note(&changes[2], &own[2], &next);
         cw_servers_free(&own[2]);
         own[2] = next;
         cw_delta_free(&delta);
     }
-    ck_assert_uint_le(told / 2, ROUNDS); /* a server that went and came back counts as both */
+    ck_assert_uint_le(delta_entries / 2, ROUNDS); /* a server that was removed and added again counts twice */
     for (uint32_t k = 0; k < 3; k++) {
         cw_servers_free(&own[k]);
         cw_changes_free(&changes[k]);
@@ -141,12 +141,12 @@
 }
 END_TEST
 
-/* A host that starts takes the list over from a peer, and another one asks it for changes since before. It remembered
-   nothing from before its own first list, so it gave that one the whole list: nine for each of 584 hosts before the
-   first request of a day. */
-START_TEST(a_host_that_took_a_list_over_tells_changes_from_before_it) {
+/* A host that starts gets the list from a peer, and then another host asks it for the changes since an earlier
+   revision. When it had no record of removals before its own first list, it sent the full list instead of a delta: each
+   of 584 hosts fetched nine full lists before the first request of a day. */
+START_TEST(a_host_sends_deltas_from_before_its_own_first_list) {
     cw_changes_t holder = {0};
-    cw_servers_t list = list_of(100);
+    cw_servers_t list = make_list(100);
     list.at = 10;
     cw_changes_note(&holder, &(cw_servers_t){0}, &list);
     cw_servers_t next;
@@ -156,42 +156,42 @@
     cw_changes_note(&holder, &list, &next);
     size_t size = 0;
     char* bytes = cw_packed_write(&next, &holder, &size);
-    cw_servers_t taken = {0};
-    cw_changes_t learned = {0};
+    cw_servers_t received = {0};
+    cw_changes_t received_changes = {0};
     cw_delta_t delta = {0};
-    ck_assert_int_eq(cw_packed_read(&taken, &learned, bytes, size, NULL), CW_OK);
-    ck_assert(fetch(&learned, &taken, 10, &delta));
+    ck_assert_int_eq(cw_packed_read(&received, &received_changes, bytes, size, NULL), CW_OK);
+    ck_assert(get_delta(&received_changes, &received, 10, &delta));
     ck_assert(cw_delta_apply(&list, &delta));
     ck_assert(cw_servers_equal(&list, &next));
     ck_assert_uint_eq(delta.put.count + delta.gone.count, 1);
     cw_delta_free(&delta);
     cw_changes_free(&holder);
-    cw_changes_free(&learned);
+    cw_changes_free(&received_changes);
     cw_servers_free(&list);
     cw_servers_free(&next);
-    cw_servers_free(&taken);
+    cw_servers_free(&received);
     free(bytes);
 }
 END_TEST
 
-START_TEST(another_list_is_not_changed_into_a_wrong_one) {
+START_TEST(a_delta_that_does_not_fit_the_list_is_refused) {
     cw_changes_t changes = {0};
-    cw_servers_t before = list_of(50);
-    cw_servers_t after = list_of(52);
-    cw_servers_t other = list_of(49);
+    cw_servers_t before = make_list(50);
+    cw_servers_t after = make_list(52);
+    cw_servers_t other = make_list(49);
     cw_delta_t delta = {0};
     before.at = other.at = 5;
     after.at = 7;
     cw_changes_note(&changes, &(cw_servers_t){0}, &before);
     cw_changes_note(&changes, &before, &after);
-    ck_assert(!fetch(&changes, &after, 4, &delta)); /* from before the first list */
-    ck_assert(!fetch(&changes, &after, 8, &delta)); /* after the newest one */
-    ck_assert(fetch(&changes, &after, 5, &delta));
-    ck_assert(!cw_delta_apply(&other, &delta)); /* lacks a server that didn't change */
-    cw_servers_t older = list_of(50);
+    ck_assert(!get_delta(&changes, &after, 4, &delta)); /* before the first list */
+    ck_assert(!get_delta(&changes, &after, 8, &delta)); /* after the newest one */
+    ck_assert(get_delta(&changes, &after, 5, &delta));
+    ck_assert(!cw_delta_apply(&other, &delta)); /* the list lacks a server that the delta does not include */
+    cw_servers_t older = make_list(50);
     older.at = 4;
     ck_assert(!cw_delta_apply(&older, &delta));
-    delta.to++; /* the list that comes out is not the one that was meant */
+    delta.to++; /* the result does not have the hash of the delta */
     ck_assert(!cw_delta_apply(&before, &delta));
     cw_delta_free(&delta);
     cw_servers_free(&before);
@@ -202,23 +202,23 @@
 }
 END_TEST
 
-/* A change of most of the list is no shorter than the list. */
-START_TEST(a_large_change_is_told_as_the_whole_list) {
+/* A delta with most of the list would be no shorter than the list. */
+START_TEST(there_is_no_delta_for_a_large_change) {
     cw_changes_t changes = {0};
-    cw_servers_t small = list_of(50);
-    cw_servers_t some = list_of(52);
-    cw_servers_t many = list_of(200);
+    cw_servers_t small = make_list(50);
+    cw_servers_t some = make_list(52);
+    cw_servers_t many = make_list(200);
     cw_delta_t delta = {0};
     small.at = 1;
     some.at = 2;
     many.at = 3;
     cw_changes_note(&changes, &(cw_servers_t){0}, &small);
     cw_changes_note(&changes, &small, &some);
-    ck_assert(fetch(&changes, &some, 1, &delta));
+    ck_assert(get_delta(&changes, &some, 1, &delta));
     cw_delta_free(&delta);
     cw_changes_note(&changes, &some, &many);
-    ck_assert(!fetch(&changes, &many, 1, &delta));
-    ck_assert(!fetch(&changes, &many, 2, &delta));
+    ck_assert(!get_delta(&changes, &many, 1, &delta));
+    ck_assert(!get_delta(&changes, &many, 2, &delta));
     cw_servers_free(&small);
     cw_servers_free(&some);
     cw_servers_free(&many);
@@ -226,11 +226,12 @@
 }
 END_TEST
 
-/* What went is remembered for as long as it takes a part of the list; a peer whose list is older reads the whole one.
-   The source came back from an older copy: its numbers say nothing of what was before. */
-START_TEST(what_went_long_ago_and_numbers_that_went_back_are_told_by_the_whole_list) {
+/* The record of removals is limited to a part of the list's size; a peer whose list is older gets the full list. The
+   same holds after the source was restored from an older copy: its revisions went back, and can't be compared with
+   those before. */
+START_TEST(there_is_no_delta_from_old_or_reset_revisions) {
     cw_changes_t changes = {0};
-    cw_servers_t list = list_of(500);
+    cw_servers_t list = make_list(500);
     cw_delta_t delta = {0};
     list.at = 1;
     cw_changes_note(&changes, &(cw_servers_t){0}, &list);
@@ -243,23 +244,23 @@
         cw_servers_free(&list);
         list = next;
     }
-    ck_assert(!fetch(&changes, &list, 1, &delta));
-    ck_assert(fetch(&changes, &list, list.at - 10, &delta));
+    ck_assert(!get_delta(&changes, &list, 1, &delta));
+    ck_assert(get_delta(&changes, &list, list.at - 10, &delta));
     ck_assert_uint_eq(delta.gone.count, 10);
     cw_delta_free(&delta);
     cw_servers_t copy;
     cw_servers_copy(&copy, &list);
     copy.at = 30;
     cw_changes_note(&changes, &list, &copy);
-    ck_assert(!fetch(&changes, &copy, 20, &delta));
-    ck_assert(!fetch(&changes, &copy, list.at, &delta));
+    ck_assert(!get_delta(&changes, &copy, 20, &delta));
+    ck_assert(!get_delta(&changes, &copy, list.at, &delta));
     cw_servers_free(&list);
     cw_servers_free(&copy);
     cw_changes_free(&changes);
 }
 END_TEST
 
-START_TEST(nonsense_is_refused) {
+START_TEST(invalid_deltas_are_refused) {
     static const char* const texts[] = {"",
                                         "{\"since\":",
                                         "{\"since\":1,\"to\":\"2\",\"at\":3,\"gone\":[]}",
@@ -275,18 +276,18 @@
         ck_assert_str_eq(err.step, "servers");
         ck_assert_uint_eq(delta.put.count + delta.gone.count, 0);
     }
-    ck_assert(!cw_delta_is("{\"at\":1,\"servers\":[]}", 21)); /* a whole list */
+    ck_assert(!cw_delta_is("{\"at\":1,\"servers\":[]}", 21)); /* a full list */
 }
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, any_earlier_list_becomes_the_newest);
-    tcase_add_test(t, hosts_that_took_different_steps_tell_each_other_little);
-    tcase_add_test(t, a_host_that_took_a_list_over_tells_changes_from_before_it);
-    tcase_add_test(t, another_list_is_not_changed_into_a_wrong_one);
-    tcase_add_test(t, a_large_change_is_told_as_the_whole_list);
-    tcase_add_test(t, what_went_long_ago_and_numbers_that_went_back_are_told_by_the_whole_list);
-    tcase_add_test(t, nonsense_is_refused);
+    tcase_add_test(t, a_delta_turns_any_earlier_list_into_the_newest);
+    tcase_add_test(t, deltas_are_small_between_hosts_without_a_common_list);
+    tcase_add_test(t, a_host_sends_deltas_from_before_its_own_first_list);
+    tcase_add_test(t, a_delta_that_does_not_fit_the_list_is_refused);
+    tcase_add_test(t, there_is_no_delta_for_a_large_change);
+    tcase_add_test(t, there_is_no_delta_from_old_or_reset_revisions);
+    tcase_add_test(t, invalid_deltas_are_refused);
 }
 
 int main(void) {
--- a/tests/test_docs.c
+++ b/tests/test_docs.c
@@ -1,4 +1,4 @@
-/* The operators' pages name every setting, event and field that the code has. */
+/* The operators' pages list every setting and every event of the code, and no other event. */
 #include <stdio.h>
 #include <string.h>
 
@@ -18,7 +18,7 @@
     fclose(f);
 }
 
-/* Each setting has its row, with its default. */
+/* Each setting has a row with its default. */
 static void check_settings_page(const char* path, const cw_setting_info_t* info, uint32_t count) {
     read_page(path);
     for (uint32_t i = 0; i < count; i++) {
@@ -29,24 +29,24 @@
     }
 }
 
-START_TEST(every_setting_is_on_its_page) {
+START_TEST(every_setting_is_documented) {
     uint32_t count = 0;
     const cw_setting_info_t* info = cw_settings_info(&count);
     check_settings_page("docs/operators/settings.md", info, count);
 }
 END_TEST
 
-START_TEST(every_gateway_setting_is_on_its_page) {
+START_TEST(every_gateway_setting_is_documented) {
     uint32_t count = 0;
     const cw_setting_info_t* info = gateway_settings_info(&count);
     check_settings_page("docs/operators/gateway.md", info, count);
 }
 END_TEST
 
-START_TEST(every_event_is_on_its_page) {
+START_TEST(every_event_is_documented) {
     read_page("docs/EVENTS.md");
     static const char* const levels[] = {"debug", "info", "warn", "error"};
-    int known = 0;
+    int event_count = 0;
     for (int number = 1; number < 1000; number++) {
         cw_event_info_t info = cw_event_info((cw_event_t)number);
         char row[96];
@@ -56,16 +56,16 @@
         ck_assert_msg(listed == exists, "event %d is %s", number, listed ? "on the page only" : "in the code only");
         snprintf(row, sizeof(row), "| %d | %s | %s |", number, info.name, levels[info.level]);
         ck_assert_msg(!exists || strstr(page, row) != NULL, "missing: %s", row);
-        known += exists;
+        event_count += exists;
     }
-    ck_assert_int_gt(known, 10);
+    ck_assert_int_gt(event_count, 10);
 }
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, every_setting_is_on_its_page);
-    tcase_add_test(t, every_gateway_setting_is_on_its_page);
-    tcase_add_test(t, every_event_is_on_its_page);
+    tcase_add_test(t, every_setting_is_documented);
+    tcase_add_test(t, every_gateway_setting_is_documented);
+    tcase_add_test(t, every_event_is_documented);
 }
 
 int main(void) {
--- a/tests/test_packed.c
+++ b/tests/test_packed.c
@@ -1,4 +1,5 @@
-/* The compact form of a list of servers: it says the same, takes a fifth of the JSON form, and nonsense is refused. */
+/* Compact encoding of a list of servers: it decodes to the same list, takes a fifth of the JSON form, and invalid input
+   is refused. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,7 +8,7 @@
 #include "rng.h"
 #include "test.h"
 
-static cw_servers_t list_of(uint32_t count) {
+static cw_servers_t make_list(uint32_t count) {
     cw_servers_t list = {.at = 70000, .age_ms = 120, .closed = {.at = 69000}};
     cw_closed_add(&list.closed, "hall-1");
     for (uint32_t i = 0; i < count; i++) {
@@ -24,42 +25,43 @@
     return list;
 }
 
-static void same_both_ways(uint32_t count) {
-    cw_servers_t list = list_of(count);
-    cw_servers_t back = {0};
+static void check_round_trip(uint32_t count) {
+    cw_servers_t list = make_list(count);
+    cw_servers_t decoded = {0};
     cw_changes_t changes = {.since = 65000};
-    cw_changes_t learned = {0};
+    cw_changes_t received_changes = {0};
     size_t size = 0;
     cw_changes_add_gone(&changes, "i-gone", 66000);
     cw_changes_add_gone(&changes, "i-gone-too", 70000);
     char* bytes = cw_packed_write(&list, &changes, &size);
     ck_assert(cw_packed_is(bytes, size));
-    ck_assert_int_eq(cw_packed_read(&back, &learned, bytes, size, NULL), CW_OK);
-    ck_assert(cw_servers_equal(&list, &back));
-    ck_assert(learned.since == 65000 && learned.count == 2 && learned.gone[1].revision == 70000);
-    ck_assert_str_eq(learned.gone[0].id, "i-gone");
-    ck_assert(back.at == list.at && back.age_ms == list.age_ms && back.closed.at == list.closed.at);
+    ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, bytes, size, NULL), CW_OK);
+    ck_assert(cw_servers_equal(&list, &decoded));
+    ck_assert(received_changes.since == 65000 && received_changes.count == 2 &&
+              received_changes.gone[1].revision == 70000);
+    ck_assert_str_eq(received_changes.gone[0].id, "i-gone");
+    ck_assert(decoded.at == list.at && decoded.age_ms == list.age_ms && decoded.closed.at == list.closed.at);
     for (uint32_t i = 0; i < count; i++) {
-        ck_assert_int_eq(back.items[i].revision, list.items[i].revision);
+        ck_assert_int_eq(decoded.items[i].revision, list.items[i].revision);
     }
     cw_servers_free(&list);
-    cw_servers_free(&back);
+    cw_servers_free(&decoded);
     cw_changes_free(&changes);
-    cw_changes_free(&learned);
+    cw_changes_free(&received_changes);
     free(bytes);
 }
 
-START_TEST(a_list_comes_back_as_it_was) {
-    same_both_ways(0);
-    same_both_ways(1);
-    same_both_ways(1000);
+START_TEST(a_list_survives_the_round_trip) {
+    check_round_trip(0);
+    check_round_trip(1);
+    check_round_trip(1000);
 }
 END_TEST
 
-/* Every host of a fleet that starts fetches the whole list over a link of 20 Mbit/s, from hosts that all others ask as
-   well: 1.1 MB of 6,003 servers took longer than the call may. */
-START_TEST(a_list_of_thousands_takes_a_fifth_of_its_json_form) {
-    cw_servers_t list = list_of(6003);
+/* When a fleet starts, every host fetches the full list over a link of 20 Mbit/s, from hosts that all others ask as
+   well. In the JSON form, 1.1 MB for 6,003 servers, this took longer than the timeout of the call. */
+START_TEST(a_large_list_takes_a_fifth_of_its_json_form) {
+    cw_servers_t list = make_list(6003);
     cw_changes_t changes = {0};
     size_t size = 0;
     char* bytes = cw_packed_write(&list, &changes, &size);
@@ -72,42 +74,42 @@
 }
 END_TEST
 
-START_TEST(nonsense_is_refused) {
+START_TEST(invalid_encodings_are_refused) {
     rng_t rng = {.state = 5};
     cw_changes_t changes = {.since = 65000};
-    cw_changes_t learned = {0};
+    cw_changes_t received_changes = {0};
     cw_changes_add_gone(&changes, "i-gone", 66000);
-    cw_servers_t list = list_of(20);
+    cw_servers_t list = make_list(20);
     size_t size = 0;
     char* bytes = cw_packed_write(&list, &changes, &size);
     for (size_t cut = 0; cut < size; cut++) {
-        cw_servers_t back = {0};
+        cw_servers_t decoded = {0};
         cw_error_t err = {0};
-        ck_assert_int_eq(cw_packed_read(&back, &learned, bytes, cut, &err), CW_ERR_INVALID);
+        ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, bytes, cut, &err), CW_ERR_INVALID);
         ck_assert_str_eq(err.step, "servers");
-        ck_assert_uint_eq(back.count + learned.count, 0);
+        ck_assert_uint_eq(decoded.count + received_changes.count, 0);
     }
     for (int round = 0; round < 20000; round++) {
-        char* spoilt = malloc(size + 1);
-        memcpy(spoilt, bytes, size);
+        char* corrupted = malloc(size + 1);
+        memcpy(corrupted, bytes, size);
         for (uint32_t n = 1 + rng_below(&rng, 4); n; n--) {
-            spoilt[rng_below(&rng, (uint32_t)size)] = (char)rng_below(&rng, 256);
+            corrupted[rng_below(&rng, (uint32_t)size)] = (char)rng_below(&rng, 256);
         }
-        cw_servers_t back = {0};
-        if (cw_packed_read(&back, &learned, spoilt, size, NULL) == CW_OK) {
-            ck_assert_uint_le(back.count, list.count);
-            for (uint32_t i = 0; i < back.count; i++) {
-                ck_assert(back.items[i].id[0] && back.items[i].pool[0] && back.items[i].slots);
+        cw_servers_t decoded = {0};
+        if (cw_packed_read(&decoded, &received_changes, corrupted, size, NULL) == CW_OK) {
+            ck_assert_uint_le(decoded.count, list.count);
+            for (uint32_t i = 0; i < decoded.count; i++) {
+                ck_assert(decoded.items[i].id[0] && decoded.items[i].pool[0] && decoded.items[i].slots);
             }
         }
-        cw_servers_free(&back);
-        cw_changes_free(&learned);
-        free(spoilt);
+        cw_servers_free(&decoded);
+        cw_changes_free(&received_changes);
+        free(corrupted);
     }
-    cw_servers_t back = {0};
+    cw_servers_t decoded = {0};
     static const char array[] = "\xb2"
                                 "chalkway-servers-1\xdd\xff\xff\xff\xff";
-    ck_assert_int_eq(cw_packed_read(&back, &learned, array, sizeof(array) - 1, NULL), CW_ERR_INVALID);
+    ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, array, sizeof(array) - 1, NULL), CW_ERR_INVALID);
     free(bytes);
     cw_servers_free(&list);
     cw_changes_free(&changes);
@@ -115,9 +117,9 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, a_list_comes_back_as_it_was);
-    tcase_add_test(t, a_list_of_thousands_takes_a_fifth_of_its_json_form);
-    tcase_add_test(t, nonsense_is_refused);
+    tcase_add_test(t, a_list_survives_the_round_trip);
+    tcase_add_test(t, a_large_list_takes_a_fifth_of_its_json_form);
+    tcase_add_test(t, invalid_encodings_are_refused);
 }
 
 int main(void) {
--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -1,4 +1,4 @@
-/* Published resources: nothing goes back, the last valid version stays in force. */
+/* Store of published resources: revisions never decrease, and the last valid version stays active. */
 #include <sodium.h>
 #include <stdio.h>
 #include <string.h>
@@ -17,7 +17,7 @@
     ck_assert_int_eq(cw_store_put(s, "pools/a", 5, POOL), CW_OK);
     ck_assert_int_eq(cw_store_put(s, "pools/a", 4, "{\"kind\":\"engine\"}"), CW_ERR_STALE);
     ck_assert_int_eq(cw_store_put(s, "pools/a", 6, NULL), CW_OK);
-    ck_assert_int_eq(cw_store_put(s, "pools/a", 5, POOL), CW_ERR_STALE); /* a deletion is not undone */
+    ck_assert_int_eq(cw_store_put(s, "pools/a", 5, POOL), CW_ERR_STALE); /* a stale version does not undo a deletion */
     cw_store_commit(s, 6);
     cw_view_t* v = cw_store_view(s);
     ck_assert_uint_eq(v->pool_count, 0);
@@ -26,7 +26,7 @@
 }
 END_TEST
 
-START_TEST(an_invalid_document_leaves_the_last_valid_one) {
+START_TEST(the_last_valid_version_stays_active) {
     cw_store_t* s = store_new();
     cw_store_put(s, "pools/a", 1, "{\"kind\":\"service\",\"reserve\":3}");
     ck_assert_int_eq(cw_store_put(s, "pools/a", 2, "{\"kind\":\"teapot\"}"), CW_ERR_INVALID);
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST(a_request_keeps_its_view) {
+START_TEST(a_snapshot_does_not_change) {
     cw_store_t* s = store_new();
     cw_store_put(s, "pools/a", 1, POOL);
     cw_store_commit(s, 1);
@@ -61,7 +61,7 @@
 }
 END_TEST
 
-START_TEST(references_are_resolved_when_the_other_comes) {
+START_TEST(an_upstream_is_active_once_its_pool_is_published) {
     static const char upstream[] = "{\"pool\":\"a\",\"address\":\"127.0.0.1:80\",\"hall\":\"h\"}";
     cw_store_t* s = store_new();
     cw_store_put(s, "upstreams/u", 1, upstream);
@@ -77,7 +77,7 @@
 }
 END_TEST
 
-START_TEST(wrong_documents_say_what_is_wrong) {
+START_TEST(invalid_documents_are_refused_with_a_reason) {
     static const struct {
         const char* key;
         const char* value;
@@ -105,7 +105,7 @@
 }
 END_TEST
 
-START_TEST(workspaces_are_found_by_token) {
+START_TEST(workspaces_are_found_by_token_digest) {
     uint8_t digest[CW_DIGEST_BYTES];
     char hex[65];
     char doc[160];
@@ -124,8 +124,8 @@
 }
 END_TEST
 
-/* Any order of arrival, with stale copies in between, ends in the same state. */
-START_TEST(any_order_ends_the_same) {
+/* Versions that arrive in any order, with stale and duplicate ones among them, lead to the same state. */
+START_TEST(any_order_of_arrival_gives_the_same_state) {
     rng_t rng = {.state = (uint64_t)_i + 1};
     cw_store_t* s = store_new();
     int64_t highest[8] = {0};
@@ -133,13 +133,13 @@
     for (int step = 0; step < 400; step++) {
         uint32_t k = rng_below(&rng, 8);
         int64_t revision = 1 + rng_below(&rng, 1000);
-        bool gone = revision % 5 == 0; /* a revision has one meaning, whoever tells it */
+        bool is_deletion = revision % 5 == 0; /* the content depends on the revision only */
         char key[16];
         snprintf(key, sizeof(key), "pools/%u", k);
-        cw_store_put(s, key, revision, gone ? NULL : POOL);
+        cw_store_put(s, key, revision, is_deletion ? NULL : POOL);
         if (revision > highest[k]) {
             highest[k] = revision;
-            deleted[k] = gone;
+            deleted[k] = is_deletion;
         }
         if (!rng_below(&rng, 10)) {
             cw_store_commit(s, rng_below(&rng, 1000));
@@ -160,12 +160,12 @@
 
 static void add_tests(TCase* t) {
     tcase_add_test(t, lower_revisions_are_dropped);
-    tcase_add_test(t, an_invalid_document_leaves_the_last_valid_one);
-    tcase_add_test(t, a_request_keeps_its_view);
-    tcase_add_test(t, references_are_resolved_when_the_other_comes);
-    tcase_add_test(t, wrong_documents_say_what_is_wrong);
-    tcase_add_test(t, workspaces_are_found_by_token);
-    tcase_add_loop_test(t, any_order_ends_the_same, 0, 20);
+    tcase_add_test(t, the_last_valid_version_stays_active);
+    tcase_add_test(t, a_snapshot_does_not_change);
+    tcase_add_test(t, an_upstream_is_active_once_its_pool_is_published);
+    tcase_add_test(t, invalid_documents_are_refused_with_a_reason);
+    tcase_add_test(t, workspaces_are_found_by_token_digest);
+    tcase_add_loop_test(t, any_order_of_arrival_gives_the_same_state, 0, 20);
 }
 
 int main(void) {
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,37 +1,39 @@
-/* Messages between daemons: what is packed is read again; what is no message is refused. */
+/* Messages between daemons: what is encoded decodes to the same message, and invalid input is refused. */
 #include <string.h>
 
 #include "../chalkway_wire.h"
 #include "test.h"
 
-static cw_msg_t msg, back;
+static cw_msg_t msg, decoded;
 
-static void round_trip(cw_wire_t* wire) {
+static void check_round_trip(cw_wire_t* wire) {
     cw_bytes_t frame = cw_wire_frame(wire, &msg);
     ck_assert_uint_eq(cw_wire_body_size(frame.data), frame.size - CW_FRAME_HEADER);
     cw_error_t err = {0};
-    cw_status_t status = cw_wire_decode(wire, frame.data + CW_FRAME_HEADER, frame.size - CW_FRAME_HEADER, &back, &err);
+    cw_status_t status =
+        cw_wire_decode(wire, frame.data + CW_FRAME_HEADER, frame.size - CW_FRAME_HEADER, &decoded, &err);
     ck_assert_msg(status == CW_OK, "%s", cw_error_text(&err).text);
-    ck_assert_int_eq(back.type, msg.type);
+    ck_assert_int_eq(decoded.type, msg.type);
 }
 
-START_TEST(wants_and_answers_come_back) {
+START_TEST(slot_requests_and_actions_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 9};
     msg.want = (cw_want_t){.seq = 3, .tier = 2, .flags = 1, .workspace = UINT64_MAX, .cost = 77, .left_ms = 5};
-    memset(&back, 0xff, sizeof(back)); /* an earlier message: its rest once became a limit of the workspace */
-    round_trip(wire);
-    ck_assert_mem_eq(&back.want, &msg.want, sizeof(msg.want));
+    memset(&decoded, 0xff,
+           sizeof(decoded)); /* an earlier message: its remains were once taken for a limit of the workspace */
+    check_round_trip(wire);
+    ck_assert_mem_eq(&decoded.want, &msg.want, sizeof(msg.want));
     msg = (cw_msg_t){.type = CW_MSG_ACTION, .shard = 9, .wait_ms = 12};
     msg.action = (cw_shard_action_t){.kind = CW_SHARD_GRANT, .seq = 3, .grant = 1ULL << 40, .upstream = 5};
-    round_trip(wire);
-    ck_assert_uint_eq(back.action.grant, msg.action.grant);
-    ck_assert_uint_eq(back.wait_ms, 12);
+    check_round_trip(wire);
+    ck_assert_uint_eq(decoded.action.grant, msg.action.grant);
+    ck_assert_uint_eq(decoded.wait_ms, 12);
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-START_TEST(lists_and_chunks_come_back) {
+START_TEST(grant_lists_and_document_chunks_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     cw_held_t held[3] = {{.grant = 1, .workspace = 1, .seq = 1},
                          {.grant = 2, .workspace = 1, .tier = 3},
@@ -40,39 +42,39 @@
     msg.digest = (cw_digest_t){.last = 3, .xored = 0, .count = 3};
     msg.held = held;
     msg.held_count = 3;
-    round_trip(wire);
-    ck_assert_uint_eq(back.held_count, 3);
-    ck_assert_uint_eq(back.held[2].cost, 9);
+    check_round_trip(wire);
+    ck_assert_uint_eq(decoded.held_count, 3);
+    ck_assert_uint_eq(decoded.held[2].cost, 9);
     msg = (cw_msg_t){.type = CW_MSG_CHUNK};
     msg.chunk.revision = 8;
     msg.chunk.last = true;
     msg.chunk.count = 2;
     msg.chunk.items[0] = (cw_chunk_item_t){.key = "pools/a", .value = "{}", .revision = 7};
     msg.chunk.items[1] = (cw_chunk_item_t){.key = "pools/b", .value = NULL, .revision = 8};
-    round_trip(wire);
-    ck_assert_str_eq(back.chunk.items[0].value, "{}");
-    ck_assert_ptr_null(back.chunk.items[1].value);
+    check_round_trip(wire);
+    ck_assert_str_eq(decoded.chunk.items[0].value, "{}");
+    ck_assert_ptr_null(decoded.chunk.items[1].value);
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-/* A message of an older version lacks fields at its end, one of a newer version has more. */
-START_TEST(versions_mix) {
+/* Messages of older versions lack fields at the end, those of newer versions have additional ones. */
+START_TEST(messages_of_other_versions_are_decoded) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     const uint8_t older[] = {0x93, CW_MSG_CANCEL, 9, 5};
     const uint8_t shorter[] = {0x92, CW_MSG_CANCEL, 9};
     const uint8_t newer[] = {0x95, CW_MSG_CANCEL, 9, 5, 1, 0xa1, 'x'};
-    ck_assert_int_eq(cw_wire_decode(wire, older, sizeof(older), &back, NULL), CW_OK);
-    ck_assert_uint_eq(back.cancel_seq, 5);
-    ck_assert_int_eq(cw_wire_decode(wire, shorter, sizeof(shorter), &back, NULL), CW_OK);
-    ck_assert_uint_eq(back.cancel_seq, 0);
-    ck_assert_int_eq(cw_wire_decode(wire, newer, sizeof(newer), &back, NULL), CW_OK);
-    ck_assert_uint_eq(back.cancel_seq, 5);
+    ck_assert_int_eq(cw_wire_decode(wire, older, sizeof(older), &decoded, NULL), CW_OK);
+    ck_assert_uint_eq(decoded.cancel_seq, 5);
+    ck_assert_int_eq(cw_wire_decode(wire, shorter, sizeof(shorter), &decoded, NULL), CW_OK);
+    ck_assert_uint_eq(decoded.cancel_seq, 0);
+    ck_assert_int_eq(cw_wire_decode(wire, newer, sizeof(newer), &decoded, NULL), CW_OK);
+    ck_assert_uint_eq(decoded.cancel_seq, 5);
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-START_TEST(other_clusters_are_refused) {
+START_TEST(gossip_of_other_clusters_is_refused) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_gossip_t g, in;
     g = (cw_gossip_t){.kind = CW_GOSSIP_PING, .seq = 1};
@@ -88,8 +90,8 @@
 }
 END_TEST
 
-/* A summary of the sender's view comes back as it was; one of another size than a power of two is refused. */
-START_TEST(summaries_come_back) {
+/* A summary of the sender's membership view decodes to the same; one whose size is not a power of two is refused. */
+START_TEST(summaries_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_gossip_t g, in;
     static const uint32_t sizes[] = {0, 1, 256, CW_SUMMARY_BUCKETS, 4};
@@ -107,15 +109,15 @@
     uint8_t three[2048];
     size_t size = bytes.size - 2; /* without the last sum */
     memcpy(three, bytes.data, size);
-    ck_assert_uint_eq(three[size - 7], 0xa8); /* a text of 8 bytes */
+    ck_assert_uint_eq(three[size - 7], 0xa8); /* fixstr of 8 bytes */
     three[size - 7] = 0xa6;
     ck_assert_int_eq(cw_wire_gossip(wire, "one", three, size, &in, NULL), CW_ERR_PROTOCOL);
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-/* Five bytes that announce four thousand million fields: the library would allocate them all. */
-START_TEST(announced_sizes_are_checked_first) {
+/* Five bytes can announce 2^32 - 1 fields: without the check, the library would allocate them all. */
+START_TEST(announced_sizes_are_checked_before_allocation) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     static const uint8_t bad[][8] = {{0xdd, 0xff, 0xff, 0xff, 0xff},
                                      {0x92, CW_MSG_CANCEL, 0xdd, 0xff, 0xff, 0xff, 0xff},
@@ -123,13 +125,18 @@
                                      {0x92, CW_MSG_CANCEL, 0xdb, 0xff, 0xff, 0xff, 0xff},
                                      {0x92, CW_MSG_CANCEL, 0xcf, 1, 1}};
     for (size_t i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-        ck_assert_int_eq(cw_wire_decode(wire, bad[i], 8 - (i == 0 ? 3 : i == 4 ? 3 : 1), &back, NULL), CW_ERR_PROTOCOL);
+        ck_assert_int_eq(cw_wire_decode(wire, bad[i],
+                                        8 - (i == 0   ? 3
+                                             : i == 4 ? 3
+                                                      : 1),
+                                        &decoded, NULL),
+                         CW_ERR_PROTOCOL);
     }
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-/* Ids of zero mean none and would be misuse inside: they are refused at the border. */
+/* An id of zero means none and would violate the preconditions of the modules: the decoder refuses it. */
 START_TEST(zero_ids_are_refused) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     cw_held_t held = {.grant = 0, .workspace = 1};
@@ -137,23 +144,23 @@
     msg.held = &held;
     msg.held_count = 1;
     cw_bytes_t f = cw_wire_frame(wire, &msg);
-    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &back, NULL),
+    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
     msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 4};
     msg.want.seq = 1;
     f = cw_wire_frame(wire, &msg);
-    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &back, NULL),
+    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
     msg = (cw_msg_t){.type = CW_MSG_HELLO};
     f = cw_wire_frame(wire, &msg);
-    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &back, NULL),
+    ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
     cw_wire_shutdown(wire);
 }
 END_TEST
 
-/* Random bytes and broken messages are errors, never more. */
-START_TEST(garbage_is_refused) {
+/* Corrupted messages are decoded or refused, but never break the decoder. */
+START_TEST(corrupted_messages_are_decoded_or_refused) {
     rng_t rng = {.state = (uint64_t)_i};
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_gossip_t in;
@@ -170,9 +177,9 @@
         for (uint32_t n = 1 + rng_below(&rng, 6); n; n--) {
             bytes[rng_below(&rng, (uint32_t)size)] = (uint8_t)rng_below(&rng, 256);
         }
-        cw_status_t status = cw_wire_decode(wire, bytes, 1 + rng_below(&rng, (uint32_t)size), &back, NULL);
+        cw_status_t status = cw_wire_decode(wire, bytes, 1 + rng_below(&rng, (uint32_t)size), &decoded, NULL);
         ck_assert(status == CW_OK || status == CW_ERR_PROTOCOL);
-        ck_assert(status != CW_OK || back.type != CW_MSG_WANT || (back.want.tier < CW_TIERS && back.want.seq));
+        ck_assert(status != CW_OK || decoded.type != CW_MSG_WANT || (decoded.want.tier < CW_TIERS && decoded.want.seq));
         cw_wire_gossip(wire, "x", bytes, size, &in, NULL);
     }
     cw_wire_shutdown(wire);
@@ -180,14 +187,14 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, wants_and_answers_come_back);
-    tcase_add_test(t, lists_and_chunks_come_back);
-    tcase_add_test(t, versions_mix);
-    tcase_add_test(t, other_clusters_are_refused);
-    tcase_add_test(t, summaries_come_back);
-    tcase_add_test(t, announced_sizes_are_checked_first);
+    tcase_add_test(t, slot_requests_and_actions_survive_the_round_trip);
+    tcase_add_test(t, grant_lists_and_document_chunks_survive_the_round_trip);
+    tcase_add_test(t, messages_of_other_versions_are_decoded);
+    tcase_add_test(t, gossip_of_other_clusters_is_refused);
+    tcase_add_test(t, summaries_survive_the_round_trip);
+    tcase_add_test(t, announced_sizes_are_checked_before_allocation);
     tcase_add_test(t, zero_ids_are_refused);
-    tcase_add_loop_test(t, garbage_is_refused, 0, 10);
+    tcase_add_loop_test(t, corrupted_messages_are_decoded_or_refused, 0, 10);
 }
 
 int main(void) {
