--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -1,4 +1,4 @@
-/* The gateway's decisions on a clock of the test's own: catalog, choice of a server, news of load, events, budget. */
+/* The gateway's modules on a simulated clock: catalog, choice of a server, load reports, events, retry budget. */
 #include <stdio.h>
 #include <string.h>
 
@@ -28,19 +28,19 @@
     "\"pools\":[{\"name\":\"p\"},{\"name\":\"q\",\"engine\":{\"slots\":4,\"memory_tokens\":1000}}],"
     "\"workspaces\":[{\"name\":\"w\",\"keys\":[\"k1\",\"k2\"],\"tier\":2}]}";
 
-static const cw_route_t* route(const cw_catalog_t* c, const char* host, const char* path) {
+static const cw_route_t* find_route(const cw_catalog_t* c, const char* host, const char* path) {
     return cw_catalog_route(c, host, path, strlen(path));
 }
 
-START_TEST(catalog_finds_the_longest_prefix_and_the_holder_of_a_key) {
+START_TEST(catalog_finds_the_longest_prefix_and_the_workspace_of_a_key) {
     cw_error_t err = {0};
     cw_catalog_t* c = cw_catalog_read(document, strlen(document), &err);
     ck_assert_msg(c != NULL, "%s", err.message);
-    ck_assert_str_eq(route(c, "h.EXAMPLE", "/a/x")->name, "a");
-    ck_assert_str_eq(route(c, "h.example", "/a/b/c/d")->name, "ab");
-    ck_assert_str_eq(route(c, "h.example", "/a/b")->name, "a");
-    ck_assert_ptr_null(route(c, "h.example", "/b/a/"));
-    ck_assert_ptr_null(route(c, "other.example", "/a/x"));
+    ck_assert_str_eq(find_route(c, "h.EXAMPLE", "/a/x")->name, "a");
+    ck_assert_str_eq(find_route(c, "h.example", "/a/b/c/d")->name, "ab");
+    ck_assert_str_eq(find_route(c, "h.example", "/a/b")->name, "a");
+    ck_assert_ptr_null(find_route(c, "h.example", "/b/a/"));
+    ck_assert_ptr_null(find_route(c, "other.example", "/a/x"));
     ck_assert_str_eq(cw_catalog_workspace(c, "k2")->name, "w");
     ck_assert_ptr_null(cw_catalog_workspace(c, "k"));
     ck_assert(c->needs_keys);
@@ -48,9 +48,9 @@
 }
 END_TEST
 
-START_TEST(catalog_splits_a_route_by_weights) {
+START_TEST(catalog_chooses_pools_by_weight) {
     cw_catalog_t* c = cw_catalog_read(document, strlen(document), NULL);
-    const cw_route_t* split = route(c, "h.example", "/a/b/");
+    const cw_route_t* split = find_route(c, "h.example", "/a/b/");
     int q = 0;
     for (uint64_t draw = 0; draw < 1000; draw++) {
         q += strcmp(cw_catalog_pool(c, split, draw)->name, "q") == 0;
@@ -60,7 +60,7 @@
 }
 END_TEST
 
-START_TEST(catalog_refuses_a_wrong_document_as_a_whole_and_says_why) {
+START_TEST(catalog_refuses_an_invalid_document_with_a_reason) {
     static const struct {
         const char* text;
         const char* why;
@@ -89,7 +89,7 @@
 }
 END_TEST
 
-START_TEST(servers_survive_their_json_form) {
+START_TEST(a_list_of_servers_survives_the_json_round_trip) {
     cw_servers_t list = {.at = 9, .age_ms = 120};
     cw_server_t one = {.id = "i-1", .address = "10.0.0.1:80", .pool = "p", .hall = "a", .slots = 4, .cold_ms = 7};
     cw_server_t two = {.id = "i-2", .address = "10.0.0.2:80", .pool = "p", .hall = "b", .slots = 4, .leaving = true};
@@ -115,9 +115,9 @@
 }
 END_TEST
 
-/* -- choice --------------------------------------------------------------- */
+/* -- choice of a server --------------------------------------------------- */
 
-static cw_balance_t* engines(uint32_t count) {
+static cw_balance_t* make_engines(uint32_t count) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 5});
     cw_server_spec_t specs[8];
     for (uint32_t i = 0; i < count; i++) {
@@ -127,7 +127,7 @@
     return b;
 }
 
-static uint64_t chosen(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, cw_run_t* run) {
+static uint64_t choose_and_begin(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, cw_run_t* run) {
     cw_choice_t c = cw_balance_choose(b, now_ms, work, NULL, 0);
     if (c.server == CW_BALANCE_NONE) {
         return 0;
@@ -137,27 +137,27 @@
 }
 
 START_TEST(long_prompts_are_spread_over_idle_servers) {
-    cw_balance_t* b = engines(3);
+    cw_balance_t* b = make_engines(3);
     cw_work_t work = {.prompt_tokens = 10000, .target_ms = 2000};
     cw_run_t runs[3];
     uint64_t sum = 0;
     for (int i = 0; i < 3; i++) {
-        sum += chosen(b, 0, &work, &runs[i]);
+        sum += choose_and_begin(b, 0, &work, &runs[i]);
     }
     ck_assert_uint_eq(sum, 1 + 2 + 3);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* An engine that reads a token in 20 us. Every other prompt also waits, for a place or behind a prompt of another
-   daemon that is not known yet. */
-START_TEST(waits_that_nobody_knows_of_are_not_taken_for_reading) {
-    cw_balance_t* b = engines(1);
+/* An engine that prefills a token in 20 us. Every other prompt also waits, for a slot or behind a prompt of another
+   daemon that was not reported yet: these waits must not raise the learned prefill time. */
+START_TEST(unreported_waits_do_not_raise_the_prefill_time) {
+    cw_balance_t* b = make_engines(1);
     int64_t now_ms = 0;
     for (uint32_t i = 0; i < 400; i++) {
         cw_work_t work = {.prompt_tokens = 500 + 25 * (i % 20), .target_ms = 400};
         cw_run_t run;
-        ck_assert_uint_eq(chosen(b, now_ms, &work, &run), 1);
+        ck_assert_uint_eq(choose_and_begin(b, now_ms, &work, &run), 1);
         int64_t read_ms = 10 + (int64_t)work.prompt_tokens / 50;
         cw_balance_first(b, now_ms + read_ms + (i % 2 ? 300 : 0), &run);
         cw_balance_end(b, now_ms + read_ms + 400, &run, CW_TRY_SERVED);
@@ -169,28 +169,28 @@
 }
 END_TEST
 
-START_TEST(another_daemons_load_is_counted_until_it_is_old) {
-    cw_balance_t* b = engines(2);
+START_TEST(load_reports_of_other_daemons_expire) {
+    cw_balance_t* b = make_engines(2);
     cw_work_t work = {.prompt_tokens = 100, .target_ms = 200};
     cw_run_t run;
-    uint64_t first = chosen(b, 0, &work, &run);
+    uint64_t first = choose_and_begin(b, 0, &work, &run);
     cw_balance_end(b, 1, &run, CW_TRY_CANCELLED);
     cw_balance_news(b, 1, 77, first, &(cw_load_t){.running = 3, .backlog_ms = BACKLOG(500)});
-    ck_assert_uint_ne(chosen(b, 2, &work, &run), first);
+    ck_assert_uint_ne(choose_and_begin(b, 2, &work, &run), first);
     cw_balance_end(b, 3, &run, CW_TRY_CANCELLED);
-    ck_assert_uint_eq(chosen(b, 5000, &work, &run), first);
+    ck_assert_uint_eq(choose_and_begin(b, 5000, &work, &run), first);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* Engines read the more urgent prompts first: those of a later urgency do not stand before them. They would be delayed
-   though, so an urgent prompt goes where least is read. */
-START_TEST(an_urgent_prompt_waits_for_urgent_ones_only) {
-    cw_balance_t* b = engines(1);
+/* Engines prefill more urgent prompts first, so an urgent prompt does not wait for less urgent ones. It would delay
+   them though, so it goes to the server with the shortest total backlog. */
+START_TEST(less_urgent_prompts_do_not_delay_urgent_ones) {
+    cw_balance_t* b = make_engines(1);
     cw_work_t urgent = {.prompt_tokens = 600, .target_ms = 250};
     cw_work_t later = {.urgency = 1, .prompt_tokens = 20000, .target_ms = 2000};
     cw_run_t runs[2] = {{.server = CW_BALANCE_NONE}, {.server = CW_BALANCE_NONE}};
-    chosen(b, 0, &later, &runs[0]);
+    choose_and_begin(b, 0, &later, &runs[0]);
     uint32_t at = runs[0].server;
     cw_load_t before = cw_balance_load(b, 0, at);
     ck_assert_uint_eq(before.backlog_ms[0], 0);
@@ -201,7 +201,7 @@
     ck_assert_double_gt(cw_balance_choose(b, 0, &urgent, NULL, 0).cost_ms, 100);
     cw_balance_news(b, 0, 7, 1, &(cw_load_t){.running = 2, .backlog_ms = {30, 90, 90, 90, 90, 90, 90, 90, 90, 90}});
     ck_assert_double_eq(cw_balance_choose(b, 0, &urgent, NULL, 0).wait_ms, 30);
-    chosen(b, 0, &urgent, &runs[1]);
+    choose_and_begin(b, 0, &urgent, &runs[1]);
     cw_balance_first(b, 15, &runs[1]);
     ck_assert_uint_eq(cw_balance_load(b, 15, at).backlog_ms[0], 0);
     ck_assert_uint_gt(cw_balance_load(b, 15, at).backlog_ms[1], 100);
@@ -211,9 +211,9 @@
 }
 END_TEST
 
-/* Prompts of random urgencies come and end at random times: an urgency waits no less than a more urgent one, and
-   nothing is left when all are read. */
-START_TEST(backlogs_of_urgencies_stay_in_order_and_end_empty) {
+/* Prompts of random urgencies arrive and are prefilled at random times: no urgency has a shorter backlog than a more
+   urgent one, and every backlog is empty in the end. */
+START_TEST(backlogs_grow_with_urgency_level_and_end_empty) {
     for (uint64_t seed = 1; seed <= 50; seed++) {
         cw_backlog_t b = {0};
         cw_backlog_plan_t plans[20];
@@ -241,54 +241,55 @@
 }
 END_TEST
 
-/* What a plain call waits for is no backlog of prompts. */
+/* The wait for the response of a plain call is not a backlog of prompts. */
 START_TEST(plain_calls_have_no_backlog) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 1});
     cw_server_spec_t spec = {.id = 1, .slots = 4};
     cw_balance_set(b, 0, &spec, 1);
     cw_work_t call = {.target_ms = 300};
     cw_run_t run;
-    ck_assert_uint_eq(chosen(b, 1000, &call, &run), 1);
+    ck_assert_uint_eq(choose_and_begin(b, 1000, &call, &run), 1);
     ck_assert_uint_eq(cw_balance_load(b, 5000, run.server).backlog_ms[CW_URGENCIES - 1], 0);
     ck_assert_double_eq(cw_balance_choose(b, 5000, &call, NULL, 0).wait_ms, 0);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* Of servers alike, the one with a connection at rest is taken; a shorter wait is worth a new one. */
-START_TEST(a_connection_at_rest_is_used_among_servers_alike) {
-    cw_balance_t* b = engines(4);
+/* Among equal servers, the one with an idle connection is chosen; a shorter wait is worth a new connection. */
+START_TEST(an_idle_connection_decides_among_equal_servers) {
+    cw_balance_t* b = make_engines(4);
     cw_work_t work = {.prompt_tokens = 100, .target_ms = 250};
     cw_run_t run;
     for (uint64_t id = 1; id <= 4; id++) {
         cw_balance_warm(b, id, true);
-        ck_assert_uint_eq(chosen(b, 0, &work, &run), id);
+        ck_assert_uint_eq(choose_and_begin(b, 0, &work, &run), id);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
         cw_balance_warm(b, id, false);
     }
     cw_balance_warm(b, 2, true);
     cw_balance_news(b, 0, 7, 2, &(cw_load_t){.running = 1, .backlog_ms = BACKLOG(40)});
-    ck_assert_uint_ne(chosen(b, 0, &work, &run), 2);
+    ck_assert_uint_ne(choose_and_begin(b, 0, &work, &run), 2);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(a_subject_stays_with_the_server_that_keeps_it) {
-    cw_balance_t* b = engines(4);
+START_TEST(a_prompt_goes_to_the_server_that_caches_its_prefix) {
+    cw_balance_t* b = make_engines(4);
     cw_work_t work = {.prompt_tokens = 6000, .target_ms = 2000, .part_count = 1, .parts = {{.id = 9, .tokens = 5000}}};
     cw_run_t first;
     cw_run_t second;
-    uint64_t home = chosen(b, 0, &work, &first);
-    ck_assert_uint_eq(chosen(b, 10, &work, &second), home); /* a short wait is better than reading it again */
+    uint64_t first_server = choose_and_begin(b, 0, &work, &first);
+    ck_assert_uint_eq(choose_and_begin(b, 10, &work, &second),
+                      first_server); /* a short wait is better than prefilling the part again */
     cw_work_t other = work;
     other.parts[0].id = 10;
-    ck_assert_uint_ne(chosen(b, 20, &other, &second), home);
+    ck_assert_uint_ne(choose_and_begin(b, 20, &other, &second), first_server);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* Eight engines that can fetch parts from each other. */
-static cw_balance_t* fetching_engines(uint64_t host) {
+/* Eight engines that can fetch cached prompt parts from each other. */
+static cw_balance_t* make_fetching_engines(uint64_t host) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = host});
     cw_server_spec_t specs[8];
     for (uint32_t i = 0; i < 8; i++) {
@@ -298,25 +299,24 @@
     return b;
 }
 
-/* A prompt that begins with a part that all have, goes on with a document that many ask about, and ends with its own.
- */
-static cw_work_t about(uint64_t document, uint64_t own) {
+/* A prompt of three parts: one that all prompts share, a document that many share, and one of its own. */
+static cw_work_t make_document_work(uint64_t document, uint64_t own) {
     return (cw_work_t){
         .prompt_tokens = 12000, .target_ms = 2000, .part_count = 3, .parts = {{1, 500}, {document, 5000}, {own, 6500}}};
 }
 
-/* In a burst each document's readings were spread over all engines: of 41 million shared tokens of one kind of prompts,
-   before 140 engines, a fifth was found kept, and the rest fetched or read again. Thirty hosts, none of which has heard
-   of another, place prompts about the same document at few engines, other documents at others; and where these are
-   busy, elsewhere. */
-START_TEST(a_shared_part_is_placed_where_others_will_seek_it) {
+/* In a burst, prompts about the same document were spread over all engines: with 140 engines, of 41 million shared
+   tokens in one class of prompts, a fifth was found in a cache, and the rest was fetched or recomputed. Thirty hosts
+   without load reports of each other must send prompts about one document to few engines, and other documents to other
+   engines; when these are busy, the prompts go elsewhere. */
+START_TEST(hosts_send_a_shared_prompt_part_to_the_same_engines) {
     uint32_t used_by_all = 0;
     for (uint64_t document = 100; document < 110; document++) {
         uint32_t used = 0;
         for (uint64_t host = 1; host <= 30; host++) {
-            cw_balance_t* b = fetching_engines(host);
+            cw_balance_t* b = make_fetching_engines(host);
             cw_balance_kept(b, 1 + host % 8, &(cw_work_part_t){1, 500});
-            cw_work_t work = about(document, 1000 + host);
+            cw_work_t work = make_document_work(document, 1000 + host);
             used |= 1U << cw_balance_choose(b, 0, &work, NULL, 0).server;
             cw_balance_shutdown(b);
         }
@@ -324,23 +324,23 @@
         used_by_all |= used;
     }
     ck_assert_uint_ge((uint32_t)__builtin_popcount(used_by_all), 5);
-    cw_balance_t* b = fetching_engines(1);
+    cw_balance_t* b = make_fetching_engines(1);
     uint32_t engines_used = 0;
-    for (uint32_t i = 0; i < 16; i++) { /* its owners have places for all, and are worth a wait, but not any */
-        cw_work_t work = about(100, 1000 + i);
+    for (uint32_t i = 0; i < 16; i++) { /* its owners have slots for all, but a cached part is not worth any wait */
+        cw_work_t work = make_document_work(100, 1000 + i);
         cw_run_t run;
-        engines_used |= 1U << (chosen(b, 0, &work, &run) - 1);
+        engines_used |= 1U << (choose_and_begin(b, 0, &work, &run) - 1);
     }
     ck_assert_uint_gt((uint32_t)__builtin_popcount(engines_used), 2);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(kept_parts_are_forgotten_when_the_memory_was_filled_again) {
-    cw_balance_t* b = engines(1);
+START_TEST(cached_parts_expire_when_the_cache_was_refilled) {
+    cw_balance_t* b = make_engines(1);
     cw_work_t work = {.prompt_tokens = 6000, .part_count = 1, .parts = {{.id = 9, .tokens = 5000}}};
     cw_run_t run;
-    chosen(b, 0, &work, &run);
+    choose_and_begin(b, 0, &work, &run);
     ck_assert_uint_eq(cw_balance_choose(b, 0, &work, NULL, 0).kept, 5000);
     for (uint64_t i = 0; i < 20; i++) {
         cw_balance_kept(b, 1, &(cw_work_part_t){.id = 100 + i, .tokens = 5000});
@@ -350,9 +350,8 @@
 }
 END_TEST
 
-/* Streams that a deep prompt has made late once: the next deep prompt keeps away from servers with such streams. */
-/* Counters of tokens are kept modulo 2^32, and a table that is full gives up what was used longest ago. */
-START_TEST(kept_parts_outlive_counters_that_wrap) {
+/* Token counters are stored modulo 2^32, and a full table evicts the least recently used entry. */
+START_TEST(cached_parts_survive_counter_wraparound) {
     cw_kept_t* k = cw_kept_setup(64, NULL);
     ck_assert(!cw_kept_has(k, 1, 2, 0, 1000)); /* nothing was added yet */
     uint64_t read = UINT32_MAX - 10;
@@ -369,118 +368,123 @@
 }
 END_TEST
 
-START_TEST(deep_prompts_keep_away_from_streams_they_make_late) {
-    cw_balance_t* b = engines(2);
+/* A long prompt stalled the streams of its server: the next long prompt avoids servers with such streams. */
+START_TEST(long_prompts_avoid_streams_that_they_would_stall) {
+    cw_balance_t* b = make_engines(2);
     cw_work_t chat = {.prompt_tokens = 500, .target_ms = 250, .gap_ms = 100};
-    cw_work_t deep = {.prompt_tokens = 20000, .target_ms = 2000};
+    cw_work_t long_prompt = {.prompt_tokens = 20000, .target_ms = 2000};
     cw_run_t stream;
-    uint64_t home = chosen(b, 0, &chat, &stream);
+    uint64_t stream_server = choose_and_begin(b, 0, &chat, &stream);
     cw_balance_first(b, 20, &stream);
-    for (int i = 0; i < 20; i++) { /* another daemon's deep prompt beside it, and long pauses */
+    for (int i = 0; i < 20; i++) { /* another daemon's long prompt at the same server, and long gaps */
         int64_t now_ms = 100 + i * 200;
-        cw_balance_news(b, now_ms, 7, home, &(cw_load_t){.running = 1, .backlog_ms = BACKLOG(900), .deepest = 20000});
+        cw_balance_news(b, now_ms, 7, stream_server,
+                        &(cw_load_t){.running = 1, .backlog_ms = BACKLOG(900), .deepest = 20000});
         cw_balance_event(b, now_ms, &stream);
     }
     ck_assert_double_gt(cw_balance_pause(b, 20000), 100);
-    ck_assert_double_le(cw_balance_pause(b, 500), 500 * cw_balance_read_rate(b)); /* no more than it is read */
-    cw_balance_news(b, 5000, 7, home, &(cw_load_t){0});
+    ck_assert_double_le(cw_balance_pause(b, 500), 500 * cw_balance_read_rate(b)); /* no longer than its prefill */
+    cw_balance_news(b, 5000, 7, stream_server, &(cw_load_t){0});
     cw_run_t run;
-    cw_balance_news(b, 5000, 8, 3 - home, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
-    ck_assert_uint_eq(chosen(b, 5000, &deep, &run), 3 - home); /* though it has to wait there */
+    cw_balance_news(b, 5000, 8, 3 - stream_server, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
+    ck_assert_uint_eq(choose_and_begin(b, 5000, &long_prompt, &run),
+                      3 - stream_server); /* although it has to wait there */
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* A server that one daemon has found slow gets no stream that may not pause, from any daemon. */
-START_TEST(the_pace_of_a_server_is_told_to_others) {
-    cw_balance_t* teller = engines(2);
-    cw_balance_t* b = engines(2);
+/* A server that one daemon found slow gets no streams with a gap target from any daemon. */
+START_TEST(the_event_interval_of_a_server_is_reported) {
+    cw_balance_t* reporter = make_engines(2);
+    cw_balance_t* b = make_engines(2);
     cw_work_t chat = {.prompt_tokens = 500, .target_ms = 250, .gap_ms = 100};
-    cw_work_t deep = {.prompt_tokens = 20000, .target_ms = 2000};
+    cw_work_t long_prompt = {.prompt_tokens = 20000, .target_ms = 2000};
     cw_run_t run;
-    for (uint32_t at = 0; at < 2; at++) { /* the first server is half again as slow as the second */
-        run = cw_balance_begin(teller, 0, at, &chat);
-        cw_balance_first(teller, 10, &run);
+    for (uint32_t at = 0; at < 2; at++) { /* the first server's event interval is 1.5 times the second one's */
+        run = cw_balance_begin(reporter, 0, at, &chat);
+        cw_balance_first(reporter, 10, &run);
         for (int i = 1; i <= 30; i++) {
-            cw_balance_event(teller, 10 + i * (at ? 20 : 30), &run);
+            cw_balance_event(reporter, 10 + i * (at ? 20 : 30), &run);
         }
-        ck_assert_uint_eq(cw_balance_load(teller, 1000, at).pace_us, at ? 20000 : 30000);
-        cw_load_t load = {.pace_us = cw_balance_load(teller, 1000, at).pace_us};
+        ck_assert_uint_eq(cw_balance_load(reporter, 1000, at).pace_us, at ? 20000 : 30000);
+        cw_load_t load = {.pace_us = cw_balance_load(reporter, 1000, at).pace_us};
         cw_balance_news(b, 0, 7, run.id, &load);
     }
-    for (int i = 0; i < 30; i++) { /* prompts that hurt such streams are usual */
-        chosen(b, 0, &deep, &run);
+    for (int i = 0; i < 30; i++) { /* prompts that stall such streams are frequent */
+        choose_and_begin(b, 0, &long_prompt, &run);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
     }
-    ck_assert_uint_eq(chosen(b, 0, &chat, &run), 2);
+    ck_assert_uint_eq(choose_and_begin(b, 0, &chat, &run), 2);
     ck_assert_double_eq(cw_balance_choose(b, 0, &chat, (uint64_t[]){2}, 1).pace, 1.5);
-    ck_assert_uint_eq(cw_balance_load(b, 0, 0).pace_us, 0); /* what was only heard is not told on */
+    ck_assert_uint_eq(cw_balance_load(b, 0, 0).pace_us, 0); /* a received event interval is not reported further */
     cw_balance_shutdown(b);
-    cw_balance_shutdown(teller);
+    cw_balance_shutdown(reporter);
 }
 END_TEST
 
-/* Nothing was learned yet: a prompt is taken to hold streams up for as long as it is read. */
-START_TEST(before_anything_is_learned_deep_prompts_keep_away_too) {
-    cw_balance_t* b = engines(2);
+/* Before any stall was observed, a prompt is expected to stall streams for the whole time of its prefill. */
+START_TEST(long_prompts_avoid_streams_before_any_stall_was_observed) {
+    cw_balance_t* b = make_engines(2);
     cw_work_t chat = {.prompt_tokens = 500, .target_ms = 250, .gap_ms = 100};
-    cw_work_t deep = {.prompt_tokens = 20000, .target_ms = 2000};
+    cw_work_t long_prompt = {.prompt_tokens = 20000, .target_ms = 2000};
     cw_run_t stream;
     cw_run_t run;
-    uint64_t home = chosen(b, 0, &chat, &stream);
+    uint64_t stream_server = choose_and_begin(b, 0, &chat, &stream);
     cw_balance_first(b, 20, &stream);
-    cw_balance_news(b, 20, 8, 3 - home, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
-    ck_assert_uint_eq(chosen(b, 30, &deep, &run), 3 - home);
+    cw_balance_news(b, 20, 8, 3 - stream_server, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
+    ck_assert_uint_eq(choose_and_begin(b, 30, &long_prompt, &run), 3 - stream_server);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(a_full_engine_gets_nothing) {
-    cw_balance_t* b = engines(1);
+START_TEST(a_full_engine_gets_no_requests) {
+    cw_balance_t* b = make_engines(1);
     cw_work_t work = {.prompt_tokens = 10};
     cw_run_t run;
     for (int i = 0; i < 8; i++) {
-        ck_assert_uint_eq(chosen(b, 0, &work, &run), 1);
+        ck_assert_uint_eq(choose_and_begin(b, 0, &work, &run), 1);
     }
-    ck_assert_uint_eq(chosen(b, 0, &work, &run), 0);
+    ck_assert_uint_eq(choose_and_begin(b, 0, &work, &run), 0);
     cw_balance_end(b, 1, &run, CW_TRY_SERVED);
-    ck_assert_uint_eq(chosen(b, 2, &work, &run), 1);
+    ck_assert_uint_eq(choose_and_begin(b, 2, &work, &run), 1);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* Eighty hosts, each with a request now and then, hear at the same moment that an engine has a free place. */
-START_TEST(one_free_place_is_not_taken_by_all_hosts_at_once) {
-    uint32_t takers = 0;
+/* Eighty hosts, each with a request now and then, learn at the same time that an engine has a free slot. */
+START_TEST(few_hosts_compete_for_one_free_slot) {
+    uint32_t open_count = 0;
     uint32_t epochs = 50;
     for (uint64_t host = 1; host <= 80; host++) {
         cw_contention_t c = {.seed = host};
         cw_contention_use_t one = {.server = 7, .free_places = 1, .hosts = 80, .delay_ms = 12};
         cw_contention_use_t many = {.server = 7, .free_places = 24, .hosts = 80, .delay_ms = 12};
         for (int64_t now_ms = 0; now_ms < 3000; now_ms += 50) {
-            cw_contention_asked(&c, now_ms, 0); /* 20 a second */
+            cw_contention_asked(&c, now_ms, 0); /* 20 per second */
         }
         for (uint32_t i = 0; i < epochs; i++) {
             bool open = cw_contention_open(&c, 3000 + 12 * i, &one);
-            ck_assert_int_eq(open, cw_contention_open(&c, 3000 + 12 * i, &one)); /* until news can have come */
-            takers += open;
+            ck_assert_int_eq(
+                open, cw_contention_open(&c, 3000 + 12 * i, &one)); /* the same until load reports can have arrived */
+            open_count += open;
         }
-        ck_assert(cw_contention_open(&c, 3000, &many)); /* more places than hosts that place one: all may come */
+        ck_assert(
+            cw_contention_open(&c, 3000, &many)); /* more slots than hosts that send a request: all may use them */
     }
-    ck_assert_uint_ge(takers, epochs);      /* it is not left free */
-    ck_assert_uint_le(takers / epochs, 10); /* of 80 */
+    ck_assert_uint_ge(open_count, epochs);      /* the slot is used */
+    ck_assert_uint_le(open_count / epochs, 10); /* of 80 hosts */
 }
 END_TEST
 
-START_TEST(few_hosts_or_fast_news_need_no_chance) {
+START_TEST(few_hosts_or_fast_reports_need_no_contention_control) {
     cw_contention_t c = {.seed = 3};
-    ck_assert(cw_contention_open(&c, 5, &(cw_contention_use_t){.server = 7, .free_places = 0.5})); /* alone */
+    ck_assert(cw_contention_open(&c, 5, &(cw_contention_use_t){.server = 7, .free_places = 0.5})); /* the only host */
     cw_contention_use_t use = {.server = 7, .free_places = 1, .hosts = 9, .delay_ms = 2};
     for (int64_t now_ms = 0; now_ms < 3000; now_ms += 50) {
         cw_contention_asked(&c, now_ms, 0);
     }
     ck_assert(cw_contention_open(&c, 3000, &use));
-    cw_contention_waiting(&c, 3000, 0, 20); /* but where all wait, they take turns */
+    cw_contention_waiting(&c, 3000, 0, 20); /* but while requests wait at all hosts, the hosts take turns */
     uint32_t open = 0;
     for (use.server = 0; use.server < 100; use.server++) {
         open += cw_contention_open(&c, 4000, &use);
@@ -490,8 +494,8 @@
 }
 END_TEST
 
-/* Twenty wait that can wait; they keep nobody urgent from the one place, and take turns among themselves. */
-START_TEST(those_that_can_wait_are_no_rivals_of_those_that_cannot) {
+/* Twenty delay-tolerant requests wait: they do not keep urgent ones from the one free slot, and take turns for it. */
+START_TEST(delay_tolerant_requests_do_not_compete_with_urgent_ones) {
     cw_contention_t c = {.seed = 3};
     cw_contention_waiting(&c, 1000, 5, 20);
     uint32_t open[2] = {0};
@@ -506,32 +510,32 @@
 }
 END_TEST
 
-START_TEST(home_hosts_are_the_same_for_all_and_share_the_servers_evenly) {
+START_TEST(all_hosts_agree_on_the_owners_which_share_servers_evenly) {
     uint64_t ids[80];
     uint32_t others[CW_HOME_HOSTS];
     for (uint32_t i = 0; i < 80; i++) {
         ids[i] = cw_mix(i, 77);
     }
-    uint32_t of_first = 0;
+    uint32_t owned_by_first = 0;
     for (uint64_t server = 1; server <= 140; server++) {
-        uint32_t homes = 0;
+        uint32_t owners = 0;
         for (uint32_t i = 0; i < 80; i++) {
-            bool home = cw_home_is(server, ids[i], ids, 80);
+            bool is_owner = cw_home_is(server, ids[i], ids, 80);
             uint32_t count = cw_home_others(server, ids[i], ids, 80, others);
-            homes += home;
-            ck_assert_uint_eq(count, home ? CW_HOME_HOSTS - 1 : 0);
+            owners += is_owner;
+            ck_assert_uint_eq(count, is_owner ? CW_HOME_HOSTS - 1 : 0);
             for (uint32_t k = 0; k < count; k++) {
                 ck_assert_uint_ne(others[k], i);
                 ck_assert(cw_home_is(server, ids[others[k]], ids, 80));
             }
         }
-        ck_assert_uint_eq(homes, CW_HOME_HOSTS);
-        of_first += cw_home_is(server, ids[0], ids, 80);
+        ck_assert_uint_eq(owners, CW_HOME_HOSTS);
+        owned_by_first += cw_home_is(server, ids[0], ids, 80);
     }
-    ck_assert_uint_ge(of_first, 14); /* 28 are its share */
-    ck_assert_uint_le(of_first, 56);
-    ck_assert(cw_home_is(1, ids[0], ids, CW_HOME_FLEET)); /* a small fleet: all are */
-    ck_assert(!cw_home_is(1, 12345, ids, 80));            /* not among those that live */
+    ck_assert_uint_ge(owned_by_first, 14); /* its share is 28 */
+    ck_assert_uint_le(owned_by_first, 56);
+    ck_assert(cw_home_is(1, ids[0], ids, CW_HOME_FLEET)); /* in a small fleet, all hosts own every server */
+    ck_assert(!cw_home_is(1, 12345, ids, 80));            /* not a live host */
 }
 END_TEST
 
@@ -540,8 +544,8 @@
     return server % 2;
 }
 
-/* Servers 1 and 2 are cold for a second and bear ten requests in it; only the first one is this daemon's to use. */
-START_TEST(a_cold_server_gets_no_more_than_it_bears_and_from_one_daemon) {
+/* Servers 1 and 2 are cold for a second and accept ten requests in it; this daemon owns the first one only. */
+START_TEST(a_cold_server_gets_a_limited_rate_from_one_daemon) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 5, .is_mine = is_odd});
     cw_server_spec_t specs[2] = {{.id = 1, .slots = 200, .memory_tokens = 1000000, .cold_ms = 1000, .cold_per_s = 10},
                                  {.id = 2, .slots = 200, .memory_tokens = 1000000, .cold_ms = 1000, .cold_per_s = 10}};
@@ -550,7 +554,7 @@
     cw_run_t run;
     uint32_t sent = 0;
     for (int64_t now_ms = 0; now_ms < 1000; now_ms += 10) {
-        uint64_t server = chosen(b, now_ms, &work, &run);
+        uint64_t server = choose_and_begin(b, now_ms, &work, &run);
         ck_assert_uint_ne(server, 2);
         sent += server == 1;
     }
@@ -558,22 +562,22 @@
     ck_assert_uint_le(sent, 10);
     uint32_t second = 0;
     for (int64_t now_ms = 1000; now_ms < 1100; now_ms += 10) {
-        second += chosen(b, now_ms, &work, &run) == 2;
+        second += choose_and_begin(b, now_ms, &work, &run) == 2;
     }
-    ck_assert_uint_gt(second, 0); /* warm: both are used */
+    ck_assert_uint_gt(second, 0); /* both are warm and used */
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* The last places of an engine are left to work that can't wait, as long as there is such work. */
-START_TEST(patient_work_leaves_places_to_impatient_work) {
-    cw_balance_t* b = engines(1);
-    cw_work_t patient = {.prompt_tokens = 100, .target_ms = 2000};
-    cw_work_t impatient = {.prompt_tokens = 100, .target_ms = 200};
+/* Delay-tolerant work leaves the last slots of an engine free for urgent work, as long as there is such work. */
+START_TEST(delay_tolerant_work_leaves_slots_for_urgent_work) {
+    cw_balance_t* b = make_engines(1);
+    cw_work_t delay_tolerant = {.prompt_tokens = 100, .target_ms = 2000};
+    cw_work_t urgent_work = {.prompt_tokens = 100, .target_ms = 200};
     cw_run_t run;
     cw_run_t runs[8];
     uint32_t count = 0;
-    while (chosen(b, 0, &patient, &run)) { /* alone, it takes what is planned with */
+    while (choose_and_begin(b, 0, &delay_tolerant, &run)) { /* without urgent work, it uses all slots */
         runs[count++] = run;
     }
     ck_assert_uint_eq(count, 8);
@@ -581,11 +585,11 @@
         cw_balance_end(b, 0, &runs[i], CW_TRY_CANCELLED);
     }
     for (int i = 0; i < 50; i++) {
-        ck_assert_uint_eq(chosen(b, 0, &impatient, &run), 1);
+        ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
     }
-    cw_work_t alike = {.prompt_tokens = 100, .target_ms = 400}; /* within twice the shortest target */
-    for (count = 0; chosen(b, 0, &alike, &run); count++) {
+    cw_work_t alike = {.prompt_tokens = 100, .target_ms = 400}; /* its target is within twice the shortest one */
+    for (count = 0; choose_and_begin(b, 0, &alike, &run); count++) {
         runs[count] = run;
     }
     ck_assert_uint_eq(count, 8);
@@ -593,69 +597,69 @@
         cw_balance_end(b, 0, &runs[i], CW_TRY_CANCELLED);
     }
     for (int i = 0; i < 50; i++) {
-        ck_assert_uint_eq(chosen(b, 0, &impatient, &run), 1);
+        ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
     }
-    for (count = 0; chosen(b, 0, &patient, &run); count++) {
+    for (count = 0; choose_and_begin(b, 0, &delay_tolerant, &run); count++) {
     }
     ck_assert_uint_eq(count, 6);
-    ck_assert_uint_eq(chosen(b, 0, &impatient, &run), 1);
-    ck_assert_uint_eq(chosen(b, 0, &impatient, &run), 1);
+    ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
+    ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(failures_and_slowness_lead_away_and_are_forgotten) {
+START_TEST(failures_divert_work_until_they_expire) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 5});
     cw_server_spec_t specs[2] = {{.id = 1, .slots = 8}, {.id = 2, .slots = 8}};
     cw_balance_set(b, 0, specs, 2);
     cw_work_t work = {.target_ms = 300, .repeatable = true};
     cw_run_t run;
-    uint64_t first = chosen(b, 0, &work, &run);
+    uint64_t first = choose_and_begin(b, 0, &work, &run);
     cw_balance_end(b, 50, &run, CW_TRY_FAILED);
-    ck_assert_uint_ne(chosen(b, 60, &work, &run), first);
+    ck_assert_uint_ne(choose_and_begin(b, 60, &work, &run), first);
     cw_balance_end(b, 110, &run, CW_TRY_SERVED);
-    ck_assert_uint_eq(chosen(b, 60000, &work, &run), first);
+    ck_assert_uint_eq(choose_and_begin(b, 60000, &work, &run), first);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(a_server_out_of_reach_is_probed_with_longer_and_longer_pauses) {
-    cw_balance_t* b = engines(1);
+START_TEST(an_unreachable_server_is_probed_with_exponential_backoff) {
+    cw_balance_t* b = make_engines(1);
     cw_work_t work = {0};
     cw_run_t run;
-    chosen(b, 0, &work, &run);
+    choose_and_begin(b, 0, &work, &run);
     cw_balance_end(b, 10, &run, CW_TRY_UNREACHABLE);
-    ck_assert_uint_eq(chosen(b, 20, &work, &run), 0);
+    ck_assert_uint_eq(choose_and_begin(b, 20, &work, &run), 0);
     ck_assert_uint_eq(cw_balance_probe(b, 100), 0);
     ck_assert_uint_eq(cw_balance_probe(b, 300), 1);
     ck_assert_uint_eq(cw_balance_probe(b, 600), 0);
     ck_assert_uint_eq(cw_balance_probe(b, 900), 1);
     cw_balance_away(b, 900, 1, false);
-    ck_assert_uint_eq(chosen(b, 910, &work, &run), 1);
+    ck_assert_uint_eq(choose_and_begin(b, 910, &work, &run), 1);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-START_TEST(a_run_that_outlives_its_server_does_no_harm) {
-    cw_balance_t* b = engines(2);
+START_TEST(a_run_may_end_after_its_server_was_removed) {
+    cw_balance_t* b = make_engines(2);
     cw_work_t work = {.prompt_tokens = 100, .gap_ms = 100};
     cw_run_t run;
-    uint64_t gone = chosen(b, 0, &work, &run);
-    cw_server_spec_t left = {.id = 3 - gone, .slots = 8, .memory_tokens = 100000};
-    cw_balance_set(b, 10, &left, 1);
+    uint64_t removed_id = choose_and_begin(b, 0, &work, &run);
+    cw_server_spec_t remaining = {.id = 3 - removed_id, .slots = 8, .memory_tokens = 100000};
+    cw_balance_set(b, 10, &remaining, 1);
     cw_balance_first(b, 20, &run);
     cw_balance_end(b, 30, &run, CW_TRY_SERVED);
-    cw_balance_set(b, 40, &left, 1);
-    ck_assert_uint_eq(cw_balance_find(b, gone), CW_BALANCE_NONE);
+    cw_balance_set(b, 40, &remaining, 1);
+    ck_assert_uint_eq(cw_balance_find(b, removed_id), CW_BALANCE_NONE);
     cw_balance_end(b, 50, &run, CW_TRY_SERVED);
     cw_balance_shutdown(b);
 }
 END_TEST
 
-/* -- news ----------------------------------------------------------------- */
+/* -- load reports --------------------------------------------------------- */
 
-START_TEST(load_messages_survive_encoding_and_refuse_nonsense) {
+START_TEST(load_messages_survive_the_round_trip_or_are_refused) {
     cw_load_message_t out = {.cluster = 3,
                              .host = UINT64_MAX,
                              .knowledge = {.revision = 7, .servers = UINT64_MAX, .revision_age_ms = 5},
@@ -689,14 +693,15 @@
     ck_assert_int_eq(memcmp(&in.entries[0].load, &out.entries[0].load, sizeof(cw_load_t)), 0);
     ck_assert_uint_eq(in.entries[0].parts[0].id, UINT64_MAX);
     ck_assert_int_eq(in.scope, CW_LOAD_FOR_ALL);
-    ck_assert_uint_eq(in.entries[0].host, UINT64_MAX); /* the sender's own */
+    ck_assert_uint_eq(in.entries[0].host, UINT64_MAX); /* the sender's own entry */
     ck_assert_uint_eq(in.entries[0].server, 99);
-    ck_assert_uint_eq(in.entries[1].host, 5); /* another host's, passed on */
+    ck_assert_uint_eq(in.entries[1].host, 5); /* another host's entry, forwarded */
     ck_assert_uint_eq(in.entries[1].server, UINT64_MAX);
     for (size_t cut = 0; cut < size; cut++) {
         ck_assert_int_eq(cw_load_decode(&in, bytes, cut, NULL), CW_ERR_PROTOCOL);
     }
-    for (size_t at = 0; at < size; at++) { /* any byte changed: decoded or refused, never more than fits */
+    for (size_t at = 0; at < size;
+         at++) { /* a message with one changed byte is decoded or refused, and never has too many entries */
         uint8_t kept = bytes[at];
         for (int v = 0; v < 256; v += 5) {
             bytes[at] = (uint8_t)v;
@@ -708,8 +713,8 @@
 }
 END_TEST
 
-/* The largest message that can be made is one datagram. */
-START_TEST(a_full_load_message_fits) {
+/* The largest message fits into one datagram. */
+START_TEST(the_largest_load_message_fits_into_a_datagram) {
     cw_load_message_t out = {.cluster = UINT64_MAX, .host = UINT64_MAX, .count = CW_LOAD_ENTRIES};
     memset(&out.knowledge, 0xff, sizeof(out.knowledge));
     for (uint32_t i = 0; i < CW_LOAD_ENTRIES; i++) {
@@ -717,10 +722,10 @@
         *entry = (cw_load_entry_t){
             .host = UINT64_MAX - 1 - i, .server = UINT64_MAX, .leaving = true, .part_count = CW_LOAD_PARTS};
         memset(&entry->load, 0xff, sizeof(entry->load));
-        entry->load.rate = CW_RATE_NAMED; /* 0xff is no value of it */
+        entry->load.rate = CW_RATE_NAMED; /* 0xff is not a value of this enum */
         memset(entry->parts, 0xff, sizeof(entry->parts));
         for (uint32_t u = 0; u < CW_URGENCIES; u++) {
-            entry->load.backlog_ms[u] = 6000 * (u + 1); /* each adds to the one before, so each is told */
+            entry->load.backlog_ms[u] = 6000 * (u + 1); /* each differs from the one before, so all are encoded */
         }
     }
     uint8_t bytes[CW_LOAD_BYTES];
@@ -733,9 +738,9 @@
 }
 END_TEST
 
-/* What one host's answers said of a server's rate reaches another one through a datagram, and keeps it from the server
-   where it owns no part of the rate. */
-START_TEST(a_rate_that_another_host_heard_is_kept) {
+/* A server's advertised rate that one host received reaches another host in a datagram, and throttles it if it owns no
+   part of the rate. */
+START_TEST(an_advertised_rate_from_another_host_is_respected) {
     static const uint64_t ids[] = {11, 12};
     cw_fleet_t fleet = {.ids = ids, .count = 2, .reach_ms = 5};
     cw_balance_t* host[2];
@@ -756,7 +761,7 @@
     cw_balance_news(host[1], 1015, 11, 99, &in.entries[0].load);
     ck_assert(cw_balance_limit_per_s(host[1], 1015, 99) == 1.5);
     cw_work_t work = {.target_ms = 100};
-    for (uint32_t i = 0; i < 2; i++) { /* one of the two owns the rate, and has used none of it for long */
+    for (uint32_t i = 0; i < 2; i++) { /* one of the two owns the rate, and has not used it for long */
         closed += cw_balance_choose(host[i], 5000, &work, NULL, 0).server == CW_BALANCE_NONE;
         cw_balance_shutdown(host[i]);
     }
@@ -764,9 +769,10 @@
 }
 END_TEST
 
-/* Past its planned time a more urgent backlog may be guessed as longer than a later one, which holds it: the later one
-   is told as no shorter. What is longer than anybody waits is told as the longest that is. */
-START_TEST(a_backlog_is_told_as_no_shorter_than_a_more_urgent_one) {
+/* When a prefill takes longer than planned, the estimate of an urgent backlog may exceed that of a less urgent one,
+   which includes it: the less urgent one is then encoded as no shorter. A backlog beyond the range is encoded as the
+   longest possible one. */
+START_TEST(encoded_backlogs_do_not_decrease_with_urgency_level) {
     cw_load_message_t out = {.cluster = 1, .host = 2, .count = 1};
     out.entries[0] = (cw_load_entry_t){
         .host = 2, .server = 3, .load = {.backlog_ms = {0, 50, 20, 20, 70, 70, 70, 70, 70, UINT32_MAX}}};
@@ -781,22 +787,22 @@
 
 /* -- events --------------------------------------------------------------- */
 
-static void take_all(cw_events_t* e, char* out) {
+static void append_all_events(cw_events_t* e, char* out) {
     for (cw_bytes_view_t v = cw_events_take(e); v.size; v = cw_events_take(e)) {
         strncat(out, v.data, v.size);
     }
 }
 
-START_TEST(events_are_given_back_whole_whatever_the_cuts) {
+START_TEST(events_are_returned_complete_for_any_split) {
     static const char stream[] = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n: note\n\nid: 3\ndata: c\n\n";
     for (size_t cut = 1; cut < sizeof(stream) - 1; cut++) {
         char out[256] = "";
         cw_events_t e = {0};
         cw_events_feed(&e, stream, cut);
-        take_all(&e, out);
+        append_all_events(&e, out);
         ck_assert(out[0] == 0 || strcmp(out + strlen(out) - 2, "\n\n") == 0);
         cw_events_feed(&e, stream + cut, sizeof(stream) - 1 - cut);
-        take_all(&e, out);
+        append_all_events(&e, out);
         ck_assert_str_eq(out, stream);
         ck_assert_str_eq(e.last_id, "3");
         ck_assert(!cw_events_partial(&e));
@@ -805,35 +811,36 @@
 }
 END_TEST
 
-START_TEST(events_go_on_after_a_break_at_any_byte) {
+START_TEST(a_stream_resumes_after_a_break_at_any_byte) {
     static const char stream[] = "id: 8\ndata: a\n\nid: 9\ndata: b\n\nid: 10\ndata: c\n\n";
     for (size_t cut = 0; cut < sizeof(stream) - 1; cut++) {
         char out[256] = "";
         cw_events_t e = {0};
         cw_events_feed(&e, stream, cut);
-        take_all(&e, out);
+        append_all_events(&e, out);
         cw_events_restart(&e);
-        cw_events_feed(&e, stream, sizeof(stream) - 1); /* the other server begins anew: old events are left out */
-        take_all(&e, out);
+        cw_events_feed(&e, stream,
+                       sizeof(stream) - 1); /* the other server starts from the first event: duplicates are skipped */
+        append_all_events(&e, out);
         ck_assert_str_eq(out, stream);
         cw_events_free(&e);
     }
 }
 END_TEST
 
-/* -- budget --------------------------------------------------------------- */
+/* -- retry budget --------------------------------------------------------- */
 
-START_TEST(repeats_stay_within_the_budget_in_any_window) {
+START_TEST(retries_stay_within_the_budget_in_any_window) {
     enum { DAEMONS = 9, STEP_MS = 50, STEPS = 1200, SPAN = 10000 / STEP_MS };
     cw_retry_window_t w = {.ratio = 0.2, .slack = 58, .window_ms = 10000, .daemons = DAEMONS};
     int first[STEPS] = {0};
-    int repeats[STEPS] = {0};
+    int retries[STEPS] = {0};
     for (int i = 0; i < STEPS; i++) {
-        int arrivals = i % 400 < 60 ? 6 : i % 3 == 0; /* bursts and quiet times */
+        int arrivals = i % 400 < 60 ? 6 : i % 3 == 0; /* bursts, and times with few requests */
         for (int k = 0; k < arrivals; k++) {
             cw_retry_window_first(&w, (int64_t)i * STEP_MS);
             first[i]++;
-            repeats[i] += cw_retry_window_take(&w, (int64_t)i * STEP_MS);
+            retries[i] += cw_retry_window_take(&w, (int64_t)i * STEP_MS);
         }
     }
     for (int from = 0; from + SPAN < STEPS; from++) {
@@ -841,20 +848,20 @@
         int r = 0;
         for (int i = from; i < from + SPAN; i++) {
             f += first[i];
-            r += repeats[i];
+            r += retries[i];
         }
         for (int i = from > SPAN ? from - SPAN : 0, before = 0; i < from; i++) {
             before += first[i];
-            f = before > f ? before : f; /* the rule counts the fuller of this window and the one before */
+            f = before > f ? before : f; /* the budget counts the fuller of this window and the one before */
         }
-        ck_assert_msg(r <= 0.2 * f + 58.0 / DAEMONS + 1, "at %d: %d repeats for %d first tries", from, r, f);
+        ck_assert_msg(r <= 0.2 * f + 58.0 / DAEMONS + 1, "at %d: %d retries for %d first attempts", from, r, f);
     }
 }
 END_TEST
 
-/* -- promises ------------------------------------------------------------- */
+/* -- outcomes, epochs, slot occupancy ------------------------------------- */
 
-START_TEST(a_rejected_transfer_leaves_what_was_true_before_it) {
+START_TEST(a_rejected_attempt_restores_the_outcome_before_it) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){.max_attempts = 3, .count_sent = true});
     cw_request_event(&r, CW_EV_START);
     cw_request_event(&r, CW_EV_GRANT);
@@ -869,29 +876,29 @@
 }
 END_TEST
 
-/* The first number that is heard begins no new life, a lower one never counts again, and what is no number changes
- * nothing. */
-START_TEST(a_source_s_lives_only_rise) {
+/* The first epoch that is received is not a newer one, a lower one is always older, and an invalid one changes nothing.
+ */
+START_TEST(source_epochs_only_increase) {
     static const struct {
         const char* text;
         cw_life_verdict_t verdict;
         int64_t number;
-    } heard[] = {{NULL, CW_LIFE_SAME, 0},      {"4", CW_LIFE_SAME, 4},
-                 {"4", CW_LIFE_SAME, 4},       {"6", CW_LIFE_NEWER, 6},
-                 {"5", CW_LIFE_OLDER, 6},      {"", CW_LIFE_MALFORMED, 6},
-                 {"7x", CW_LIFE_MALFORMED, 6}, {"-9", CW_LIFE_MALFORMED, 6},
-                 {"0", CW_LIFE_MALFORMED, 6},  {"99999999999999999999", CW_LIFE_MALFORMED, 6},
-                 {NULL, CW_LIFE_SAME, 6},      {"7", CW_LIFE_NEWER, 7}};
+    } received[] = {{NULL, CW_LIFE_SAME, 0},      {"4", CW_LIFE_SAME, 4},
+                    {"4", CW_LIFE_SAME, 4},       {"6", CW_LIFE_NEWER, 6},
+                    {"5", CW_LIFE_OLDER, 6},      {"", CW_LIFE_MALFORMED, 6},
+                    {"7x", CW_LIFE_MALFORMED, 6}, {"-9", CW_LIFE_MALFORMED, 6},
+                    {"0", CW_LIFE_MALFORMED, 6},  {"99999999999999999999", CW_LIFE_MALFORMED, 6},
+                    {NULL, CW_LIFE_SAME, 6},      {"7", CW_LIFE_NEWER, 7}};
     cw_life_t life = {0};
-    for (size_t i = 0; i < sizeof(heard) / sizeof(heard[0]); i++) {
-        ck_assert_int_eq(cw_life_hear(&life, heard[i].text), heard[i].verdict);
-        ck_assert_int_eq(life.number, heard[i].number);
+    for (size_t i = 0; i < sizeof(received) / sizeof(received[0]); i++) {
+        ck_assert_int_eq(cw_life_hear(&life, received[i].text), received[i].verdict);
+        ck_assert_int_eq(life.number, received[i].number);
     }
 }
 END_TEST
 
-/* Urgencies are told apart, and what lies beyond the last one counts as it. */
-START_TEST(the_time_for_which_places_are_held_is_learned_by_urgency) {
+/* Each urgency has its own statistics, and values beyond the last urgency count as the last one. */
+START_TEST(slot_hold_times_are_learned_by_urgency) {
     cw_holding_t h = {0};
     ck_assert_double_eq(cw_holding_ms(&h, 0), 0);
     for (uint32_t i = 0; i < 100; i++) {
@@ -906,13 +913,14 @@
     ck_assert_uint_eq(cw_holding_running(&h, 0, 0), 100);
     ck_assert_uint_eq(cw_holding_running(&h, 1, CW_URGENCIES - 1), 100);
     cw_holding_end(&h, 0);
-    cw_holding_end(&h, 5); /* nothing began there */
+    cw_holding_end(&h, 5); /* no run of this urgency is active */
     ck_assert_uint_eq(cw_holding_running(&h, 0, CW_URGENCIES - 1), 199);
 }
 END_TEST
 
-/* A run gives its place back once, also when its server has gone meanwhile, and only a served one says how long. */
-START_TEST(a_pool_s_held_places_are_counted_over_lives_of_servers) {
+/* A run releases its slot exactly once, also when its server was removed meanwhile, and only served runs count for the
+   hold time. */
+START_TEST(slot_occupancy_survives_the_removal_of_a_server) {
     cw_server_spec_t spec = {.id = 5, .slots = 8, .memory_tokens = 10000};
     cw_work_t work = {.urgency = 3, .prompt_tokens = 100, .target_ms = 400};
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 1});
@@ -922,7 +930,7 @@
     cw_run_t orphan = cw_balance_begin(b, 1000, 0, &work);
     ck_assert_uint_eq(cw_holding_running(cw_balance_holding(b), 3, 3), 3);
     cw_balance_end(b, 1300, &served, CW_TRY_SERVED);
-    cw_balance_end(b, 1301, &served, CW_TRY_SERVED); /* told twice */
+    cw_balance_end(b, 1301, &served, CW_TRY_SERVED); /* a second end is ignored */
     cw_balance_end(b, 1010, &broken, CW_TRY_BROKEN);
     ck_assert_double_eq(cw_holding_ms(cw_balance_holding(b), 3), 300);
     cw_balance_set(b, 1400, NULL, 0);
@@ -933,45 +941,45 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, a_source_s_lives_only_rise);
-    tcase_add_test(t, the_time_for_which_places_are_held_is_learned_by_urgency);
-    tcase_add_test(t, a_pool_s_held_places_are_counted_over_lives_of_servers);
-    tcase_add_test(t, catalog_finds_the_longest_prefix_and_the_holder_of_a_key);
-    tcase_add_test(t, catalog_splits_a_route_by_weights);
-    tcase_add_test(t, catalog_refuses_a_wrong_document_as_a_whole_and_says_why);
-    tcase_add_test(t, servers_survive_their_json_form);
+    tcase_add_test(t, source_epochs_only_increase);
+    tcase_add_test(t, slot_hold_times_are_learned_by_urgency);
+    tcase_add_test(t, slot_occupancy_survives_the_removal_of_a_server);
+    tcase_add_test(t, catalog_finds_the_longest_prefix_and_the_workspace_of_a_key);
+    tcase_add_test(t, catalog_chooses_pools_by_weight);
+    tcase_add_test(t, catalog_refuses_an_invalid_document_with_a_reason);
+    tcase_add_test(t, a_list_of_servers_survives_the_json_round_trip);
     tcase_add_test(t, long_prompts_are_spread_over_idle_servers);
-    tcase_add_test(t, waits_that_nobody_knows_of_are_not_taken_for_reading);
-    tcase_add_test(t, another_daemons_load_is_counted_until_it_is_old);
-    tcase_add_test(t, an_urgent_prompt_waits_for_urgent_ones_only);
-    tcase_add_test(t, backlogs_of_urgencies_stay_in_order_and_end_empty);
+    tcase_add_test(t, unreported_waits_do_not_raise_the_prefill_time);
+    tcase_add_test(t, load_reports_of_other_daemons_expire);
+    tcase_add_test(t, less_urgent_prompts_do_not_delay_urgent_ones);
+    tcase_add_test(t, backlogs_grow_with_urgency_level_and_end_empty);
     tcase_add_test(t, plain_calls_have_no_backlog);
-    tcase_add_test(t, a_connection_at_rest_is_used_among_servers_alike);
-    tcase_add_test(t, a_subject_stays_with_the_server_that_keeps_it);
-    tcase_add_test(t, a_shared_part_is_placed_where_others_will_seek_it);
-    tcase_add_test(t, kept_parts_are_forgotten_when_the_memory_was_filled_again);
-    tcase_add_test(t, kept_parts_outlive_counters_that_wrap);
-    tcase_add_test(t, deep_prompts_keep_away_from_streams_they_make_late);
-    tcase_add_test(t, the_pace_of_a_server_is_told_to_others);
-    tcase_add_test(t, before_anything_is_learned_deep_prompts_keep_away_too);
-    tcase_add_test(t, a_full_engine_gets_nothing);
-    tcase_add_test(t, one_free_place_is_not_taken_by_all_hosts_at_once);
-    tcase_add_test(t, few_hosts_or_fast_news_need_no_chance);
-    tcase_add_test(t, those_that_can_wait_are_no_rivals_of_those_that_cannot);
-    tcase_add_test(t, home_hosts_are_the_same_for_all_and_share_the_servers_evenly);
-    tcase_add_test(t, a_cold_server_gets_no_more_than_it_bears_and_from_one_daemon);
-    tcase_add_test(t, patient_work_leaves_places_to_impatient_work);
-    tcase_add_test(t, failures_and_slowness_lead_away_and_are_forgotten);
-    tcase_add_test(t, a_server_out_of_reach_is_probed_with_longer_and_longer_pauses);
-    tcase_add_test(t, a_run_that_outlives_its_server_does_no_harm);
-    tcase_add_test(t, load_messages_survive_encoding_and_refuse_nonsense);
-    tcase_add_test(t, a_full_load_message_fits);
-    tcase_add_test(t, a_rate_that_another_host_heard_is_kept);
-    tcase_add_test(t, a_backlog_is_told_as_no_shorter_than_a_more_urgent_one);
-    tcase_add_test(t, events_are_given_back_whole_whatever_the_cuts);
-    tcase_add_test(t, events_go_on_after_a_break_at_any_byte);
-    tcase_add_test(t, repeats_stay_within_the_budget_in_any_window);
-    tcase_add_test(t, a_rejected_transfer_leaves_what_was_true_before_it);
+    tcase_add_test(t, an_idle_connection_decides_among_equal_servers);
+    tcase_add_test(t, a_prompt_goes_to_the_server_that_caches_its_prefix);
+    tcase_add_test(t, hosts_send_a_shared_prompt_part_to_the_same_engines);
+    tcase_add_test(t, cached_parts_expire_when_the_cache_was_refilled);
+    tcase_add_test(t, cached_parts_survive_counter_wraparound);
+    tcase_add_test(t, long_prompts_avoid_streams_that_they_would_stall);
+    tcase_add_test(t, the_event_interval_of_a_server_is_reported);
+    tcase_add_test(t, long_prompts_avoid_streams_before_any_stall_was_observed);
+    tcase_add_test(t, a_full_engine_gets_no_requests);
+    tcase_add_test(t, few_hosts_compete_for_one_free_slot);
+    tcase_add_test(t, few_hosts_or_fast_reports_need_no_contention_control);
+    tcase_add_test(t, delay_tolerant_requests_do_not_compete_with_urgent_ones);
+    tcase_add_test(t, all_hosts_agree_on_the_owners_which_share_servers_evenly);
+    tcase_add_test(t, a_cold_server_gets_a_limited_rate_from_one_daemon);
+    tcase_add_test(t, delay_tolerant_work_leaves_slots_for_urgent_work);
+    tcase_add_test(t, failures_divert_work_until_they_expire);
+    tcase_add_test(t, an_unreachable_server_is_probed_with_exponential_backoff);
+    tcase_add_test(t, a_run_may_end_after_its_server_was_removed);
+    tcase_add_test(t, load_messages_survive_the_round_trip_or_are_refused);
+    tcase_add_test(t, the_largest_load_message_fits_into_a_datagram);
+    tcase_add_test(t, an_advertised_rate_from_another_host_is_respected);
+    tcase_add_test(t, encoded_backlogs_do_not_decrease_with_urgency_level);
+    tcase_add_test(t, events_are_returned_complete_for_any_split);
+    tcase_add_test(t, a_stream_resumes_after_a_break_at_any_byte);
+    tcase_add_test(t, retries_stay_within_the_budget_in_any_window);
+    tcase_add_test(t, a_rejected_attempt_restores_the_outcome_before_it);
 }
 
 int main(void) {
