--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -34,7 +34,7 @@
 */
 #include "chalkway_core.h"
 
-#define CW_ROUTE_POOLS 8
+#define CW_ROUTE_POOLS 8      /* pools of one route */
 #define CW_ACCESS_KEY_MAX 256 /* bytes of a key, with its terminating zero */
 
 typedef enum cw_route_kind_t {
@@ -50,8 +50,8 @@
 
 typedef struct cw_route_t {
     const char* name;
-    const char* host; /* lower case */
-    const char* prefix;
+    const char* host;   /* lower case */
+    const char* prefix; /* of the path; begins and ends with a slash */
     cw_route_kind_t kind;
     bool resume;         /* a broken stream may be resumed at another server */
     bool open;           /* requests need no key */
@@ -70,7 +70,7 @@
     uint32_t connections;   /* limit of one server for all daemons together, 0: no limit */
     double cold_per_s;      /* requests per second that a cold server accepts from all daemons together, 0: no limit */
     uint32_t slots;         /* engine: concurrent requests, 0: the pool has no engines */
-    uint32_t memory_tokens; /* engine: capacity of its KV cache */
+    uint32_t memory_tokens; /* engine: capacity of its KV cache, in tokens */
     uint32_t event_tokens;  /* engine: tokens in one event of a stream */
     uint32_t token_bytes;   /* engine: bytes of KV cache per token, 0: unknown */
     uint32_t link_mbps;     /* engine: bandwidth between two engines, 0: they do not transfer KV cache */
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -12,10 +12,10 @@
               "revision": 498}], "closed": ["b"], "closed_at": 512}
 
         A server may restart under the same id and has then lost its caches
-        and its requests. An incarnation is therefore identified by id and start
-        time (cw_server_life). leaving, cold_ms, started_ms and revision are
-        optional; a source without start times has to give each incarnation an
-        id of its own.
+        and its requests. An incarnation is therefore identified by id and
+        start time (cw_server_life). leaving, cold_ms, started_ms and
+        revision are optional; a source without start times has to give each
+        incarnation an id of its own.
 
         One table of fields validates the entries of all sources, which
         differ in the names of the fields only: see cw_server_names_t and
@@ -28,7 +28,7 @@
     HOW TO USE IT
             cw_servers_t list = {0};
             if (cw_servers_read(&list, text, size, &err) == CW_OK) { ... }
-            char* text = cw_servers_text(&list);    // to be freed
+            char* text = cw_servers_text(&list);    // free it with free()
             cw_servers_free(&list);
 
     WHAT IT DOES NOT DO
@@ -39,14 +39,14 @@
 */
 #include "chalkway_core.h"
 
-#define CW_SERVER_ADDRESS_MAX 48
+#define CW_SERVER_ADDRESS_MAX 48 /* bytes of an address, with its terminating zero */
 
 typedef struct cw_server_t {
     char id[CW_NAME_MAX];
     char address[CW_SERVER_ADDRESS_MAX]; /* IP:PORT */
     char pool[CW_NAME_MAX];
     char hall[CW_NAME_MAX];
-    uint32_t slots;
+    uint32_t slots;     /* concurrent requests */
     bool leaving;       /* finishes its requests and gets no new ones */
     uint32_t cold_ms;   /* time after its start during which it is slow */
     int64_t started_ms; /* start time by the server's own clock, Unix ms; 0: unknown */
@@ -117,6 +117,7 @@
 uint64_t cw_server_life(const cw_server_t* server);
 /* Sets the servers and the closed halls as fields of a jansson object. */
 void cw_servers_json(const cw_servers_t* list, struct json_t* document);
+/* Appends the server without sorting the list. */
 void cw_servers_add(cw_servers_t* list, const cw_server_t* server);
 /* Sorts the list by id, as cw_servers_put and cw_servers_remove require. */
 void cw_servers_sort(cw_servers_t* list);
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -23,9 +23,9 @@
 */
 #include "chalkway_core.h"
 
-#define CW_SEEDS_MAX 16
-#define CW_SETTINGS_ERRORS_MAX 32
-#define CW_SETTINGS_TEXT_MAX 512
+#define CW_SEEDS_MAX 16           /* seed addresses */
+#define CW_SETTINGS_ERRORS_MAX 32 /* further errors of a file are dropped */
+#define CW_SETTINGS_TEXT_MAX 512  /* bytes of a text, with its terminating zero */
 
 typedef struct cw_settings_t {
     /* [host] */
@@ -43,9 +43,9 @@
     uint32_t hosts_ms;                   /* interval between polls of the list of hosts */
     double platform_rate;                /* limit of this host's calls per second */
     /* [entry] */
-    uint32_t max_requests;
-    uint32_t max_body;
-    uint32_t max_connections;
+    uint32_t max_requests;        /* concurrent requests */
+    uint32_t max_body;            /* bytes of a request body */
+    uint32_t max_connections;     /* connections of callers */
     uint32_t lookup_ms;           /* how long callers may cache a lookup response */
     uint32_t ticket_ms;           /* lifetime of a ticket */
     uint32_t silent_ms;           /* timeout for an allocator's response; then the entry uses direct mode */
--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -33,11 +33,11 @@
 #include "chalkway_core.h"
 #include "chalkway_shard.h"
 
-#define CW_CLASS_POOLS 8
-#define CW_WORKSPACE_DIGESTS 2
+#define CW_CLASS_POOLS 8       /* pools of one class */
+#define CW_WORKSPACE_DIGESTS 2 /* token digests of one workspace */
 #define CW_DIGEST_BYTES 32
-#define CW_KEY_MAX 96
-#define CW_ADDRESS_MAX 48
+#define CW_KEY_MAX 96     /* bytes of a key, with its terminating zero */
+#define CW_ADDRESS_MAX 48 /* bytes of an address, with its terminating zero */
 #define CW_REASON_MAX CW_MESSAGE_MAX
 
 typedef enum cw_kind_t {
--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -29,9 +29,9 @@
 
 #define CW_WIRE_VERSION 2
 #define CW_FRAME_MAX (2U << 20) /* bytes of one frame; has room for a document of 1 MiB with its key */
-#define CW_FRAME_HEADER 4
-#define CW_LIST_MAX 4096
-#define CW_CHUNK_MAX 256
+#define CW_FRAME_HEADER 4       /* bytes of the length in front of a frame's body */
+#define CW_LIST_MAX 4096        /* grants in one grant list */
+#define CW_CHUNK_MAX 256        /* documents in one chunk */
 
 typedef enum cw_msg_type_t {
     CW_MSG_NONE = 0,
@@ -41,7 +41,7 @@
     CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
     CW_MSG_DONE,   /* grant release */
     CW_MSG_DIGEST, /* digest of the grants that an entry holds */
-    CW_MSG_LIST,   /* the same with the grants themselves */
+    CW_MSG_LIST,   /* the grants that an entry holds, with their digest */
     CW_MSG_PULL,   /* asks for all documents after a revision */
     CW_MSG_CHUNK,  /* some of these documents */
     CW_MSG_TYPE_COUNT
--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -41,9 +41,9 @@
 }
 
 /* Gets a delta from a daemon's list and sends it through its JSON form; returns false when there is none. */
-static bool get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t have, cw_delta_t* out) {
+static bool get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* out) {
     cw_delta_t delta = {0};
-    bool is_known = cw_changes_since(changes, list, have, &delta);
+    bool is_known = cw_changes_since(changes, list, peer_revision, &delta);
     if (is_known) {
         char* text = cw_delta_text(&delta);
         ck_assert(cw_delta_is(text, strlen(text)));
@@ -115,14 +115,14 @@
     for (uint32_t round = 1; round <= ROUNDS; round++) {
         change_one_server(&source, cw_mix(7, round));
         source.at += 2;
-        uint32_t reader = round % 5 < 2 ? 0 : 1;
-        apply_list(&changes[reader], &own[reader], &source);
+        uint32_t poller = round % 5 < 2 ? 0 : 1;
+        apply_list(&changes[poller], &own[poller], &source);
         if (round % 3) {
             continue; /* the third host misses some lists */
         }
         cw_delta_t delta = {0};
         cw_servers_t next;
-        ck_assert(get_delta(&changes[reader], &own[reader], own[2].at, &delta));
+        ck_assert(get_delta(&changes[poller], &own[poller], own[2].at, &delta));
         cw_servers_copy(&next, &own[2]);
         ck_assert(cw_delta_apply(&next, &delta));
         ck_assert(cw_servers_equal(&next, &source));
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -279,8 +279,7 @@
     cw_run_t first;
     cw_run_t second;
     uint64_t first_server = choose_and_begin(b, 0, &work, &first);
-    ck_assert_uint_eq(choose_and_begin(b, 10, &work, &second),
-                      first_server); /* a short wait is better than prefilling the part again */
+    ck_assert_uint_eq(choose_and_begin(b, 10, &work, &second), first_server); /* a short wait beats a new prefill */
     cw_work_t other = work;
     other.parts[0].id = 10;
     ck_assert_uint_ne(choose_and_begin(b, 20, &other, &second), first_server);
@@ -387,8 +386,7 @@
     cw_balance_news(b, 5000, 7, stream_server, &(cw_load_t){0});
     cw_run_t run;
     cw_balance_news(b, 5000, 8, 3 - stream_server, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
-    ck_assert_uint_eq(choose_and_begin(b, 5000, &long_prompt, &run),
-                      3 - stream_server); /* although it has to wait there */
+    ck_assert_uint_eq(choose_and_begin(b, 5000, &long_prompt, &run), 3 - stream_server); /* despite the wait there */
     cw_balance_shutdown(b);
 }
 END_TEST
@@ -464,12 +462,10 @@
         }
         for (uint32_t i = 0; i < epochs; i++) {
             bool open = cw_contention_open(&c, 3000 + 12 * i, &one);
-            ck_assert_int_eq(
-                open, cw_contention_open(&c, 3000 + 12 * i, &one)); /* the same until load reports can have arrived */
+            ck_assert_int_eq(open, cw_contention_open(&c, 3000 + 12 * i, &one)); /* until reports can arrive */
             open_count += open;
         }
-        ck_assert(
-            cw_contention_open(&c, 3000, &many)); /* more slots than hosts that send a request: all may use them */
+        ck_assert(cw_contention_open(&c, 3000, &many)); /* more slots than requesting hosts: all may use them */
     }
     ck_assert_uint_ge(open_count, epochs);      /* the slot is used */
     ck_assert_uint_le(open_count / epochs, 10); /* of 80 hosts */
@@ -700,8 +696,7 @@
     for (size_t cut = 0; cut < size; cut++) {
         ck_assert_int_eq(cw_load_decode(&in, bytes, cut, NULL), CW_ERR_PROTOCOL);
     }
-    for (size_t at = 0; at < size;
-         at++) { /* a message with one changed byte is decoded or refused, and never has too many entries */
+    for (size_t at = 0; at < size; at++) { /* one changed byte: decoded or refused, with no more entries than fit */
         uint8_t kept = bytes[at];
         for (int v = 0; v < 256; v += 5) {
             bytes[at] = (uint8_t)v;
@@ -819,8 +814,7 @@
         cw_events_feed(&e, stream, cut);
         append_all_events(&e, out);
         cw_events_restart(&e);
-        cw_events_feed(&e, stream,
-                       sizeof(stream) - 1); /* the other server starts from the first event: duplicates are skipped */
+        cw_events_feed(&e, stream, sizeof(stream) - 1); /* the other server sends all events again */
         append_all_events(&e, out);
         ck_assert_str_eq(out, stream);
         cw_events_free(&e);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -20,8 +20,8 @@
     cw_wire_t* wire = cw_wire_setup(NULL);
     msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 9};
     msg.want = (cw_want_t){.seq = 3, .tier = 2, .flags = 1, .workspace = UINT64_MAX, .cost = 77, .left_ms = 5};
-    memset(&decoded, 0xff,
-           sizeof(decoded)); /* an earlier message: its remains were once taken for a limit of the workspace */
+    /* Remains of an earlier message were once taken for a limit of the workspace. */
+    memset(&decoded, 0xff, sizeof(decoded));
     check_round_trip(wire);
     ck_assert_mem_eq(&decoded.want, &msg.want, sizeof(msg.want));
     msg = (cw_msg_t){.type = CW_MSG_ACTION, .shard = 9, .wait_ms = 12};
