--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -50,7 +50,7 @@
     uint32_t ticket_ms;           /* lifetime of a ticket */
     uint32_t silent_ms;           /* timeout for an allocator's response; then the entry uses direct mode */
     uint32_t silent_protected_ms; /* the same for requests of protected classes */
-    uint32_t first_token_ms;      /* a resumable stream without its first token after this time is retried elsewhere */
+    uint32_t first_token_ms;      /* timeout for a resumable stream's first token; then another upstream is tried */
     uint32_t stall_ms;            /* the same for each further token */
     uint32_t max_answer;          /* bytes of a response that is buffered as a whole */
     double retry_share;           /* retries allowed per first attempt */
@@ -164,7 +164,7 @@
     {"entry", "silent_protected", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_protected_ms), "40ms", 5, 10000,
      "the same for requests of protected classes"},
     {"entry", "first_token", CW_SETTING_MS, _CW_SETTINGS_OFFSET(first_token_ms), "3s", 50, 600000,
-     "a resumable stream without its first token after this time is retried elsewhere"},
+     "timeout for a resumable stream's first token; then another upstream is tried"},
     {"entry", "stall", CW_SETTING_MS, _CW_SETTINGS_OFFSET(stall_ms), "1500ms", 20, 600000,
      "the same for each further token"},
     {"entry", "max_answer", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_answer), "4m", 1024, 67108864,
--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -8,7 +8,7 @@
         Pool and Upstream, each a JSON document under a key, with the
         revision that the platform gave it. Each document is validated by the
         schema of its kind. If it is invalid, its last valid version stays
-        active, and its status tells the reason. Revisions of a key never
+        active, and its status gives the reason. Revisions of a key never
         decrease: a document with a lower revision than the highest one
         seen is dropped, and a deletion stays as a tombstone. All active
         documents form one immutable snapshot; a request uses the same
