--- a/gateway/admission.c
+++ b/gateway/admission.c
@@ -5,11 +5,12 @@
 #include "request_head.h"
 
 #define HOST_MAX 256
-#define UNCONFIGURED_RETRY_MIN_MS 300 /* a host that has just started will have a configuration, or other hosts do */
-#define URGENCY_PRIORITIES 3          /* of workspaces, told apart within a kind of work: three kinds fit 0 to 9 */
-#define AWAY_LEFT_SHARE 0.2 /* of a caller's time left, and up to half as much more, until it comes back then */
+#define UNCONFIGURED_RETRY_MS 300   /* a host that has just started will have a configuration, or other hosts do */
+#define PRIORITIES_PER_TIER 3       /* of workspaces, told apart within a kind of work: three kinds fit 0 to 9 */
+#define UNAVAILABLE_RETRY_SHARE 0.2 /* of a caller's time left, and up to half as much more, until it comes back then  \
+                                     */
 
-static const cw_route_t* route_of(const cw_catalog_t* catalog, const cw_message_t* m) {
+static const cw_route_t* find_route(const cw_catalog_t* catalog, const cw_message_t* m) {
     char host[HOST_MAX];
     const char* field = cw_message_field(m, "Host");
     cw_copy(host, sizeof(host), field ? field : "");
@@ -17,44 +18,44 @@
     return cw_catalog_route(catalog, host, m->target, strcspn(m->target, "?#"));
 }
 
-static admission_t denied(unsigned status, const char* why) {
+static admission_t deny(unsigned status, const char* why) {
     return (admission_t){.status = status, .why = why};
 }
 
-static uint32_t held_ms(const dialect_t* dialect, const cw_message_t* m, const cw_route_t* route) {
-    double wanted = 0;
-    request_deadline_read(dialect, m, &wanted); /* checked before */
-    return wanted > 0 && wanted < route->timeout_ms ? (uint32_t)wanted : route->timeout_ms;
+static uint32_t time_limit_ms(const dialect_t* dialect, const cw_message_t* m, const cw_route_t* route) {
+    double requested_ms = 0;
+    request_deadline_read(dialect, m, &requested_ms); /* checked before */
+    return requested_ms > 0 && requested_ms < route->timeout_ms ? (uint32_t)requested_ms : route->timeout_ms;
 }
 
 /* What servers are told, up to the dialect's last one: the kind of work first, by its route's tier, then the
    workspace's priority. An engine that is full preempts the newest among the least urgent. That must never be work that
    can't wait while work that can runs on, whoever sent it, so a workspace's priority decides only among equal kinds. */
 static uint32_t urgency(const dialect_t* dialect, uint32_t priority, uint32_t tier) {
-    uint32_t own = priority < URGENCY_PRIORITIES ? priority : URGENCY_PRIORITIES - 1;
-    uint32_t told = tier * URGENCY_PRIORITIES + own;
-    return told < dialect->priority_max ? told : dialect->priority_max;
+    uint32_t clamped = priority < PRIORITIES_PER_TIER ? priority : PRIORITIES_PER_TIER - 1;
+    uint32_t urgency_value = tier * PRIORITIES_PER_TIER + clamped;
+    return urgency_value < dialect->priority_max ? urgency_value : dialect->priority_max;
 }
 
-admission_t admission_judge(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* m) {
+admission_t admission_check(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* m) {
     char key[CW_ACCESS_KEY_MAX];
     const cw_tenant_t* workspace = NULL;
     if (m->target[0] != '/' || cw_message_field_times(m, "Host") != 1) {
-        return denied(400, "bad request target or host");
+        return deny(400, "bad request target or host");
     }
     const char* malformed = request_fields_check(dialect, m);
     if (malformed) {
-        return denied(400, malformed);
+        return deny(400, malformed);
     }
-    const cw_route_t* route = route_of(catalog, m);
+    const cw_route_t* route = find_route(catalog, m);
     if (!route) {
-        return denied(404, "no route");
+        return deny(404, "no route");
     }
     if (request_key_read(dialect, m, key, sizeof(key))) {
         workspace = cw_catalog_workspace(catalog, key);
     }
     if (catalog->needs_keys && !route->open && !workspace) {
-        return denied(401, "unknown key");
+        return deny(401, "unknown key");
     }
     bool resumable = route->kind == CW_ROUTE_STREAM && route->resume;
     uint32_t priority = workspace && workspace->has_tier ? workspace->tier : route->tier;
@@ -63,7 +64,7 @@
                          .workspace = workspace,
                          .priority = priority,
                          .urgency = urgency(dialect, priority, route->tier),
-                         .held_ms = held_ms(dialect, m, route),
+                         .time_limit_ms = time_limit_ms(dialect, m, route),
                          .repeatable = route->kind == CW_ROUTE_REPEATABLE || resumable};
 }
 
@@ -72,8 +73,8 @@
     if (!request_deadline_read(dialect, m, &left_ms)) {
         left_ms = 0; /* it is told so by a host that can judge the request */
     }
-    double share = AWAY_LEFT_SHARE * (1 + (double)(draw % 500) / 1000);
+    double share = UNAVAILABLE_RETRY_SHARE * (1 + (double)(draw % 500) / 1000);
     bool known = left_ms > 0 && left_ms < UINT32_MAX;
     uint32_t later_ms = away && known ? (uint32_t)(left_ms * share) : 0;
-    return later_ms > UNCONFIGURED_RETRY_MIN_MS ? later_ms : UNCONFIGURED_RETRY_MIN_MS;
+    return later_ms > UNCONFIGURED_RETRY_MS ? later_ms : UNCONFIGURED_RETRY_MS;
 }
--- a/gateway/admission.h
+++ b/gateway/admission.h
@@ -15,12 +15,12 @@
     const cw_tenant_t* workspace; /* NULL: none */
     uint32_t priority;            /* 0 goes first */
     uint32_t urgency;             /* what servers are told, 0 first: by kind of work, then by priority */
-    uint32_t held_ms;             /* longest time until its answer */
+    uint32_t time_limit_ms;       /* longest time until its answer */
     bool repeatable;              /* it may run again after any failure */
 } admission_t;
 
 /* Judges a request; status and why are set in any case, the rest only where it is admitted. */
-admission_t admission_judge(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* request);
+admission_t admission_check(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* request);
 /* Time to come back to a host that has no configuration yet. away: its source seems to be away for everybody, so
    callers that came back at once would use up their tries. draw: random. */
 uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* request, bool away,
--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -33,18 +33,18 @@
 
 /* For how long a caller of a stream listens in vain, before its first event too: the longest of these. All 0: until its
    deadline. */
-typedef struct dialect_silence_t {
+typedef struct dialect_read_timeout_t {
     uint32_t ms;
     uint32_t targets; /* times the route's target */
     uint32_t gaps;    /* times the longest pause between events that the route allows */
-} dialect_silence_t;
+} dialect_read_timeout_t;
 
 typedef struct dialect_t {
     const char* name;
     dialect_fields_t fields;
     unsigned misdirected_status; /* a server's status for a request meant for another one: it did not run it */
     unsigned priority_max;       /* lowest urgency that the field may carry */
-    dialect_silence_t silence;
+    dialect_read_timeout_t silence;
     const char* ready_path;
     const char* lookup_path;
     const char* lookup_hall;    /* query argument */
@@ -58,8 +58,8 @@
 } dialect_t;
 
 /* Ms for which a caller of a stream with such a target and pause listens in vain, 0: no limit. */
-static inline uint32_t dialect_silence_ms(const dialect_t* dialect, uint32_t target_ms, uint32_t gap_ms) {
-    const dialect_silence_t* s = &dialect->silence;
+static inline uint32_t dialect_read_timeout_ms(const dialect_t* dialect, uint32_t target_ms, uint32_t gap_ms) {
+    const dialect_read_timeout_t* s = &dialect->silence;
     uint32_t ms = s->ms > s->targets * target_ms ? s->ms : s->targets * target_ms;
     return ms > s->gaps * gap_ms ? ms : s->gaps * gap_ms;
 }
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -9,65 +9,65 @@
 #include "../io/message.h"
 
 #define ADDRESSES_MAX 64
-#define KINDS_MAX 64 /* routes, and workspaces, that are counted on their own */
+#define SERIES_MAX 64 /* routes, and workspaces, that are counted on their own */
 #define OUTCOMES_MAX 8
 #define IDLE_S 30
 #define MS_PER_S 1000.0
 
-typedef struct kind_t {
+typedef struct series_t {
     char name[CW_NAME_MAX];
     uint64_t outcomes[OUTCOMES_MAX];
     cw_hist_t first_ms, took_ms;
-} kind_t;
+} series_t;
 
 /* Routes or workspaces; the last place is "other". */
-typedef struct kinds_t {
+typedef struct series_list_t {
     uint32_t count;
-    kind_t* items;
-} kinds_t;
+    series_t* items;
+} series_list_t;
 
 struct directory_t {
     directory_desc_t desc;
     cw_httpd_t* ready;
     cw_httpd_t* lookup;
     cw_httpd_t* metrics;
-    kinds_t routes, workspaces;
+    series_list_t routes, workspaces;
 };
 
 /* -- counting ------------------------------------------------------------- */
 
-static kind_t* kind_get(kinds_t* kinds, const char* name) {
-    for (uint32_t i = 0; i < kinds->count; i++) {
-        if (strcmp(kinds->items[i].name, name) == 0) {
-            return &kinds->items[i];
+static series_t* series_get(series_list_t* series_list, const char* name) {
+    for (uint32_t i = 0; i < series_list->count; i++) {
+        if (strcmp(series_list->items[i].name, name) == 0) {
+            return &series_list->items[i];
         }
     }
-    if (kinds->count == KINDS_MAX) {
-        return &kinds->items[KINDS_MAX - 1];
+    if (series_list->count == SERIES_MAX) {
+        return &series_list->items[SERIES_MAX - 1];
     }
-    kind_t* grown = realloc(kinds->items, (kinds->count + 1) * sizeof(*grown));
+    series_t* grown = realloc(series_list->items, (series_list->count + 1) * sizeof(*grown));
     if (!grown) {
         abort();
     }
-    kinds->items = grown;
-    kind_t* kind = &kinds->items[kinds->count++];
-    memset(kind, 0, sizeof(*kind));
-    cw_copy(kind->name, sizeof(kind->name), kinds->count == KINDS_MAX ? "other" : name);
-    return kind;
+    series_list->items = grown;
+    series_t* series = &series_list->items[series_list->count++];
+    memset(series, 0, sizeof(*series));
+    cw_copy(series->name, sizeof(series->name), series_list->count == SERIES_MAX ? "other" : name);
+    return series;
 }
 
-static void kind_add(kind_t* kind, uint32_t outcome, uint32_t first_ms, uint32_t took_ms) {
-    kind->outcomes[outcome < OUTCOMES_MAX ? outcome : OUTCOMES_MAX - 1]++;
+static void series_add(series_t* series, uint32_t outcome, uint32_t first_ms, uint32_t took_ms) {
+    series->outcomes[outcome < OUTCOMES_MAX ? outcome : OUTCOMES_MAX - 1]++;
     if (first_ms) {
-        cw_hist_add(&kind->first_ms, first_ms);
+        cw_hist_add(&series->first_ms, first_ms);
     }
-    cw_hist_add(&kind->took_ms, took_ms);
+    cw_hist_add(&series->took_ms, took_ms);
 }
 
 void directory_count(directory_t* d, const char* route, const char* workspace, uint32_t outcome, uint32_t first_ms,
                      uint32_t took_ms) {
-    kind_add(kind_get(&d->routes, route), outcome, first_ms, took_ms);
-    kind_add(kind_get(&d->workspaces, workspace), outcome, first_ms, took_ms);
+    series_add(series_get(&d->routes, route), outcome, first_ms, took_ms);
+    series_add(series_get(&d->workspaces, workspace), outcome, first_ms, took_ms);
 }
 
 static void write_hist(cw_buffer_t* out, const char* metric, const char* label, const char* name,
@@ -87,25 +87,25 @@
                         name, (unsigned long long)hist->sum, metric, label, name, (unsigned long long)hist->count);
 }
 
-static void write_kinds(cw_buffer_t* out, const char* label, const kinds_t* kinds) {
+static void write_series(cw_buffer_t* out, const char* label, const series_list_t* series_list) {
     static const char* const outcomes[] = {"served", "denied", "refused", "failed", "gone"};
-    for (uint32_t i = 0; i < kinds->count; i++) {
-        const kind_t* kind = &kinds->items[i];
+    for (uint32_t i = 0; i < series_list->count; i++) {
+        const series_t* series = &series_list->items[i];
         for (uint32_t o = 0; o < sizeof(outcomes) / sizeof(outcomes[0]); o++) {
-            cw_message_add_text(out, "chalkway_requests_total{%s=\"%s\",outcome=\"%s\"} %llu\n", label, kind->name,
-                                outcomes[o], (unsigned long long)kind->outcomes[o]);
+            cw_message_add_text(out, "chalkway_requests_total{%s=\"%s\",outcome=\"%s\"} %llu\n", label, series->name,
+                                outcomes[o], (unsigned long long)series->outcomes[o]);
         }
-        write_hist(out, "first_byte_ms", label, kind->name, &kind->first_ms);
-        write_hist(out, "request_ms", label, kind->name, &kind->took_ms);
+        write_hist(out, "first_byte_ms", label, series->name, &series->first_ms);
+        write_hist(out, "request_ms", label, series->name, &series->took_ms);
     }
 }
 
 /* -- answers -------------------------------------------------------------- */
 
-static void on_ready(cw_exchange_t* x, void* user) {
+static void handle_ready(cw_exchange_t* x, void* user) {
     directory_t* d = user;
-    bool known = strcmp(cw_exchange_path(x), d->desc.dialect->ready_path) == 0;
-    unsigned status = !known ? 404 : d->desc.is_ready(d->desc.user_data) ? 200 : 503;
+    bool is_known_path = strcmp(cw_exchange_path(x), d->desc.dialect->ready_path) == 0;
+    unsigned status = !is_known_path ? 404 : d->desc.is_ready(d->desc.user_data) ? 200 : 503;
     cw_exchange_reply(x, status, NULL, 0, "", 0);
 }
 
@@ -121,7 +121,7 @@
     return text;
 }
 
-static void on_lookup(cw_exchange_t* x, void* user) {
+static void handle_lookup(cw_exchange_t* x, void* user) {
     directory_t* d = user;
     static const cw_header_t json = {"Content-Type", "application/json"};
     const char* addresses[ADDRESSES_MAX];
@@ -140,7 +140,7 @@
     free(body);
 }
 
-static void on_held(directory_t* d, cw_exchange_t* x) {
+static void handle_quarantine(directory_t* d, cw_exchange_t* x) {
     static const cw_header_t json = {"Content-Type", "application/json"};
     cw_buffer_t out = {0};
     d->desc.write_held(d->desc.user_data, &out);
@@ -148,38 +148,38 @@
     cw_buffer_free(&out);
 }
 
-static void on_release(directory_t* d, cw_exchange_t* x) {
+static void handle_release(directory_t* d, cw_exchange_t* x) {
     const char* fingerprint = cw_exchange_arg(x, "fingerprint");
     const char* workspace = cw_exchange_arg(x, "workspace");
-    bool posted = strcmp(cw_exchange_method(x), "POST") == 0;
+    bool is_post = strcmp(cw_exchange_method(x), "POST") == 0;
     bool released =
-        posted && fingerprint && d->desc.release(d->desc.user_data, fingerprint, workspace ? workspace : "0");
-    cw_exchange_reply(x, released ? 200 : posted ? 404 : 405, NULL, 0, "", 0);
+        is_post && fingerprint && d->desc.release(d->desc.user_data, fingerprint, workspace ? workspace : "0");
+    cw_exchange_reply(x, released ? 200 : is_post ? 404 : 405, NULL, 0, "", 0);
 }
 
-static void on_metrics(cw_exchange_t* x, void* user) {
+static void handle_metrics(cw_exchange_t* x, void* user) {
     directory_t* d = user;
     static const cw_header_t text = {"Content-Type", "text/plain; version=0.0.4"};
     cw_buffer_t out = {0};
     if (strcmp(cw_exchange_path(x), "/held") == 0) {
-        on_held(d, x);
+        handle_quarantine(d, x);
         return;
     }
     if (strcmp(cw_exchange_path(x), "/held/release") == 0) {
-        on_release(d, x);
+        handle_release(d, x);
         return;
     }
     d->desc.write_metrics(d->desc.user_data, &out);
-    write_kinds(&out, "route", &d->routes);
-    write_kinds(&out, "workspace", &d->workspaces);
+    write_series(&out, "route", &d->routes);
+    write_series(&out, "workspace", &d->workspaces);
     cw_exchange_reply(x, 200, &text, 1, cw_buffer_text(&out), out.size);
     cw_buffer_free(&out);
 }
 
 /* -- setup ---------------------------------------------------------------- */
 
-static cw_httpd_t* serve(directory_t* d, const char* address, void (*on_request)(cw_exchange_t*, void*),
-                         cw_error_t* err) {
+static cw_httpd_t* listen_http(directory_t* d, const char* address, void (*on_request)(cw_exchange_t*, void*),
+                               cw_error_t* err) {
     return cw_httpd_setup(&(cw_httpd_desc_t){.loop = d->desc.loop,
                                              .address = address,
                                              .max_body = 4096,
@@ -196,9 +196,9 @@
         abort();
     }
     d->desc = *desc;
-    d->ready = serve(d, desc->ready, on_ready, err);
-    d->lookup = d->ready ? serve(d, desc->lookup, on_lookup, err) : NULL;
-    d->metrics = d->lookup && desc->metrics[0] ? serve(d, desc->metrics, on_metrics, err) : NULL;
+    d->ready = listen_http(d, desc->ready, handle_ready, err);
+    d->lookup = d->ready ? listen_http(d, desc->lookup, handle_lookup, err) : NULL;
+    d->metrics = d->lookup && desc->metrics[0] ? listen_http(d, desc->metrics, handle_metrics, err) : NULL;
     if (!d->lookup || (desc->metrics[0] && !d->metrics)) {
         directory_shutdown(d);
         return NULL;
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -11,20 +11,20 @@
 
 #define RETRY_AFTER_MIN_MS 300    /* shortest time to come back after a refusal */
 #define RETRY_AFTER_SPREAD_MS 500 /* spread, so that those refused do not come back together */
-#define YOUNG_MS 500              /* a process that has no configuration for longer takes its source to be away */
-#define DETACHED_MS 2000          /* a run that may not be repeated is left to itself for so long after its time */
+#define STARTUP_GRACE_MS 500      /* a process that has no configuration for longer takes its source to be away */
+#define DETACHED_TIMEOUT_MS 2000  /* a run that may not be repeated is left to itself for so long after its time */
 
-static void act(exchange_t* x, uint32_t todo);
+static void run_actions(exchange_t* x, uint32_t todo);
 
-static uint64_t draw(exchanges_t* e) {
+static uint64_t next_random(exchanges_t* e) {
     return cw_mix(e->desc.seed, ++e->draws);
 }
 
 /* -- answers of the gateway's own ----------------------------------------- */
 
 /* A small answer that repeats the request's id; retry_ms 0: no time to come back. */
-static void answer(exchanges_t* e, caller_t* caller, unsigned status, const char* id, const char* why,
-                   uint32_t retry_ms) {
+static void reply_error(exchanges_t* e, caller_t* caller, unsigned status, const char* id, const char* why,
+                        uint32_t retry_ms) {
     const dialect_fields_t* f = &e->desc.dialect->fields;
     cw_buffer_t fields = {0};
     char body[256];
@@ -43,9 +43,9 @@
 /* -- life ----------------------------------------------------------------- */
 
 static void exchange_free(exchange_t* x) {
-    exchanges_t* e = x->all;
+    exchanges_t* e = x->exchanges;
     ev_timer_stop(e->desc.loop, &x->timer);
-    exchange_queue_remove(x);
+    exchange_dequeue(x);
     if (x->prev) {
         x->prev->next = x->next;
     } else {
@@ -64,8 +64,8 @@
 static const char* const outcome_names[EXCHANGE_OUTCOME_COUNT] = {"served", "denied", "refused", "failed", "gone"};
 
 /* The one line that tells how a request ended, and from what. */
-static void done(exchange_t* x, exchange_outcome_t outcome, const char* why) {
-    exchanges_t* e = x->all;
+static void report_done(exchange_t* x, exchange_outcome_t outcome, const char* why) {
+    exchanges_t* e = x->exchanges;
     int64_t now_ms = clock_ms();
     uint32_t first_ms = x->first_ms ? (uint32_t)(x->first_ms - x->arrived_ms) : 0;
     e->stats.outcomes[outcome]++;
@@ -73,9 +73,9 @@
            "id=%s outcome=%s status=%u why=\"%s\" route=%s workspace=%s revision=%lld server=%s transfers=%u "
            "urgency=%u expected_ms=%.0f first_ms=%u gap_ms=%u took_ms=%lld left_ms=%lld run=%s",
            x->id, outcome_names[outcome], x->status, why, x->route->name, x->workspace ? x->workspace->name : "-",
-           (long long)x->catalog->revision, x->server_id[0] ? x->server_id : "-", x->transfers, x->work.urgency,
+           (long long)x->catalog->revision, x->server_id[0] ? x->server_id : "-", x->attempt_count, x->work.urgency,
            x->expected_ms, first_ms, x->gap_ms, (long long)(now_ms - x->arrived_ms),
-           (long long)(x->deadline_ms - now_ms), cw_outcome_name(cw_request_outcome(&x->machine)));
+           (long long)(x->deadline_ms - now_ms), cw_outcome_name(cw_request_outcome(&x->fsm)));
     if (e->desc.on_done) {
         e->desc.on_done(e->desc.user_data, x->route->name, x->workspace ? x->workspace->name : "-", outcome, first_ms,
                         (uint32_t)(now_ms - x->arrived_ms));
@@ -84,74 +84,74 @@
 
 /* -- time ----------------------------------------------------------------- */
 
-void exchange_timer_set(exchange_t* x) {
+void exchange_set_timer(exchange_t* x) {
     int64_t due_ms = x->deadline_ms;
     int64_t wait_ms = x->work.late ? x->wait.until_ms : x->wait.late_ms;
-    if (x->queued && wait_ms < due_ms) {
+    if (x->is_queued && wait_ms < due_ms) {
         due_ms = wait_ms;
     }
-    if (x->parked_until_ms && x->parked_until_ms < due_ms) {
-        due_ms = x->parked_until_ms;
+    if (x->verdict_due_ms && x->verdict_due_ms < due_ms) {
+        due_ms = x->verdict_due_ms;
     }
-    if (x->link && x->silent_at_ms && x->silent_at_ms < due_ms) {
-        due_ms = x->silent_at_ms;
+    if (x->conn && x->stall_at_ms && x->stall_at_ms < due_ms) {
+        due_ms = x->stall_at_ms;
     }
     int64_t left_ms = due_ms - clock_ms();
-    ev_timer_stop(x->all->desc.loop, &x->timer);
+    ev_timer_stop(x->exchanges->desc.loop, &x->timer);
     ev_timer_set(&x->timer, left_ms > 0 ? (double)left_ms / MS_PER_S : 0.0, 0.0);
-    ev_timer_start(x->all->desc.loop, &x->timer);
+    ev_timer_start(x->exchanges->desc.loop, &x->timer);
 }
 
-void exchange_broken(exchange_t* x, cw_request_event_t e, cw_try_result_t result, const char* reason) {
+void exchange_fail_attempt(exchange_t* x, cw_request_event_t e, cw_try_result_t result, const char* reason) {
     x->result = result;
     x->reason = reason;
-    cw_log(x->all->desc.log, CW_EVENT_UPSTREAM_FAILED,
+    cw_log(x->exchanges->desc.log, CW_EVENT_UPSTREAM_FAILED,
            "id=%s step=%s server=%s life=%016llx peer=%s reason=\"%s\" sent_ms_ago=%lld fingerprint=%016llx links=%u",
-           x->id, cw_request_state_name(x->machine.state), x->server_id, (unsigned long long)x->server->key,
+           x->id, cw_request_state_name(x->fsm.state), x->server_id, (unsigned long long)x->server->key,
            x->server->published.address, reason, x->sent_ms ? (long long)(clock_ms() - x->sent_ms) : -1LL,
            (unsigned long long)x->fingerprint.content, x->server->open);
-    exchange_event(x, e);
+    exchange_handle_event(x, e);
 }
 
 /* Ends, gives up or moves on what is due by the clock. The exchange may be gone afterwards. */
-static void check_time(exchange_t* x) {
+static void handle_due(exchange_t* x) {
     int64_t now_ms = clock_ms();
-    if (now_ms >= x->deadline_ms && x->machine.state == CW_REQ_DETACHED) {
-        exchange_broken(x, CW_EV_BROKEN, CW_TRY_FAILED, "no answer long after its time");
+    if (now_ms >= x->deadline_ms && x->fsm.state == CW_REQ_DETACHED) {
+        exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "no answer long after its time");
     } else if (now_ms >= x->deadline_ms) {
         x->reason = "time is up";
         x->result = CW_TRY_CANCELLED;
-        if (x->link && !x->first_seen) {
+        if (x->conn && !x->has_first_byte) {
             x->result = CW_TRY_FAILED;
         }
-        exchange_event(x, CW_EV_DEADLINE);
-    } else if (x->parked_until_ms && now_ms >= x->parked_until_ms) {
-        exchange_seek(x);
-    } else if (x->queued && now_ms >= x->wait.until_ms) {
+        exchange_handle_event(x, CW_EV_DEADLINE);
+    } else if (x->verdict_due_ms && now_ms >= x->verdict_due_ms) {
+        exchange_assign_server(x);
+    } else if (x->is_queued && now_ms >= x->wait.until_ms) {
         exchange_refuse(x, "no place came free in time");
-    } else if (x->queued && !x->work.late && now_ms >= x->wait.late_ms) {
-        exchange_queue_late(x);
-    } else if (x->link && x->silent_at_ms && now_ms >= x->silent_at_ms) {
-        if (exchange_may_repeat(x)) {
-            exchange_broken(x, CW_EV_BROKEN, CW_TRY_FAILED, "silent for too long");
+    } else if (x->is_queued && !x->work.late && now_ms >= x->wait.late_ms) {
+        exchange_requeue_overdue(x);
+    } else if (x->conn && x->stall_at_ms && now_ms >= x->stall_at_ms) {
+        if (exchange_may_retry(x)) {
+            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "silent for too long");
         } else {
-            x->silent_at_ms = 0;
-            exchange_timer_set(x);
+            x->stall_at_ms = 0;
+            exchange_set_timer(x);
         }
     } else {
-        exchange_timer_set(x);
+        exchange_set_timer(x);
     }
 }
 
 static void on_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    check_time(w->data);
+    handle_due(w->data);
 }
 
 /* -- the machine's actions ------------------------------------------------ */
 
-static void give_back(exchange_t* x) {
+static void release_server(exchange_t* x) {
     pool_t* pool = x->pool;
     server_t* server = x->server;
     if (x->run.server == CW_BALANCE_NONE) {
@@ -160,77 +160,77 @@
     int64_t now_ms = clock_ms();
     bool suspected = cw_balance_suspected(pool->balance, now_ms, server->key);
     cw_balance_end(pool->balance, now_ms, &x->run, x->result);
-    x->all->desc.on_load(x->all->desc.user_data, server, NULL);
+    x->exchanges->desc.on_load(x->exchanges->desc.user_data, server, NULL);
     if (x->result == CW_TRY_BROKEN || x->result == CW_TRY_UNREACHABLE) {
         server_log_life(server, now_ms, suspected, 0);
-        x->all->desc.on_life(x->all->desc.user_data, server);
+        x->exchanges->desc.on_life(x->exchanges->desc.user_data, server);
     }
 }
 
-static void cut(exchange_t* x) {
-    if (x->link) {
-        link_drop(x->link);
-        x->link = NULL;
+static void abort_attempt(exchange_t* x) {
+    if (x->conn) {
+        upstream_conn_close(x->conn);
+        x->conn = NULL;
     }
-    if (x->follow_events) {
+    if (x->is_resumable_stream) {
         cw_events_restart(&x->events);
     }
 }
 
 static uint32_t retry_after_ms(exchange_t* x) {
-    return x->retry_ms + RETRY_AFTER_MIN_MS + (uint32_t)(draw(x->all) % RETRY_AFTER_SPREAD_MS);
+    return x->retry_ms + RETRY_AFTER_MIN_MS + (uint32_t)(next_random(x->exchanges) % RETRY_AFTER_SPREAD_MS);
 }
 
 /* The final answer, by what may truthfully be said. */
-static void conclude(exchange_t* x) {
-    exchanges_t* e = x->all;
+static void send_outcome(exchange_t* x) {
+    exchanges_t* e = x->exchanges;
     caller_t* caller = x->caller;
-    cw_outcome_t outcome = cw_request_outcome(&x->machine);
+    cw_outcome_t outcome = cw_request_outcome(&x->fsm);
     const char* why = x->reason && x->reason[0] ? x->reason : "-";
     x->caller = NULL;
     if (!caller) {
         return;
     }
     if (outcome == CW_OUTCOME_DELIVERED) {
-        done(x, EXCHANGE_SERVED, why);
-        exchange_pass_head(x, caller);
+        report_done(x, EXCHANGE_SERVED, why);
+        exchange_send_head(x, caller);
         caller_finish(caller, true);
-    } else if (x->head_passed) {
-        done(x, EXCHANGE_FAILED, why);
+    } else if (x->is_head_sent) {
+        report_done(x, EXCHANGE_FAILED, why);
         caller_finish(caller, false);
     } else if (outcome == CW_OUTCOME_NOT_RUN) {
         x->status = 503;
-        done(x, EXCHANGE_REFUSED, why);
-        answer(e, caller, 503, x->id, why, retry_after_ms(x));
+        report_done(x, EXCHANGE_REFUSED, why);
+        reply_error(e, caller, 503, x->id, why, retry_after_ms(x));
     } else {
         x->status = clock_ms() >= x->deadline_ms ? 504 : 502;
-        done(x, EXCHANGE_FAILED, why);
-        answer(e, caller, x->status, x->id, why, 0);
+        report_done(x, EXCHANGE_FAILED, why);
+        reply_error(e, caller, x->status, x->id, why, 0);
     }
 }
 
-static void act(exchange_t* x, uint32_t todo) {
+static void run_actions(exchange_t* x, uint32_t todo) {
     if (todo & CW_DO_ABORT) {
-        cut(x);
+        abort_attempt(x);
     }
     pool_t* freed = todo & CW_DO_RETURN ? x->pool : NULL;
-    exchanges_t* e = x->all;
+    exchanges_t* e = x->exchanges;
     if (freed) {
-        give_back(x);
+        release_server(x);
     }
     if (todo & CW_DO_WITHDRAW) {
-        exchange_queue_remove(x);
+        exchange_dequeue(x);
     }
     if (todo & CW_DO_ANSWER) {
-        conclude(x);
+        send_outcome(x);
     }
-    if (x->machine.state == CW_REQ_ENDED) {
+    if (x->fsm.state == CW_REQ_ENDED) {
         exchange_free(x);
     } else if (todo & CW_DO_WANT) {
-        exchange_seek(x);
-    } else if (x->machine.state == CW_REQ_DETACHED) {
-        x->deadline_ms = clock_ms() + DETACHED_MS;
-        exchange_timer_set(x);
+        exchange_assign_server(x);
+    } else if (x->fsm.state == CW_REQ_DETACHED) {
+        x->deadline_ms = clock_ms() + DETACHED_TIMEOUT_MS;
+        exchange_set_timer(x);
     }
     if (freed && e->queue) {
         exchanges_on_room(e, freed);
@@ -238,11 +238,11 @@
 }
 
 /* Tells the machine; the exchange may be gone afterwards. */
-void exchange_event(exchange_t* x, cw_request_event_t e) {
-    x->machine.retry_allowed = cw_retry_window_has(&x->pool->retries, clock_ms());
-    uint32_t todo = cw_request_event(&x->machine, e);
-    if (todo || x->machine.state == CW_REQ_ENDED) {
-        act(x, todo);
+void exchange_handle_event(exchange_t* x, cw_request_event_t e) {
+    x->fsm.retry_allowed = cw_retry_window_has(&x->pool->retries, clock_ms());
+    uint32_t todo = cw_request_event(&x->fsm, e);
+    if (todo || x->fsm.state == CW_REQ_ENDED) {
+        run_actions(x, todo);
     }
 }
 
@@ -253,7 +253,7 @@
     e->stats.outcomes[EXCHANGE_DENIED]++;
     cw_log(e->desc.log, CW_EVENT_REQUEST_DENIED, "id=%s status=%u why=\"%s\" target=%.60s revision=%lld",
            id[0] ? id : "-", status, why, m->target, e->catalog ? (long long)e->catalog->revision : 0LL);
-    answer(e, caller, status, id, why, 0);
+    reply_error(e, caller, status, id, why, 0);
 }
 
 /* The whole body is there: it can be told what the request is before it is sent anywhere. */
@@ -275,7 +275,7 @@
     }
     const cw_route_t* route = admission->route;
     bool stream = route->kind == CW_ROUTE_STREAM;
-    x->all = e;
+    x->exchanges = e;
     x->caller = caller;
     cw_copy(x->id, sizeof(x->id), id);
     x->catalog = cw_catalog_hold(e->catalog);
@@ -283,15 +283,15 @@
     x->workspace = admission->workspace;
     x->fingerprint = fingerprint_of(caller, x->workspace);
     x->arrived_ms = clock_ms();
-    x->woken = e->wakes;
-    x->deadline_ms = x->arrived_ms + admission->held_ms;
+    x->checked_at_wake = e->wake_count;
+    x->deadline_ms = x->arrived_ms + admission->time_limit_ms;
     x->priority = admission->priority;
     x->run.server = CW_BALANCE_NONE;
-    x->machine = cw_request_new(&(cw_request_desc_t){.repeatable = admission->repeatable,
-                                                     .resumable = stream && route->resume,
-                                                     .cancel_when_gone = stream,
-                                                     .count_sent = true,
-                                                     .max_attempts = route->attempts});
+    x->fsm = cw_request_new(&(cw_request_desc_t){.repeatable = admission->repeatable,
+                                                 .resumable = stream && route->resume,
+                                                 .cancel_when_gone = stream,
+                                                 .count_sent = true,
+                                                 .max_attempts = route->attempts});
     x->work = (cw_work_t){.urgency = cw_urgency_level(admission->urgency),
                           .target_ms = route->target_ms,
                           .gap_ms = route->gap_ms,
@@ -310,8 +310,8 @@
 }
 
 /* Has no configuration although it is no longer young. */
-static bool source_seems_away(const exchanges_t* e) {
-    return clock_ms() - e->setup_ms > (e->desc.young_ms ? e->desc.young_ms : YOUNG_MS);
+static bool is_source_unavailable(const exchanges_t* e) {
+    return clock_ms() - e->setup_ms > (e->desc.startup_grace_ms ? e->desc.startup_grace_ms : STARTUP_GRACE_MS);
 }
 
 void exchanges_on_request(exchanges_t* e, caller_t* caller) {
@@ -319,28 +319,29 @@
     const char* id = cw_message_field(m, e->desc.dialect->fields.request_id);
     char made[24];
     if (!id || !id[0] || strlen(id) >= ID_MAX) {
-        snprintf(made, sizeof(made), "%016llx", (unsigned long long)draw(e));
+        snprintf(made, sizeof(made), "%016llx", (unsigned long long)next_random(e));
         id = made;
     }
     if (!e->catalog) {
         e->stats.outcomes[EXCHANGE_REFUSED]++;
         cw_log(e->desc.log, CW_EVENT_REQUEST_DENIED, "id=%s status=503 why=\"no configuration\" revision=0", id);
-        uint32_t retry_ms = admission_unconfigured_retry_ms(e->desc.dialect, m, source_seems_away(e), draw(e));
-        answer(e, caller, 503, id, "no configuration", retry_ms);
+        uint32_t retry_ms =
+            admission_unconfigured_retry_ms(e->desc.dialect, m, is_source_unavailable(e), next_random(e));
+        reply_error(e, caller, 503, id, "no configuration", retry_ms);
         return;
     }
-    admission_t admission = admission_judge(e->desc.dialect, e->catalog, m);
+    admission_t admission = admission_check(e->desc.dialect, e->catalog, m);
     if (admission.status) {
         deny(e, caller, admission.status, id, admission.why);
         return;
     }
     exchange_t* x = exchange_new(e, caller, &admission, id);
-    const cw_catalog_pool_t* pool = cw_catalog_pool(e->catalog, admission.route, draw(e));
+    const cw_catalog_pool_t* pool = cw_catalog_pool(e->catalog, admission.route, next_random(e));
     x->pool = upstreams_pool(e->desc.upstreams, pool->name);
     assert(x->pool); /* upstreams were told of the catalog before */
     cw_retry_window_first(&x->pool->retries, x->arrived_ms);
     cw_balance_asked(x->pool->balance, x->arrived_ms, &x->work);
-    exchange_event(x, CW_EV_START);
+    exchange_handle_event(x, CW_EV_START);
 }
 
 void exchanges_on_gone(exchanges_t* e, caller_t* caller) {
@@ -352,15 +353,15 @@
     x->caller = NULL;
     x->result = CW_TRY_CANCELLED;
     x->reason = "the caller left";
-    done(x, EXCHANGE_GONE, x->reason);
-    exchange_event(x, CW_EV_GONE);
+    report_done(x, EXCHANGE_GONE, x->reason);
+    exchange_handle_event(x, CW_EV_GONE);
 }
 
 void exchanges_on_drained(exchanges_t* e, caller_t* caller) {
     (void)e;
     exchange_t* x = caller_data(caller);
-    if (x && x->link) {
-        link_pause(x->link, false);
+    if (x && x->conn) {
+        upstream_conn_pause(x->conn, false);
     }
 }
 
@@ -377,54 +378,54 @@
 }
 
 void exchanges_set_catalog(exchanges_t* e, cw_catalog_t* catalog) {
-    cw_catalog_t* before = e->catalog;
+    cw_catalog_t* previous = e->catalog;
     e->catalog = cw_catalog_hold(catalog);
-    cw_catalog_release(before);
+    cw_catalog_release(previous);
 }
 
 /* The first request of the kind that waits for a server, or has one. */
-static exchange_t* first_of(const exchanges_t* e, const cw_fingerprint_t* request) {
+static exchange_t* find_active(const exchanges_t* e, const cw_fingerprint_t* request) {
     exchange_t* x = e->list;
-    while (x && (!cw_fingerprint_same(&x->fingerprint, request) || !(x->queued || x->link || x->parked_until_ms))) {
+    while (x && (!cw_fingerprint_same(&x->fingerprint, request) || !(x->is_queued || x->conn || x->verdict_due_ms))) {
         x = x->next;
     }
     return x;
 }
 
 void exchanges_on_held(exchanges_t* e, const cw_fingerprint_t* request) {
-    for (exchange_t* x = first_of(e, request); x; x = first_of(e, request)) {
-        if (x->link) {
-            exchange_broken(x, CW_EV_BROKEN, CW_TRY_CANCELLED, HELD_WHY);
-        } else if (!exchange_held_back(x)) {
+    for (exchange_t* x = find_active(e, request); x; x = find_active(e, request)) {
+        if (x->conn) {
+            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_CANCELLED, BLOCKED_REASON);
+        } else if (!exchange_check_quarantine(x)) {
             return;
         }
     }
 }
 
 /* One that has not looked at the clock since the last wake. What one does then may end others. */
-static exchange_t* not_woken(const exchanges_t* e) {
+static exchange_t* next_unchecked(const exchanges_t* e) {
     exchange_t* x = e->list;
-    while (x && x->woken == e->wakes) {
+    while (x && x->checked_at_wake == e->wake_count) {
         x = x->next;
     }
     return x;
 }
 
 void exchanges_on_wake(exchanges_t* e) {
-    e->wakes++;
-    for (exchange_t* x = not_woken(e); x; x = not_woken(e)) {
-        x->woken = e->wakes;
-        check_time(x);
+    e->wake_count++;
+    for (exchange_t* x = next_unchecked(e); x; x = next_unchecked(e)) {
+        x->checked_at_wake = e->wake_count;
+        handle_due(x);
     }
 }
 
 void exchanges_refuse_new(exchanges_t* e) {
     exchange_t* next = NULL;
-    e->refusing = true;
+    e->is_refusing = true;
     for (exchange_t* x = e->queue; x; x = next) {
         next = x->next_queued;
         x->reason = "this host is stopping";
-        exchange_event(x, CW_EV_REFUSED);
+        exchange_handle_event(x, CW_EV_REFUSED);
     }
 }
 
@@ -436,8 +437,8 @@
     exchange_t* next = NULL;
     for (exchange_t* x = e->list; x; x = next) {
         next = x->next;
-        if (x->link) {
-            link_drop(x->link);
+        if (x->conn) {
+            upstream_conn_close(x->conn);
         }
         exchange_free(x);
     }
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -27,7 +27,7 @@
     upstreams_t* upstreams;
     quarantine_t* quarantine; /* must outlive the exchanges */
     uint64_t seed;
-    uint32_t young_ms; /* without a configuration for longer, the source is taken to be away; default 500 */
+    uint32_t startup_grace_ms; /* without a configuration for longer, the source is taken to be away; default 500 */
     /* A request was sent to or ended at a server: others should hear of it. */
     void (*on_load)(void* user_data, const server_t* server, const cw_work_t* work);
     /* A connection to the server failed, or a server that others suspect lives: they are to hear of it at once. */
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -10,15 +10,15 @@
 #include "../io/address.h"
 
 #define MS_PER_S 1000.0
-#define LINGER_S 1.0        /* a connection being closed still reads for so long, so that the answer is not lost */
-#define AHEAD_MAX 65536     /* bytes that a caller may send before its answer is complete */
-#define ACCEPT_BATCH 16     /* connections taken in one turn of the loop */
-#define PEER_SILENT_MS 8000 /* a caller that acknowledges nothing for so long is gone */
-#define IDLE_SLACK_MS 200   /* an idle connection is closed so much after the limit */
+#define LINGER_S 1.0 /* a connection being closed still reads for so long, so that the answer is not lost */
+#define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may send before its answer is complete */
+#define ACCEPT_BATCH 16           /* connections taken in one turn of the loop */
+#define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for so long is gone */
+#define IDLE_SLACK_MS 200         /* an idle connection is closed so much after the limit */
 
 typedef enum caller_state_t {
     CALLER_READING = 0, /* a request, or idle before one */
-    CALLER_BUSY,        /* the owner has the request */
+    CALLER_ACTIVE,      /* the owner has the request */
     CALLER_CLOSING      /* the last answer is being sent */
 } caller_state_t;
 
@@ -27,12 +27,12 @@
     cw_stream_t stream;
     cw_message_t message;
     cw_buffer_t body;
-    cw_buffer_t ahead; /* bytes that came after the request */
+    cw_buffer_t pipelined; /* bytes that came after the request */
     caller_state_t state;
-    bool close_after;
-    bool finished; /* the end of the last answer was written */
+    bool must_close;
+    bool is_finished; /* the end of the last answer was written */
     cw_framing_t framing;
-    bool bodiless; /* the answer to a HEAD */
+    bool is_head_request; /* the answer to a HEAD */
     ev_timer timer;
     void* data;
     caller_t* prev;
@@ -49,11 +49,11 @@
     front_stats_t stats;
 };
 
-static void read_ahead(caller_t* c);
+static void read_pipelined(caller_t* c);
 
 /* -- life ----------------------------------------------------------------- */
 
-static void body_drop(caller_t* c) {
+static void free_body(caller_t* c) {
     c->front->stats.body_bytes -= c->body.size;
     cw_buffer_free(&c->body);
 }
@@ -62,8 +62,8 @@
     front_t* f = c->front;
     cw_stream_close(&c->stream);
     ev_timer_stop(f->desc.loop, &c->timer);
-    body_drop(c);
-    cw_buffer_free(&c->ahead);
+    free_body(c);
+    cw_buffer_free(&c->pipelined);
     cw_message_shutdown(&c->message);
     if (c->prev) {
         c->prev->next = c->next;
@@ -97,39 +97,39 @@
     c->state = CALLER_CLOSING;
     if (!cw_stream_unsent(&c->stream)) {
         cw_stream_finish(&c->stream);
-        c->finished = true;
+        c->is_finished = true;
     }
     timer_start(c, LINGER_S);
 }
 
-static void answer_done(caller_t* c) {
+static void end_response(caller_t* c) {
     c->front->stats.active--;
     c->data = NULL;
     cw_stream_flush(&c->stream);
     cw_stream_pause(&c->stream, false);
-    body_drop(c);
-    if (c->close_after) {
+    free_body(c);
+    if (c->must_close) {
         start_closing(c);
         return;
     }
     c->state = CALLER_READING;
     cw_message_reset(&c->message);
     wait_for_request(c);
-    read_ahead(c);
+    read_pipelined(c);
 }
 
 /* -- answers -------------------------------------------------------------- */
 
-static bool statusless_body(const caller_t* c, unsigned status) {
-    return c->bodiless || status / 100 == 1 || status == 204 || status == 304;
+static bool has_no_body(const caller_t* c, unsigned status) {
+    return c->is_head_request || status / 100 == 1 || status == 204 || status == 304;
 }
 
 static void write_head(caller_t* c, unsigned status, const char* fields) {
     cw_buffer_t out = {0};
-    c->close_after = c->close_after || c->front->leaving || !c->message.keep_alive;
+    c->must_close = c->must_close || c->front->leaving || !c->message.keep_alive;
     cw_message_add_text(&out, "HTTP/1.1 %u %s\r\n", status, cw_message_reason(status));
     cw_buffer_add(&out, fields, strlen(fields));
-    if (c->close_after) {
+    if (c->must_close) {
         cw_message_add_field(&out, "Connection", "close");
     }
     cw_stream_write(&c->stream, out.data, out.size);
@@ -151,20 +151,20 @@
 void caller_reply(caller_t* c, unsigned status, const char* fields, const void* body, size_t size) {
     write_head(c, status, fields);
     write_end_of_head(c, CW_FRAMING_LENGTH, size);
-    if (!c->bodiless) {
+    if (!c->is_head_request) {
         cw_stream_write(&c->stream, body, size);
     }
-    answer_done(c);
+    end_response(c);
 }
 
 void caller_begin(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length) {
-    c->framing = statusless_body(c, status) && framing != CW_FRAMING_LENGTH ? CW_FRAMING_NONE : framing;
+    c->framing = has_no_body(c, status) && framing != CW_FRAMING_LENGTH ? CW_FRAMING_NONE : framing;
     if (c->framing == CW_FRAMING_CLOSE) {
         c->framing = CW_FRAMING_CHUNKED; /* so that the caller can tell a whole answer from a cut one */
     }
     if (c->framing == CW_FRAMING_CHUNKED && c->message.parser.http_major == 1 && c->message.parser.http_minor == 0) {
         c->framing = CW_FRAMING_CLOSE;
-        c->close_after = true;
+        c->must_close = true;
     }
     write_head(c, status, fields);
     write_end_of_head(c, c->framing, length);
@@ -172,7 +172,7 @@
 }
 
 void caller_write(caller_t* c, const void* data, size_t size) {
-    if (c->bodiless) {
+    if (c->is_head_request) {
         return;
     }
     if (c->framing == CW_FRAMING_CHUNKED) {
@@ -197,13 +197,13 @@
         caller_free(c);
         return;
     }
-    if (c->framing == CW_FRAMING_CHUNKED && !c->bodiless) {
+    if (c->framing == CW_FRAMING_CHUNKED && !c->is_head_request) {
         cw_buffer_t out = {0};
         cw_message_add_last_chunk(&out);
         cw_stream_write(&c->stream, out.data, out.size);
         cw_buffer_free(&out);
     }
-    answer_done(c);
+    end_response(c);
 }
 
 const cw_message_t* caller_message(const caller_t* c) {
@@ -225,10 +225,10 @@
 /* -- reading -------------------------------------------------------------- */
 
 /* Answers a request that is not handed over and closes. */
-static void refuse(caller_t* c, unsigned status, const char* fields) {
+static void reject(caller_t* c, unsigned status, const char* fields) {
     timer_stop(c);
-    c->close_after = true;
-    c->bodiless = false;
+    c->must_close = true;
+    c->is_head_request = false;
     c->message.state = CW_MESSAGE_BROKEN; /* what still comes is not read as a request */
     c->front->stats.active++;
     caller_reply(c, status, fields, "", 0);
@@ -242,7 +242,7 @@
 static void on_head(void* owner) {
     caller_t* c = owner;
     front_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
-    c->bodiless = strcmp(c->message.method, "HEAD") == 0;
+    c->is_head_request = strcmp(c->message.method, "HEAD") == 0;
     if (c->message.framing != CW_FRAMING_NONE && c->message.length <= limits.body_bytes &&
         expects_continue(&c->message)) {
         static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -259,31 +259,31 @@
 
 static const cw_message_handlers_t message_handlers = {.on_head = on_head, .on_body = on_body};
 
-static void hand_over(caller_t* c) {
+static void dispatch_request(caller_t* c) {
     timer_stop(c);
-    c->state = CALLER_BUSY;
+    c->state = CALLER_ACTIVE;
     c->front->stats.active++;
     c->front->stats.requests++;
     c->front->desc.on_request(c, c->front->desc.user_data);
 }
 
 /* Whether what was read so far is refused. */
-static bool over_limits(caller_t* c) {
+static bool reject_over_limits(caller_t* c) {
     front_t* f = c->front;
     front_limits_t limits = f->desc.limits(f->desc.user_data);
     bool in_head = c->message.state == CW_MESSAGE_HEAD;
     if (c->message.state == CW_MESSAGE_BROKEN) {
         f->stats.broken++;
-        refuse(c, 400, "");
+        reject(c, 400, "");
     } else if ((in_head && c->message.head_bytes > limits.head_bytes) || c->message.text.size > limits.head_bytes) {
-        refuse(c, 431, "");
+        reject(c, 431, "");
     } else if (!in_head && (c->message.length > limits.body_bytes || c->body.size > limits.body_bytes)) {
-        refuse(c, 413, "");
+        reject(c, 413, "");
     } else if (f->stats.body_bytes > f->desc.max_body_total) {
         cw_buffer_t fields = {0};
         cw_message_add_field(&fields, f->desc.retry_after_field, "1");
         f->stats.refused_full++;
-        refuse(c, 503, fields.data);
+        reject(c, 503, fields.data);
         cw_buffer_free(&fields);
     } else {
         return false;
@@ -298,32 +298,32 @@
     if (idle && c->message.state != CW_MESSAGE_IDLE) {
         timer_start(c, c->front->desc.limits(c->front->desc.user_data).head_ms / MS_PER_S);
     }
-    if (over_limits(c)) {
+    if (reject_over_limits(c)) {
         return;
     }
     if (c->message.state == CW_MESSAGE_COMPLETE) {
-        cw_buffer_add(&c->ahead, data + used, size - used);
-        hand_over(c);
+        cw_buffer_add(&c->pipelined, data + used, size - used);
+        dispatch_request(c);
     }
 }
 
-static void read_ahead(caller_t* c) {
-    if (!c->ahead.size) {
+static void read_pipelined(caller_t* c) {
+    if (!c->pipelined.size) {
         return;
     }
-    cw_buffer_t ahead = c->ahead;
-    c->ahead = (cw_buffer_t){0};
-    read_request(c, ahead.data, ahead.size);
-    cw_buffer_free(&ahead);
+    cw_buffer_t pipelined = c->pipelined;
+    c->pipelined = (cw_buffer_t){0};
+    read_request(c, pipelined.data, pipelined.size);
+    cw_buffer_free(&pipelined);
 }
 
 static void on_data(void* owner, const char* data, size_t size) {
     caller_t* c = owner;
     if (c->state == CALLER_READING) {
         read_request(c, data, size);
-    } else if (c->state == CALLER_BUSY) {
-        cw_buffer_add(&c->ahead, data, size);
-        if (c->ahead.size > AHEAD_MAX) {
+    } else if (c->state == CALLER_ACTIVE) {
+        cw_buffer_add(&c->pipelined, data, size);
+        if (c->pipelined.size > PIPELINED_MAX_BYTES) {
             cw_stream_pause(&c->stream, true);
         }
     }
@@ -331,18 +331,18 @@
 
 static void on_drained(void* owner) {
     caller_t* c = owner;
-    if (c->state == CALLER_BUSY) {
+    if (c->state == CALLER_ACTIVE) {
         c->front->desc.on_drained(c, c->front->desc.user_data);
-    } else if (c->state == CALLER_CLOSING && !c->finished) {
+    } else if (c->state == CALLER_CLOSING && !c->is_finished) {
         cw_stream_finish(&c->stream);
-        c->finished = true;
+        c->is_finished = true;
     }
 }
 
 static void on_end(void* owner, cw_stream_end_t end) {
     (void)end;
     caller_t* c = owner;
-    if (c->state == CALLER_BUSY) {
+    if (c->state == CALLER_ACTIVE) {
         c->front->stats.active--;
         c->front->desc.on_gone(c, c->front->desc.user_data);
     }
@@ -357,7 +357,7 @@
     caller_t* c = w->data;
     if (c->state == CALLER_READING && c->message.state != CW_MESSAGE_IDLE) {
         c->front->stats.timed_out++;
-        refuse(c, 408, "");
+        reject(c, 408, "");
     } else if (c->state == CALLER_CLOSING && cw_stream_unsent(&c->stream)) {
         timer_start(c, LINGER_S); /* a slow reader; one that is gone ends the stream */
     } else {
@@ -384,7 +384,7 @@
     c->timer.data = c;
     cw_message_setup(&c->message, CW_MESSAGE_REQUEST, &message_handlers, c);
     cw_stream_accept(&c->stream, f->desc.loop, fd, &stream_handlers, c);
-    cw_stream_watch_peer(&c->stream, PEER_SILENT_MS);
+    cw_stream_watch_peer(&c->stream, PEER_TIMEOUT_MS);
     wait_for_request(c);
 }
 
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -7,15 +7,15 @@
 #include "../io/client.h"
 #include "clock.h"
 
-#define SETTLE_MS 300
-#define CALLS 2              /* at once: an engine's list may be long, and this host has work */
-#define CALL_MS 1000         /* longest time for an engine's list */
-#define CONNECT_MS 300       /* longest time to connect to it */
-#define LIST_BYTES (1 << 20) /* a longer list is not read */
-#define IDLE_CLIENTS 1       /* connections kept: each engine is asked once */
+#define SETTLE_DELAY_MS 300
+#define MAX_CALLS 2              /* at once: an engine's list may be long, and this host has work */
+#define CALL_TIMEOUT_MS 1000     /* longest time for an engine's list */
+#define CONNECT_TIMEOUT_MS 300   /* longest time to connect to it */
+#define LIST_MAX_BYTES (1 << 20) /* a longer list is not read */
+#define IDLE_CLIENTS 1           /* connections kept: each engine is asked once */
 
 typedef struct call_t {
-    inventory_t* all;
+    inventory_t* inventory;
     uint64_t server;
     cw_call_t* call; /* NULL: free */
     cw_buffer_t body;
@@ -25,31 +25,31 @@
 struct inventory_t {
     inventory_desc_t desc;
     cw_client_t* client;
-    int64_t known_ms; /* servers are known since, 0: not yet */
-    uint64_t* waiting;
-    uint32_t waiting_count;
-    uint32_t most; /* parts of one engine that are learned */
-    bool listed;   /* the servers to ask stand in waiting */
-    call_t calls[CALLS];
+    int64_t engines_known_ms; /* servers are known since, 0: not yet */
+    uint64_t* pending;
+    uint32_t pending_count;
+    uint32_t max_parts; /* parts of one engine that are learned */
+    bool is_listed;     /* the servers to ask stand in waiting */
+    call_t calls[MAX_CALLS];
     inventory_stats_t stats;
 };
 
 /* -- answers -------------------------------------------------------------- */
 
 typedef struct parts_t {
-    cw_work_part_t items[INVENTORY_PARTS];
-    uint32_t most;  /* that are kept in items, as a ring: the last ones */
-    uint32_t count; /* of all that were read */
+    cw_work_part_t items[INVENTORY_PARTS_PER_ENGINE];
+    uint32_t max_parts; /* that are kept in items, as a ring: the last ones */
+    uint32_t count;     /* of all that were read */
 } parts_t;
 
 /* Without its tokens: the engine has read them before, and forgets nothing else for them now. */
 static void add_part(void* user, const cw_work_part_t* part) {
     parts_t* parts = user;
-    parts->items[parts->count++ % parts->most] = (cw_work_part_t){.id = part->id};
+    parts->items[parts->count++ % parts->max_parts] = (cw_work_part_t){.id = part->id};
 }
 
-static void learn(inventory_t* v, server_t* server, const parts_t* parts) {
-    uint32_t count = parts->count < parts->most ? parts->count : parts->most;
+static void record_parts(inventory_t* v, server_t* server, const parts_t* parts) {
+    uint32_t count = parts->count < parts->max_parts ? parts->count : parts->max_parts;
     v->stats.parts += count;
     cw_log(v->desc.log, CW_EVENT_INVENTORY, "server=%s pool=%s parts=%u listed=%u", server->published.id,
            server->pool->name, count, parts->count);
@@ -58,7 +58,7 @@
     }
 }
 
-static void fail(inventory_t* v, const server_t* server, const char* why) {
+static void log_failure(inventory_t* v, const server_t* server, const char* why) {
     v->stats.failed++;
     cw_log(v->desc.log, CW_EVENT_INVENTORY_FAILED, "step=inventory server=%s peer=%s reason=\"%s\"",
            server ? server->published.id : "-", server ? server->published.address : "-", why);
@@ -66,7 +66,7 @@
 
 static bool on_data(void* user, const char* data, size_t size) {
     call_t* c = user;
-    if (c->body.size + size <= LIST_BYTES) {
+    if (c->body.size + size <= LIST_MAX_BYTES) {
         cw_buffer_add(&c->body, data, size);
     }
     return true;
@@ -79,7 +79,7 @@
 
 static void on_done(void* user, const cw_call_result_t* result) {
     call_t* c = user;
-    inventory_t* v = c->all;
+    inventory_t* v = c->inventory;
     cw_error_t err = {0};
     int64_t started_ms = 0;
     parts_t* parts = calloc(1, sizeof(*parts));
@@ -88,16 +88,16 @@
     if (!parts) {
         abort();
     }
-    parts->most = v->most;
+    parts->max_parts = v->max_parts;
     if (!result->whole || c->status != 200) {
-        fail(v, server, result->whole ? "the answer is no list" : result->message);
+        log_failure(v, server, result->whole ? "the answer is no list" : result->message);
     } else if (v->desc.dialect->read_inventory(cw_buffer_text(&c->body), c->body.size, &started_ms, add_part, parts,
                                                &err) != CW_OK) {
-        fail(v, server, err.message);
-    } else if (server && upstreams_is_over(v->desc.upstreams, clock_ms(), server, started_ms)) {
-        fail(v, server, "another life of the server answered");
+        log_failure(v, server, err.message);
+    } else if (server && upstreams_check_incarnation(v->desc.upstreams, clock_ms(), server, started_ms)) {
+        log_failure(v, server, "another life of the server answered");
     } else if (server && !server->gone) {
-        learn(v, server, parts);
+        record_parts(v, server, parts);
     }
     free(parts);
     cw_buffer_free(&c->body);
@@ -105,21 +105,21 @@
 
 /* -- asking --------------------------------------------------------------- */
 
-static void ask(inventory_t* v, call_t* c, const server_t* server) {
+static void start_call(inventory_t* v, call_t* c, const server_t* server) {
     char url[256];
     snprintf(url, sizeof(url), "http://%s%s", server->published.address, v->desc.dialect->inventory_path);
-    *c = (call_t){.all = v, .server = server->key};
+    *c = (call_t){.inventory = v, .server = server->key};
     v->stats.asked++;
     c->call = cw_client_call(v->client, &(cw_call_desc_t){.url = url,
-                                                          .connect_ms = CONNECT_MS,
-                                                          .timeout_ms = CALL_MS,
+                                                          .connect_ms = CONNECT_TIMEOUT_MS,
+                                                          .timeout_ms = CALL_TIMEOUT_MS,
                                                           .on_head = on_head,
                                                           .on_data = on_data,
                                                           .on_done = on_done,
                                                           .user_data = c});
 }
 
-static bool knows_engines(const inventory_t* v) {
+static bool has_engines(const inventory_t* v) {
     for (const pool_t* pool = upstreams_pools(v->desc.upstreams); pool; pool = pool->next) {
         if (pool->slots && pool->ready) {
             return true;
@@ -129,36 +129,36 @@
 }
 
 /* The engines that this daemon is to ask, as the fleet stands now. */
-static void list_mine(inventory_t* v) {
+static void list_owned_engines(inventory_t* v) {
     uint32_t engines = 0;
-    v->listed = true;
+    v->is_listed = true;
     for (const pool_t* pool = upstreams_pools(v->desc.upstreams); pool; pool = pool->next) {
         for (const server_t* s = pool->slots ? pool->servers : NULL; s; s = s->next) {
             engines += !s->gone;
             if (s->gone || !v->desc.is_mine(v->desc.user_data, s->key)) {
                 continue;
             }
-            uint64_t* more = realloc(v->waiting, (v->waiting_count + 1) * sizeof(*more));
-            if (!more) {
+            uint64_t* grown = realloc(v->pending, (v->pending_count + 1) * sizeof(*grown));
+            if (!grown) {
                 abort();
             }
-            v->waiting = more;
-            v->waiting[v->waiting_count++] = s->key;
+            v->pending = grown;
+            v->pending[v->pending_count++] = s->key;
         }
     }
-    uint32_t part = INVENTORY_TABLE / (engines ? engines : 1);
-    v->most = part < 1 ? 1 : part > INVENTORY_PARTS ? INVENTORY_PARTS : part;
+    uint32_t part = INVENTORY_PARTS_TOTAL / (engines ? engines : 1);
+    v->max_parts = part < 1 ? 1 : part > INVENTORY_PARTS_PER_ENGINE ? INVENTORY_PARTS_PER_ENGINE : part;
 }
 
 /* Uses the free calls; returns how many are under way. Whose an engine is, is asked again: as this host hears of more
    peers, engines fall to them. */
-static uint32_t ask_next(inventory_t* v) {
+static uint32_t start_pending_calls(inventory_t* v) {
     uint32_t busy = 0;
-    for (uint32_t i = 0; i < CALLS; i++) {
-        while (!v->calls[i].call && v->waiting_count) {
-            const server_t* server = upstreams_server(v->desc.upstreams, v->waiting[--v->waiting_count]);
+    for (uint32_t i = 0; i < MAX_CALLS; i++) {
+        while (!v->calls[i].call && v->pending_count) {
+            const server_t* server = upstreams_server(v->desc.upstreams, v->pending[--v->pending_count]);
             if (server && !server->gone && v->desc.is_mine(v->desc.user_data, server->key)) {
-                ask(v, &v->calls[i], server);
+                start_call(v, &v->calls[i], server);
             }
         }
         busy += v->calls[i].call != NULL;
@@ -170,18 +170,18 @@
     if (v->stats.done || !v->desc.dialect->inventory_path) {
         return;
     }
-    if (!v->known_ms) {
-        v->known_ms = knows_engines(v) ? now_ms : 0;
+    if (!v->engines_known_ms) {
+        v->engines_known_ms = has_engines(v) ? now_ms : 0;
         return;
     }
     bool settled = !v->desc.is_settled || v->desc.is_settled(v->desc.user_data);
-    if (now_ms - v->known_ms < v->desc.settle_ms || !settled) {
+    if (now_ms - v->engines_known_ms < v->desc.settle_ms || !settled) {
         return;
     }
-    if (!v->listed) {
-        list_mine(v);
+    if (!v->is_listed) {
+        list_owned_engines(v);
     }
-    v->stats.done = !ask_next(v) && !v->waiting_count;
+    v->stats.done = !start_pending_calls(v) && !v->pending_count;
 }
 
 /* -- setup ---------------------------------------------------------------- */
@@ -192,7 +192,7 @@
         abort();
     }
     v->desc = *desc;
-    v->desc.settle_ms = desc->settle_ms ? desc->settle_ms : SETTLE_MS;
+    v->desc.settle_ms = desc->settle_ms ? desc->settle_ms : SETTLE_DELAY_MS;
     v->client = cw_client_setup(desc->loop, IDLE_CLIENTS);
     return v;
 }
@@ -202,13 +202,13 @@
 }
 
 void inventory_shutdown(inventory_t* v) {
-    for (uint32_t i = 0; i < CALLS; i++) {
+    for (uint32_t i = 0; i < MAX_CALLS; i++) {
         if (v->calls[i].call) {
             cw_call_cancel(v->calls[i].call);
             cw_buffer_free(&v->calls[i].body);
         }
     }
     cw_client_shutdown(v->client);
-    free(v->waiting);
+    free(v->pending);
     free(v);
 }
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -14,8 +14,8 @@
 #include "dialect.h"
 #include "upstream.h"
 
-#define INVENTORY_PARTS 512  /* most parts of one engine that are learned: the last ones of its list */
-#define INVENTORY_TABLE 8192 /* most parts of all engines together: half of what chalkway_balance.h remembers */
+#define INVENTORY_PARTS_PER_ENGINE 512 /* most parts of one engine that are learned: the last ones of its list */
+#define INVENTORY_PARTS_TOTAL 8192 /* most parts of all engines together: half of what chalkway_balance.h remembers */
 
 typedef struct inventory_t inventory_t;
 
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -19,43 +19,44 @@
 }
 
 /* Takes a mark over and says what it changed; returns whether it was news. */
-static bool take(quarantine_t* q, const cw_mark_t* mark, const char* by) {
+static bool apply_mark(quarantine_t* q, const cw_mark_t* mark, const char* by) {
     int64_t now_ms = clock_ms();
     const cw_fingerprint_t* request = &mark->request;
-    cw_verdict_t before = cw_quarantine_ask(q->table, now_ms, request);
+    cw_verdict_t previous = cw_quarantine_ask(q->table, now_ms, request);
     if (!cw_quarantine_take(q->table, now_ms, mark)) {
         return false;
     }
-    cw_verdict_t after = cw_quarantine_ask(q->table, now_ms, request);
-    if (after.kind != before.kind) {
+    cw_verdict_t updated = cw_quarantine_ask(q->table, now_ms, request);
+    if (updated.kind != previous.kind) {
         cw_log(q->desc.log, CW_EVENT_REQUEST_SUSPECTED,
                "fingerprint=%016llx workspace=%016llx verdict=%s was=%s ends=%u life=%016llx age_ms=%u told_by=%s "
                "retry_ms=%u",
-               (unsigned long long)request->content, (unsigned long long)request->workspace, verdict_name(after.kind),
-               verdict_name(before.kind), after.ends, (unsigned long long)mark->life, mark->age_ms, by, after.retry_ms);
+               (unsigned long long)request->content, (unsigned long long)request->workspace, verdict_name(updated.kind),
+               verdict_name(previous.kind), updated.ends, (unsigned long long)mark->life, mark->age_ms, by,
+               updated.retry_ms);
     }
     return true;
 }
 
 /* A mark of this daemon's own. */
-static void make(quarantine_t* q, const cw_mark_t* mark) {
-    if (take(q, mark, "self")) {
+static void publish_mark(quarantine_t* q, const cw_mark_t* mark) {
+    if (apply_mark(q, mark, "self")) {
         q->told++;
         q->desc.on_mark(q->desc.user_data, mark);
     }
 }
 
 /* From now on a sign of the server over an older connection is listened for. */
-static void watch(server_t* server, int64_t ended_ms) {
-    server->ended_ms = ended_ms;
+static void watch_for_response(server_t* server, int64_t presumed_crash_ms) {
+    server->presumed_crash_ms = presumed_crash_ms;
 }
 
-cw_verdict_t quarantine_ask(quarantine_t* q, const cw_fingerprint_t* request) {
+cw_verdict_t quarantine_check(quarantine_t* q, const cw_fingerprint_t* request) {
     return cw_quarantine_ask(q->table, clock_ms(), request);
 }
 
-void quarantine_count_held(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
-                           const cw_verdict_t* verdict) {
+void quarantine_record_blocked(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
+                               const cw_verdict_t* verdict) {
     q->held_back++;
     cw_log(q->desc.log, CW_EVENT_REQUEST_HELD, "id=%s fingerprint=%016llx workspace=%016llx ends=%u retry_ms=%u", id,
            (unsigned long long)request->content, (unsigned long long)request->workspace, verdict->ends,
@@ -63,38 +64,38 @@
 }
 
 void quarantine_on_trial(quarantine_t* q, const cw_fingerprint_t* request, const server_t* server) {
-    make(q, &(cw_mark_t){.kind = CW_MARK_TRIED, .request = *request, .life = server->key});
+    publish_mark(q, &(cw_mark_t){.kind = CW_MARK_TRIED, .request = *request, .life = server->key});
 }
 
-void quarantine_on_end(quarantine_t* q, const cw_fingerprint_t* request, server_t* server) {
+void quarantine_on_crash(quarantine_t* q, const cw_fingerprint_t* request, server_t* server) {
     cw_mark_t mark = {.kind = CW_MARK_ENDED, .request = *request, .life = server->key};
-    watch(server, clock_ms());
-    make(q, &mark);
+    watch_for_response(server, clock_ms());
+    publish_mark(q, &mark);
 }
 
-void quarantine_on_answer(quarantine_t* q, const cw_fingerprint_t* request) {
+void quarantine_on_response(quarantine_t* q, const cw_fingerprint_t* request) {
     if (cw_quarantine_knows(q->table, request)) {
-        make(q, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = *request});
+        publish_mark(q, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = *request});
     }
 }
 
 void quarantine_on_alive(quarantine_t* q, const server_t* server) {
-    make(q, &(cw_mark_t){.kind = CW_MARK_ALIVE, .life = server->key});
+    publish_mark(q, &(cw_mark_t){.kind = CW_MARK_ALIVE, .life = server->key});
 }
 
 void quarantine_on_mark(quarantine_t* q, const cw_mark_t* mark) {
-    if (!take(q, mark, "other")) {
+    if (!apply_mark(q, mark, "other")) {
         return;
     }
     q->heard++;
     server_t* server = mark->kind == CW_MARK_ENDED ? upstreams_server(q->desc.upstreams, mark->life) : NULL;
     if (server) {
-        watch(server, clock_ms() - mark->age_ms);
+        watch_for_response(server, clock_ms() - mark->age_ms);
     }
 }
 
 /* The ends that hold it, for the log: "LIFE:AGE_MS" each. */
-static void write_ends(const cw_quarantine_entry_t* held, char* out, size_t size) {
+static void format_crashes(const cw_quarantine_entry_t* held, char* out, size_t size) {
     size_t n = 0;
     out[0] = 0;
     for (uint32_t i = 0; i < held->verdict.ruled_out && n < size; i++) {
@@ -107,7 +108,7 @@
     cw_quarantine_entry_t held;
     char ends[CW_QUARANTINE_ENDS * 32];
     while (cw_quarantine_newly_held(q->table, clock_ms(), &held)) {
-        write_ends(&held, ends, sizeof(ends));
+        format_crashes(&held, ends, sizeof(ends));
         cw_log(q->desc.log, CW_EVENT_REQUEST_BARRED, "fingerprint=%016llx workspace=%016llx ends=%s retry_ms=%u",
                (unsigned long long)held.request.content, (unsigned long long)held.request.workspace, ends,
                held.verdict.retry_ms);
@@ -119,21 +120,21 @@
     return cw_quarantine_marks(q->table, clock_ms(), at, out, max);
 }
 
-static json_t* hex(uint64_t id) {
+static json_t* json_hex(uint64_t id) {
     char text[20];
     snprintf(text, sizeof(text), "%016llx", (unsigned long long)id);
     return json_string(text);
 }
 
-static json_t* describe(const cw_quarantine_entry_t* entry) {
+static json_t* entry_to_json(const cw_quarantine_entry_t* entry) {
     const cw_verdict_t* v = &entry->verdict;
     json_t* ends = json_array();
     for (uint32_t i = 0; i < v->ruled_out; i++) {
-        json_array_append_new(ends, json_pack("{s:o,s:i,s:b}", "life", hex(v->lives[i]), "age_ms",
+        json_array_append_new(ends, json_pack("{s:o,s:i,s:b}", "life", json_hex(v->lives[i]), "age_ms",
                                               (int)entry->age_ms[i], "trial", entry->tried[i]));
     }
-    return json_pack("{s:o,s:o,s:s,s:I,s:o}", "fingerprint", hex(entry->request.content), "workspace",
-                     hex(entry->request.workspace), "verdict", verdict_name(v->kind), "retry_ms",
+    return json_pack("{s:o,s:o,s:s,s:I,s:o}", "fingerprint", json_hex(entry->request.content), "workspace",
+                     json_hex(entry->request.workspace), "verdict", verdict_name(v->kind), "retry_ms",
                      (json_int_t)v->retry_ms, "ends", ends);
 }
 
@@ -141,7 +142,7 @@
     json_t* list = json_array();
     cw_quarantine_entry_t entry;
     for (uint32_t at = 0; cw_quarantine_next(q->table, clock_ms(), &at, &entry);) {
-        json_array_append_new(list, describe(&entry));
+        json_array_append_new(list, entry_to_json(&entry));
     }
     json_t* root = json_pack("{s:o}", "requests", list);
     char* text = json_dumps(root, JSON_COMPACT);
@@ -153,7 +154,7 @@
 bool quarantine_release(quarantine_t* q, const char* fingerprint, const char* workspace) {
     cw_fingerprint_t request = {.workspace = strtoull(workspace, NULL, 16), .content = strtoull(fingerprint, NULL, 16)};
     bool known = cw_quarantine_knows(q->table, &request);
-    quarantine_on_answer(q, &request);
+    quarantine_on_response(q, &request);
     return known;
 }
 
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -33,16 +33,16 @@
 quarantine_t* quarantine_setup(const quarantine_desc_t* desc);
 void quarantine_shutdown(quarantine_t* q);
 /* What may be done with a request that is about to look for a server. */
-cw_verdict_t quarantine_ask(quarantine_t* q, const cw_fingerprint_t* request);
+cw_verdict_t quarantine_check(quarantine_t* q, const cw_fingerprint_t* request);
 /* A request was answered as held. */
-void quarantine_count_held(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
-                           const cw_verdict_t* verdict);
+void quarantine_record_blocked(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
+                               const cw_verdict_t* verdict);
 /* A request on trial is about to be sent to the server. */
 void quarantine_on_trial(quarantine_t* q, const cw_fingerprint_t* request, const server_t* server);
 /* The connection to the server broke while the request was there. */
-void quarantine_on_end(quarantine_t* q, const cw_fingerprint_t* request, server_t* server);
+void quarantine_on_crash(quarantine_t* q, const cw_fingerprint_t* request, server_t* server);
 /* The request was answered whole. */
-void quarantine_on_answer(quarantine_t* q, const cw_fingerprint_t* request);
+void quarantine_on_response(quarantine_t* q, const cw_fingerprint_t* request);
 /* The server goes on after what was taken for its end. */
 void quarantine_on_alive(quarantine_t* q, const server_t* server);
 /* Another daemon's mark. */
--- a/gateway/request_head.c
+++ b/gateway/request_head.c
@@ -10,19 +10,21 @@
 #define HEX_DIGITS "0123456789abcdefABCDEF"
 #define HEX_DIGITS_MAX 16 /* of a 64-bit number */
 
-static bool is(const char* name, const char* other) {
+static bool equals_ignoring_case(const char* name, const char* other) {
     return other && strcasecmp(name, other) == 0;
 }
 
 /* Fields that the gateway sets itself or that no server may see. */
-static bool dropped(const dialect_t* d, const request_head_t* set, const char* name) {
+static bool is_dropped(const dialect_t* d, const request_head_t* set, const char* name) {
     const dialect_fields_t* f = &d->fields;
-    if (is(name, f->key) || is(name, f->workspace) || is(name, f->server) || is(name, f->deadline_ms) ||
-        is(name, f->priority) || is(name, f->fetch_from) || (set->last_event && is(name, f->last_event))) {
+    if (equals_ignoring_case(name, f->key) || equals_ignoring_case(name, f->workspace) ||
+        equals_ignoring_case(name, f->server) || equals_ignoring_case(name, f->deadline_ms) ||
+        equals_ignoring_case(name, f->priority) || equals_ignoring_case(name, f->fetch_from) ||
+        (set->last_event && equals_ignoring_case(name, f->last_event))) {
         return true;
     }
     for (const char* const* owned = f->owned; owned && *owned; owned++) {
-        if (is(name, *owned)) {
+        if (equals_ignoring_case(name, *owned)) {
             return true;
         }
     }
@@ -44,7 +46,7 @@
     cw_buffer_add(out, " HTTP/1.1\r\n", 11);
     for (uint32_t i = 0; i < request->field_count; i++) {
         const cw_field_t* field = &request->fields[i];
-        if (!cw_message_hop_field(request, field->name) && !dropped(d, set, field->name)) {
+        if (!cw_message_hop_field(request, field->name) && !is_dropped(d, set, field->name)) {
             cw_message_add_field(out, field->name, field->value);
         }
     }
@@ -173,10 +175,10 @@
 
 const char* request_fields_check(const dialect_t* d, const cw_message_t* request) {
     const dialect_fields_t* f = &d->fields;
-    const char* const once[] = {f->request_id, f->deadline_ms, f->key, f->tokens, f->parts, f->last_event};
-    for (size_t i = 0; i < sizeof(once) / sizeof(once[0]); i++) {
-        if (once[i] && cw_message_field_times(request, once[i]) > 1) {
-            return once[i];
+    const char* const single_fields[] = {f->request_id, f->deadline_ms, f->key, f->tokens, f->parts, f->last_event};
+    for (size_t i = 0; i < sizeof(single_fields) / sizeof(single_fields[0]); i++) {
+        if (single_fields[i] && cw_message_field_times(request, single_fields[i]) > 1) {
+            return single_fields[i];
         }
     }
     uint32_t in = 0;
--- a/gateway/seek.c
+++ b/gateway/seek.c
@@ -9,53 +9,53 @@
 /* -- the queue ------------------------------------------------------------ */
 
 /* One more (by = 1) or fewer (-1) of the request's urgency wait. */
-static void tell_waiting(const exchange_t* x, int by) {
+static void update_waiting_count(const exchange_t* x, int by) {
     uint32_t urgency = cw_work_turn_urgency(&x->work);
     uint32_t* waiting = &x->pool->waiting[urgency];
     *waiting = (uint32_t)((int)*waiting + by);
     cw_balance_waiting(x->pool->balance, clock_ms(), urgency, *waiting);
 }
 
-void exchange_queue_remove(exchange_t* x) {
-    for (exchange_t** at = &x->all->queue; x->queued && *at; at = &(*at)->next_queued) {
+void exchange_dequeue(exchange_t* x) {
+    for (exchange_t** at = &x->exchanges->queue; x->is_queued && *at; at = &(*at)->next_queued) {
         if (*at == x) {
             *at = x->next_queued;
-            x->queued = false;
-            x->all->stats.waiting--;
-            tell_waiting(x, -1);
+            x->is_queued = false;
+            x->exchanges->stats.waiting--;
+            update_waiting_count(x, -1);
             return;
         }
     }
 }
 
-static cw_turn_t turn(const exchange_t* x) {
+static cw_turn_t queue_key(const exchange_t* x) {
     return (cw_turn_t){
         .urgency = x->work.urgency, .light = x->work.light, .late = x->work.late, .arrived_ms = x->arrived_ms};
 }
 
-static bool goes_before(const exchange_t* x, const exchange_t* y) {
-    cw_turn_t turn_x = turn(x);
-    cw_turn_t turn_y = turn(y);
-    return cw_turn_before(&turn_x, &turn_y);
+static bool precedes(const exchange_t* x, const exchange_t* y) {
+    cw_turn_t key_x = queue_key(x);
+    cw_turn_t key_y = queue_key(y);
+    return cw_turn_before(&key_x, &key_y);
 }
 
-static void queue_add(exchange_t* x) {
-    exchange_t** at = &x->all->queue;
-    while (*at && !goes_before(x, *at)) {
+static void enqueue(exchange_t* x) {
+    exchange_t** at = &x->exchanges->queue;
+    while (*at && !precedes(x, *at)) {
         at = &(*at)->next_queued;
     }
     x->next_queued = *at;
     *at = x;
-    x->queued = true;
-    x->all->stats.waiting++;
-    tell_waiting(x, 1);
+    x->is_queued = true;
+    x->exchanges->stats.waiting++;
+    update_waiting_count(x, 1);
 }
 
 /* Requests of this host that wait for the pool and go before x. */
-static uint32_t ahead(const exchange_t* x) {
+static uint32_t count_ahead(const exchange_t* x) {
     uint32_t count = 0;
-    for (const exchange_t* y = x->all->queue; y && y != x; y = y->next_queued) {
-        count += y->pool == x->pool && (x->queued || !goes_before(x, y));
+    for (const exchange_t* y = x->exchanges->queue; y && y != x; y = y->next_queued) {
+        count += y->pool == x->pool && (x->is_queued || !precedes(x, y));
     }
     return count;
 }
@@ -64,10 +64,10 @@
     const cw_holding_t* holding = cw_balance_holding(x->pool->balance);
     const pool_t* pool = x->pool;
     const cw_choice_t* c = &x->choice;
-    const server_t* best = c->server == CW_BALANCE_NONE ? NULL : upstreams_server(x->all->desc.upstreams, c->id);
+    const server_t* best = c->server == CW_BALANCE_NONE ? NULL : upstreams_server(x->exchanges->desc.upstreams, c->id);
     x->reason = why;
     cw_log(
-        x->all->desc.log, CW_EVENT_REQUEST_REFUSED,
+        x->exchanges->desc.log, CW_EVENT_REQUEST_REFUSED,
         "id=%s why=\"%s\" route=%s pool=%s priority=%u urgency=%u server=%s prompt=%u kept=%u wait_ms=%.0f "
         "read_ms=%.0f read_us=%.1f target_ms=%u ready=%u candidates=%u tried=%u away=%u cold=%u resting=%u limited=%u "
         "suspected=%u no_place=%u reserved=%.0f fullness=%.2f age_ms=%u waited_ms=%lld ahead=%u held_before=%u "
@@ -77,16 +77,16 @@
         x->work.prompt_tokens, c->kept, c->wait_ms, c->read_ms, cw_balance_read_rate(pool->balance) * US_PER_MS,
         x->route->target_ms, pool->ready, c->candidates, c->left_out.tried, c->left_out.away, c->left_out.cold,
         c->left_out.resting, c->left_out.limited, c->left_out.suspected, c->left_out.no_place, c->reserved,
-        cw_balance_fullness(pool->balance, clock_ms()), c->age_ms, (long long)(clock_ms() - x->arrived_ms), ahead(x),
-        cw_holding_running(holding, 0, x->work.urgency),
+        cw_balance_fullness(pool->balance, clock_ms()), c->age_ms, (long long)(clock_ms() - x->arrived_ms),
+        count_ahead(x), cw_holding_running(holding, 0, x->work.urgency),
         cw_holding_running(holding, x->work.urgency + 1, CW_URGENCIES - 1), cw_holding_ms(holding, x->work.urgency),
         (long long)x->catalog->revision);
-    exchange_event(x, CW_EV_REFUSED);
+    exchange_handle_event(x, CW_EV_REFUSED);
 }
 
 /* Whether one that is as urgent, and whose time is as short, waits for the pool already. */
-static bool behind_another(const exchange_t* x) {
-    for (const exchange_t* y = x->all->queue; y && !goes_before(x, y) && !x->queued; y = y->next_queued) {
+static bool must_queue_behind(const exchange_t* x) {
+    for (const exchange_t* y = x->exchanges->queue; y && !precedes(x, y) && !x->is_queued; y = y->next_queued) {
         if (y->pool == x->pool && y->route->target_ms <= x->route->target_ms) {
             return true;
         }
@@ -95,21 +95,22 @@
 }
 
 /* When the caller is taken to have left: of a stream, by the dialect, once it heard nothing for too long. */
-static int64_t caller_leaves_ms(const exchange_t* x) {
-    int64_t heard_ms = x->last_ms ? x->last_ms : x->arrived_ms;
-    uint32_t silence_ms = x->route->kind == CW_ROUTE_STREAM
-                              ? dialect_silence_ms(x->all->desc.dialect, x->route->target_ms, x->route->gap_ms)
-                              : 0;
-    bool sooner = silence_ms && heard_ms + silence_ms < x->deadline_ms;
-    return sooner ? heard_ms + silence_ms : x->deadline_ms;
+static int64_t caller_gives_up_ms(const exchange_t* x) {
+    int64_t last_received_ms = x->last_byte_ms ? x->last_byte_ms : x->arrived_ms;
+    uint32_t read_timeout_ms =
+        x->route->kind == CW_ROUTE_STREAM
+            ? dialect_read_timeout_ms(x->exchanges->desc.dialect, x->route->target_ms, x->route->gap_ms)
+            : 0;
+    bool sooner = read_timeout_ms && last_received_ms + read_timeout_ms < x->deadline_ms;
+    return sooner ? last_received_ms + read_timeout_ms : x->deadline_ms;
 }
 
 /* Only engines have places that come free at once: where plain servers can't be used, they are away, and a caller is
    better told so than kept. */
-static cw_turn_wait_t place_wait(const exchange_t* x) {
+static cw_turn_wait_t slot_wait(const exchange_t* x) {
     const cw_balance_t* b = x->pool->balance;
     return cw_turn_wait(&(cw_turn_ask_t){.now_ms = clock_ms(),
-                                         .leaves_ms = caller_leaves_ms(x),
+                                         .leaves_ms = caller_gives_up_ms(x),
                                          .target_ms = x->route->target_ms,
                                          .shortest_target_ms = cw_balance_shortest_target(b),
                                          .patient = !x->pool->memory_tokens || cw_balance_patient(b, &x->work)});
@@ -117,113 +118,113 @@
 
 /* Whether servers end under what the request is: then it goes nowhere, whatever its id, and is answered at once, or,
    where that can't be said yet, waits until it can. */
-bool exchange_held_back(exchange_t* x) {
-    quarantine_t* quarantine = x->all->desc.quarantine;
-    x->verdict = quarantine_ask(quarantine, &x->fingerprint);
+bool exchange_check_quarantine(exchange_t* x) {
+    quarantine_t* quarantine = x->exchanges->desc.quarantine;
+    x->verdict = quarantine_check(quarantine, &x->fingerprint);
     x->work.spread = x->verdict.kind == CW_VERDICT_FREE ? 0 : x->fingerprint.content;
-    x->parked_until_ms = x->verdict.kind == CW_VERDICT_WAIT ? clock_ms() + x->verdict.retry_ms : 0;
-    if (x->parked_until_ms) {
-        exchange_queue_remove(x); /* it would stand before others */
-        exchange_timer_set(x);
+    x->verdict_due_ms = x->verdict.kind == CW_VERDICT_WAIT ? clock_ms() + x->verdict.retry_ms : 0;
+    if (x->verdict_due_ms) {
+        exchange_dequeue(x); /* it would stand before others */
+        exchange_set_timer(x);
         return true;
     }
     if (x->verdict.kind != CW_VERDICT_HELD) {
         return false;
     }
-    quarantine_count_held(quarantine, &x->fingerprint, x->id, &x->verdict);
+    quarantine_record_blocked(quarantine, &x->fingerprint, x->id, &x->verdict);
     x->retry_ms = x->verdict.retry_ms;
-    x->reason = HELD_WHY;
-    exchange_event(x, CW_EV_REFUSED);
+    x->reason = BLOCKED_REASON;
+    exchange_handle_event(x, CW_EV_REFUSED);
     return true;
 }
 
 /* Whether all servers that are left hold callers back, and none takes a request from this host while x may wait.
    opens_ms: until the soonest does, 0: not known. */
-static bool none_opens(const exchange_t* x, uint32_t opens_ms) {
+static bool are_all_throttled(const exchange_t* x, uint32_t opens_ms) {
     const cw_left_out_t* left = &x->choice.left_out;
-    uint32_t held = left->resting + left->limited;
-    cw_turn_wait_t wait = x->queued ? x->wait : place_wait(x);
+    uint32_t throttled = left->resting + left->limited;
+    cw_turn_wait_t wait = x->is_queued ? x->wait : slot_wait(x);
     bool in_time = opens_ms && clock_ms() + opens_ms < wait.until_ms;
-    return held && left->tried + held >= x->pool->ready && !in_time;
+    return throttled && left->tried + throttled >= x->pool->ready && !in_time;
 }
 
 /* Takes a repeat from the budget at the moment of the decision: those that break together would else all be decided by
    what was left before the first of them was sent. A repeat that isn't sent then is not given back. */
-static bool take_repeat(exchange_t* x) {
-    if (x->transfers && !x->has_repeat) {
-        x->has_repeat = cw_retry_window_take(&x->pool->retries, clock_ms());
+static bool reserve_retry(exchange_t* x) {
+    if (x->attempt_count && !x->has_reserved_retry) {
+        x->has_reserved_retry = cw_retry_window_take(&x->pool->retries, clock_ms());
     }
-    return !x->transfers || x->has_repeat;
+    return !x->attempt_count || x->has_reserved_retry;
 }
 
 /* The best server but for those that failed this request, or ended under another one that is the same. */
-static cw_choice_t choose(const exchange_t* x) {
-    uint64_t out[TRIED_MAX + CW_QUARANTINE_ENDS];
+static cw_choice_t choose_server(const exchange_t* x) {
+    uint64_t excluded[TRIED_SERVERS_MAX + CW_QUARANTINE_ENDS];
     uint32_t count = x->tried_count + x->verdict.ruled_out;
-    memcpy(out, x->tried, x->tried_count * sizeof(*out));
-    memcpy(out + x->tried_count, x->verdict.lives, x->verdict.ruled_out * sizeof(*out));
-    cw_choice_t c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, out, count);
-    if ((c.server == CW_BALANCE_NONE || c.late) && upstreams_widen(x->pool, clock_ms())) {
-        c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, out, count);
+    memcpy(excluded, x->tried, x->tried_count * sizeof(*excluded));
+    memcpy(excluded + x->tried_count, x->verdict.lives, x->verdict.ruled_out * sizeof(*excluded));
+    cw_choice_t c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, excluded, count);
+    if ((c.server == CW_BALANCE_NONE || c.late) && upstreams_expand_subset(x->pool, clock_ms())) {
+        c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, excluded, count);
     }
     return c;
 }
 
-void exchange_seek(exchange_t* x) {
-    exchanges_t* e = x->all;
+void exchange_assign_server(exchange_t* x) {
+    exchanges_t* e = x->exchanges;
     assert(x->pool);
-    if (exchange_held_back(x)) {
+    if (exchange_check_quarantine(x)) {
         return;
     }
-    if (!take_repeat(x)) {
+    if (!reserve_retry(x)) {
         exchange_refuse(x, "no repeat is left");
         return;
     }
     x->choice = (cw_choice_t){.server = CW_BALANCE_NONE};
     x->retry_ms = 0;
-    if (!x->queued) {
+    if (!x->is_queued) {
         x->work.light = cw_balance_light(x->pool->balance, clock_ms(), &x->work);
     }
-    if (!e->refusing && !behind_another(x)) {
-        x->choice = choose(x);
+    if (!e->is_refusing && !must_queue_behind(x)) {
+        x->choice = choose_server(x);
     }
-    if (x->choice.late && !x->transfers) {
+    if (x->choice.late && !x->attempt_count) {
         x->retry_ms = (uint32_t)x->choice.wait_ms;
         exchange_refuse(x, "too much stands before it wherever a place is free");
         return;
     }
     if (x->choice.server != CW_BALANCE_NONE) {
-        exchange_queue_remove(x);
-        uint32_t todo = cw_request_event(&x->machine, CW_EV_GRANT);
+        exchange_dequeue(x);
+        uint32_t todo = cw_request_event(&x->fsm, CW_EV_GRANT);
         if (todo & CW_DO_CONNECT) {
-            exchange_connect(x);
+            exchange_start_attempt(x);
         }
         return;
     }
-    bool none_left = x->tried_count >= x->pool->ready || x->choice.left_out.tried >= x->pool->ready;
-    if (e->refusing || !x->pool->ready || none_left) {
-        exchange_refuse(x, e->refusing ? "this host is stopping" : "no server is left to try");
+    bool all_tried = x->tried_count >= x->pool->ready || x->choice.left_out.tried >= x->pool->ready;
+    if (e->is_refusing || !x->pool->ready || all_tried) {
+        exchange_refuse(x, e->is_refusing ? "this host is stopping" : "no server is left to try");
         return;
     }
     uint32_t opens_ms = cw_balance_opens_in_ms(x->pool->balance, clock_ms());
-    if (none_opens(x, opens_ms)) {
+    if (are_all_throttled(x, opens_ms)) {
         x->retry_ms = opens_ms;
         exchange_refuse(x, "all servers hold callers back");
         return;
     }
-    if (!x->queued) {
+    if (!x->is_queued) {
         x->work.late = false;
-        x->wait = place_wait(x);
-        queue_add(x);
+        x->wait = slot_wait(x);
+        enqueue(x);
         cw_log(e->desc.log, CW_EVENT_REQUEST_QUEUED, "id=%s pool=%s urgency=%u fullness=%.2f ahead=%u waiting=%u",
-               x->id, x->pool->name, x->work.urgency, cw_balance_fullness(x->pool->balance, clock_ms()), ahead(x),
+               x->id, x->pool->name, x->work.urgency, cw_balance_fullness(x->pool->balance, clock_ms()), count_ahead(x),
                e->stats.waiting);
     }
-    exchange_timer_set(x);
+    exchange_set_timer(x);
 }
 
 /* Whether x still waits. */
-static bool waits(const exchanges_t* e, const exchange_t* x) {
+static bool is_waiting(const exchanges_t* e, const exchange_t* x) {
     const exchange_t* y = e->queue;
     while (y && y != x) {
         y = y->next_queued;
@@ -234,26 +235,26 @@
 /* One of each kind that waits is tried: a late one may find no place, since those are left to others, where one behind
    it that is light does. Of its own kind the rest would find none either. */
 void exchanges_on_room(exchanges_t* e, pool_t* pool) {
-    bool none[2][2][CW_URGENCIES] = {{{false}}}; /* found no place, by light, late and urgency */
+    bool failed_kinds[2][2][CW_URGENCIES] = {{{false}}}; /* found no place, by light, late and urgency */
     exchange_t* x = e->queue;
     while (x) {
-        bool* failed = &none[x->work.light][x->work.late][x->work.urgency];
+        bool* failed = &failed_kinds[x->work.light][x->work.late][x->work.urgency];
         if (x->pool != pool || *failed) {
             x = x->next_queued;
             continue;
         }
-        exchange_seek(x); /* x may be gone now: only its place in the queue is looked at */
-        *failed = waits(e, x);
+        exchange_assign_server(x); /* x may be gone now: only its place in the queue is looked at */
+        *failed = is_waiting(e, x);
         x = e->queue;
     }
 }
 
-void exchange_queue_late(exchange_t* x) {
+void exchange_requeue_overdue(exchange_t* x) {
     pool_t* pool = x->pool;
-    exchanges_t* e = x->all;
-    exchange_queue_remove(x);
+    exchanges_t* e = x->exchanges;
+    exchange_dequeue(x);
     x->work.late = true;
-    queue_add(x);
-    exchange_timer_set(x);
+    enqueue(x);
+    exchange_set_timer(x);
     exchanges_on_room(e, pool); /* those that were behind it */
 }
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -9,14 +9,14 @@
 #include "upstream_parts.h"
 
 #define MS_PER_S 1000.0
-#define PROBE_MS 1000
+#define PROBE_TIMEOUT_MS 1000
 #define BITS 8.0
 #define BITS_PER_MS_MBPS 1000.0 /* bits in a ms at 1 Mbit/s */
-#define RETURN_MS 2000          /* an entry that lapsed while the source was away is back so long after it */
-#define SUBSET_LEAST 1024       /* servers of a larger pool that are used, until a request finds no place there */
-#define SERVERS_ROOM 256        /* servers for which there is memory, to begin with */
-#define REFUSED_LINE_MS 10000   /* at most one line in so long on servers beyond the bound */
-#define RETRY_SAFETY 0.8        /* share of the budget for repeats that is used */
+#define RETURN_GRACE_MS 2000    /* an entry that lapsed while the source was away is back so long after it */
+#define SUBSET_MIN_SERVERS 1024 /* servers of a larger pool that are used, until a request finds no place there */
+#define INITIAL_CAPACITY 256    /* servers for which there is memory, to begin with */
+#define REJECTED_LOG_INTERVAL_MS 10000 /* at most one line in so long on servers beyond the bound */
+#define RETRY_BUDGET_SHARE 0.8         /* share of the budget for repeats that is used */
 
 /* -- servers -------------------------------------------------------------- */
 
@@ -35,24 +35,24 @@
             s->watched = false;
         }
     }
-    uint32_t place = cw_map_get(&u->by_key, s->key);
+    uint32_t index = cw_map_get(&u->by_key, s->key);
     cw_map_remove(&u->by_key, s->key);
-    if (cw_map_get(&u->by_name, s->name) == place) {
+    if (cw_map_get(&u->by_name, s->name) == index) {
         cw_map_remove(&u->by_name, s->name);
     }
-    u->servers[place] = NULL;
-    u->free_places[u->free_count++] = place;
+    u->servers[index] = NULL;
+    u->free_indexes[u->free_count++] = index;
     free(s);
 }
 
 /* An older list may name the server again after it was freed here. */
-static void remember_departed(upstreams_t* u, uint64_t key) {
-    u->departed[u->departed_at++ % DEPARTED_MAX] = key;
+static void remember_drained(upstreams_t* u, uint64_t key) {
+    u->drained[u->drained_next++ % DRAINED_MAX] = key;
 }
 
-static bool has_departed(const upstreams_t* u, uint64_t key) {
-    for (uint32_t i = 0; i < DEPARTED_MAX && i < u->departed_at; i++) {
-        if (u->departed[i] == key) {
+static bool was_drained(const upstreams_t* u, uint64_t key) {
+    for (uint32_t i = 0; i < DRAINED_MAX && i < u->drained_next; i++) {
+        if (u->drained[i] == key) {
             return true;
         }
     }
@@ -60,15 +60,15 @@
 }
 
 static void server_free_if_unused(pool_t* pool, server_t* s) {
-    if (!s->gone || s->published_now || s->open || s->probing ||
+    if (!s->gone || s->is_listed || s->open || s->is_probing ||
         cw_balance_find(pool->balance, s->key) != CW_BALANCE_NONE) {
         return;
     }
     for (server_t** at = &pool->servers; *at; at = &(*at)->next) {
         if (*at == s) {
             *at = s->next;
-            if (s->departs) {
-                remember_departed(pool->upstreams, s->key);
+            if (s->is_draining) {
+                remember_drained(pool->upstreams, s->key);
             }
             server_free(pool->upstreams, s);
             return;
@@ -93,9 +93,9 @@
                                                           .is_mine = u->desc.is_mine,
                                                           .user_data = u->desc.user_data});
     cw_balance_set_fleet(pool->balance, clock_ms(), &u->fleet);
-    pool->subset.least = SUBSET_LEAST;
-    pool->retries = (cw_retry_window_t){.ratio = u->desc.retry_ratio * RETRY_SAFETY,
-                                        .slack = u->desc.retry_slack * RETRY_SAFETY,
+    pool->subset.least = SUBSET_MIN_SERVERS;
+    pool->retries = (cw_retry_window_t){.ratio = u->desc.retry_ratio * RETRY_BUDGET_SHARE,
+                                        .slack = u->desc.retry_slack * RETRY_BUDGET_SHARE,
                                         .window_ms = u->desc.retry_window_ms,
                                         .daemons = u->daemons};
     pool->next = u->pools;
@@ -104,12 +104,12 @@
 }
 
 server_t* upstreams_server(const upstreams_t* u, uint64_t key) {
-    uint32_t place = key ? cw_map_get(&u->by_key, key) : CW_MAP_NONE;
-    return place == CW_MAP_NONE ? NULL : u->servers[place];
+    uint32_t index = key ? cw_map_get(&u->by_key, key) : CW_MAP_NONE;
+    return index == CW_MAP_NONE ? NULL : u->servers[index];
 }
 
 /* Servers of the pool that are not gone and in no closed hall. */
-static uint32_t pool_count(const pool_t* pool) {
+static uint32_t pool_count_listed(const pool_t* pool) {
     uint32_t count = 0;
     for (const server_t* s = pool->servers; s; s = s->next) {
         count += !s->gone && !s->closed;
@@ -118,8 +118,8 @@
 }
 
 /* Tells the pool's balance which servers may be chosen: of a large pool a part that all hosts see alike. */
-static void pool_list(pool_t* pool, int64_t now_ms) {
-    pool->listed = pool_count(pool);
+static void pool_update_servers(pool_t* pool, int64_t now_ms) {
+    pool->listed = pool_count_listed(pool);
     cw_subset_fit(&pool->subset, now_ms, pool->listed);
     cw_server_spec_t* specs = calloc(pool->listed + 1, sizeof(*specs));
     if (!specs) {
@@ -142,30 +142,30 @@
     free(specs);
 }
 
-bool upstreams_widen(pool_t* pool, int64_t now_ms) {
+bool upstreams_expand_subset(pool_t* pool, int64_t now_ms) {
     if (!cw_subset_widen(&pool->subset, now_ms)) {
         return false;
     }
     uint32_t before = pool->ready;
-    pool_list(pool, now_ms);
+    pool_update_servers(pool, now_ms);
     cw_log(pool->upstreams->desc.log, CW_EVENT_POOL_WIDENED, "pool=%s servers=%u was=%u of=%u", pool->name, pool->ready,
            before, pool->listed);
     return true;
 }
 
 /* Makes places for twice as many servers, up to the bound. */
-static void grow(upstreams_t* u) {
-    uint32_t capacity = u->capacity ? u->capacity * 2 : SERVERS_ROOM;
+static void grow_capacity(upstreams_t* u) {
+    uint32_t capacity = u->capacity ? u->capacity * 2 : INITIAL_CAPACITY;
     capacity = capacity < u->desc.max_servers ? capacity : u->desc.max_servers;
     u->servers = realloc(u->servers, capacity * sizeof(*u->servers));
-    u->free_places = realloc(u->free_places, capacity * sizeof(*u->free_places));
+    u->free_indexes = realloc(u->free_indexes, capacity * sizeof(*u->free_indexes));
     u->watched = realloc(u->watched, capacity * sizeof(*u->watched));
-    if (!u->servers || !u->free_places || !u->watched) {
+    if (!u->servers || !u->free_indexes || !u->watched) {
         abort();
     }
-    for (uint32_t place = capacity; place-- > u->capacity;) {
-        u->servers[place] = NULL;
-        u->free_places[u->free_count++] = place;
+    for (uint32_t index = capacity; index-- > u->capacity;) {
+        u->servers[index] = NULL;
+        u->free_indexes[u->free_count++] = index;
     }
     cw_map_reserve(&u->by_key, capacity);
     cw_map_reserve(&u->by_name, capacity);
@@ -173,15 +173,15 @@
 }
 
 /* There is no place for a server of the list. */
-static void refuse_server(upstreams_t* u, const cw_server_t* published) {
+static void reject_server(upstreams_t* u, const cw_server_t* published) {
     int64_t now_ms = clock_ms();
-    u->refused++;
-    u->refused_total++;
-    if (!u->refused_told_ms || now_ms - u->refused_told_ms >= REFUSED_LINE_MS) {
+    u->rejected_unlogged++;
+    u->rejected_total++;
+    if (!u->rejected_logged_ms || now_ms - u->rejected_logged_ms >= REJECTED_LOG_INTERVAL_MS) {
         cw_log(u->desc.log, CW_EVENT_SERVERS_FULL, "server=%s pool=%s known=%u refused=%llu", published->id,
-               published->pool, u->capacity, (unsigned long long)u->refused);
-        u->refused = 0;
-        u->refused_told_ms = now_ms;
+               published->pool, u->capacity, (unsigned long long)u->rejected_unlogged);
+        u->rejected_unlogged = 0;
+        u->rejected_logged_ms = now_ms;
     }
 }
 
@@ -193,24 +193,24 @@
         return NULL;
     }
     if (!u->free_count && u->capacity < u->desc.max_servers) {
-        grow(u);
+        grow_capacity(u);
     }
     if (!u->free_count) {
-        refuse_server(u, published);
+        reject_server(u, published);
         return NULL;
     }
     server_t* s = calloc(1, sizeof(*s));
     if (!s) {
         abort();
     }
-    uint32_t place = u->free_places[--u->free_count];
-    u->servers[place] = s;
+    uint32_t index = u->free_indexes[--u->free_count];
+    u->servers[index] = s;
     s->key = key;
     s->name = cw_name_id(published->id);
     s->published.started_ms = published->started_ms;
-    s->departs = s->left = s->gone = has_departed(u, key);
-    cw_map_put(&u->by_key, key, place);
-    cw_map_put(&u->by_name, s->name, place);
+    s->is_draining = s->left = s->gone = was_drained(u, key);
+    cw_map_put(&u->by_key, key, index);
+    cw_map_put(&u->by_name, s->name, index);
     s->pool = pool_get(u, published->pool);
     s->address = address;
     s->next = s->pool->servers;
@@ -219,27 +219,27 @@
 }
 
 /* The present life of a server, as far as it is known. */
-static server_t* server_named(const upstreams_t* u, const char* id) {
-    uint32_t place = cw_map_get(&u->by_name, cw_name_id(id));
-    return place == CW_MAP_NONE ? NULL : u->servers[place];
+static server_t* find_by_id(const upstreams_t* u, const char* id) {
+    uint32_t index = cw_map_get(&u->by_name, cw_name_id(id));
+    return index == CW_MAP_NONE ? NULL : u->servers[index];
 }
 
 /* Whether an entry of the list tells of the same life as s. An entry without a start doesn't say. */
-static bool same_life(const server_t* s, const cw_server_t* published) {
+static bool is_same_incarnation(const server_t* s, const cw_server_t* published) {
     return !published->started_ms || published->started_ms == s->published.started_ms;
 }
 
 /* Whether another life of s, listed at the revision, came after it. The source's order goes before the server's clock,
    which may have been set back between two starts; a list of unknown or the same revision leaves only the clock. */
-static bool comes_after(const server_t* s, const cw_server_t* published, int64_t at) {
-    if (at && s->listed_at && at != s->listed_at) {
-        return at > s->listed_at;
+static bool is_newer_incarnation(const server_t* s, const cw_server_t* published, int64_t at) {
+    if (at && s->listed_revision && at != s->listed_revision) {
+        return at > s->listed_revision;
     }
     return published->started_ms > s->published.started_ms;
 }
 
 /* This life of the server is over. What runs there still ends by itself. */
-static void server_over(upstreams_t* u, const server_t* s, int64_t started_ms, int64_t at) {
+static void log_restart(upstreams_t* u, const server_t* s, int64_t started_ms, int64_t at) {
     cw_log(u->desc.log, CW_EVENT_SERVER_RESTARTED, "server=%s pool=%s peer=%s was_ms=%lld started_ms=%lld at=%lld",
            s->published.id, s->pool->name, s->published.address, (long long)s->published.started_ms,
            (long long)started_ms, (long long)at);
@@ -247,24 +247,24 @@
 
 /* The server that the entry is of, a new one where it isn't known; NULL: it can't be used. changed: it is new, or an
    earlier life of it was replaced. */
-static server_t* server_of(upstreams_t* u, const cw_server_t* published, int64_t at, bool* changed) {
-    server_t* present = server_named(u, published->id);
-    if (!present) {
+static server_t* find_or_create(upstreams_t* u, const cw_server_t* published, int64_t at, bool* changed) {
+    server_t* current = find_by_id(u, published->id);
+    if (!current) {
         *changed = true;
         return server_new(u, published);
     }
-    if (same_life(present, published) || !comes_after(present, published, at)) {
-        return present;
+    if (is_same_incarnation(current, published) || !is_newer_incarnation(current, published, at)) {
+        return current;
     }
-    server_over(u, present, published->started_ms, at);
+    log_restart(u, current, published->started_ms, at);
     *changed = true;
-    present->left = present->gone = true;
+    current->left = current->gone = true;
     server_t* known = upstreams_server(u, cw_server_life(published));
     if (!known) {
         return server_new(u, published);
     }
     known->left =
-        known->departs; /* it was taken for over, by an entry of another writer; the source says that it lives */
+        known->is_draining; /* it was taken for over, by an entry of another writer; the source says that it lives */
     cw_map_put(&u->by_name, known->name, cw_map_get(&u->by_key, known->key));
     return known;
 }
@@ -272,36 +272,36 @@
 /* Takes over what is published of the server. Returns whether it is new, or is used now and was not, or the reverse. */
 static bool server_update(upstreams_t* u, const cw_server_t* published, const cw_closed_t* closed, int64_t at) {
     const pool_t* pool = upstreams_pool(u, published->pool);
-    if (u->configured && (!pool || !pool->declared)) {
+    if (u->is_configured && (!pool || !pool->declared)) {
         return false;
     }
     bool changed = false;
-    server_t* s = server_of(u, published, at, &changed);
+    server_t* s = find_or_create(u, published, at, &changed);
     if (!s || strcmp(s->pool->name, published->pool) != 0) {
         return changed && s; /* a life that another pool still uses waits until that server is gone */
     }
-    s->published_now = true;
-    s->missing_until_ms = 0;
-    if (!same_life(s, published)) {
+    s->is_listed = true;
+    s->expires_at_ms = 0;
+    if (!is_same_incarnation(s, published)) {
         return changed; /* an earlier life, told late: nothing of it is taken over */
     }
-    bool was_used = !s->gone && !s->closed;
+    bool was_available = !s->gone && !s->closed;
     int64_t started_ms = s->published.started_ms;
     s->published = *published;
     s->published.started_ms = published->started_ms ? published->started_ms : started_ms;
-    s->listed_at = at > s->listed_at ? at : s->listed_at;
+    s->listed_revision = at > s->listed_revision ? at : s->listed_revision;
     s->closed = cw_closed_has(closed, published->hall);
-    s->departs = s->departs || published->leaving;
-    s->left = s->left || s->departs;
+    s->is_draining = s->is_draining || published->leaving;
+    s->left = s->left || s->is_draining;
     s->gone = s->left;
-    return changed || (!s->gone && !s->closed) != was_used;
+    return changed || (!s->gone && !s->closed) != was_available;
 }
 
 /* Before a list is taken over: what it does not name is missing. */
-static void forget_published(upstreams_t* u) {
+static void clear_listed(upstreams_t* u) {
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
-            s->published_now = false;
+            s->is_listed = false;
         }
     }
 }
@@ -310,7 +310,7 @@
 static uint32_t pool_expire(pool_t* pool, int64_t now_ms) {
     uint32_t expired = 0;
     for (server_t* s = pool->servers; s; s = s->next) {
-        if (!s->gone && !s->published_now && now_ms >= s->missing_until_ms) {
+        if (!s->gone && !s->is_listed && now_ms >= s->expires_at_ms) {
             s->gone = true;
             expired++;
         }
@@ -320,25 +320,25 @@
 
 uint32_t upstreams_set_servers(upstreams_t* u, int64_t now_ms, const cw_servers_t* list, bool after_outage) {
     uint32_t changes = 0;
-    forget_published(u);
+    clear_listed(u);
     for (uint32_t i = 0; i < list->count; i++) {
         changes += server_update(u, &list->items[i], &list->closed, list->at);
     }
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
-            if (!s->published_now && !s->missing_until_ms) {
-                s->missing_until_ms = now_ms + (after_outage ? RETURN_MS : 0);
+            if (!s->is_listed && !s->expires_at_ms) {
+                s->expires_at_ms = now_ms + (after_outage ? RETURN_GRACE_MS : 0);
             }
         }
         changes += pool_expire(pool, now_ms);
-        pool_list(pool, now_ms);
+        pool_update_servers(pool, now_ms);
         for (server_t* s = pool->servers; s;) {
             server_t* next = s->next;
-            if (s->gone || !s->published_now) {
+            if (s->gone || !s->is_listed) {
                 server_watch(s);
             }
             if (s->gone) {
-                link_close_idle(s, now_ms, true);
+                upstream_conn_close_idle(s, now_ms, true);
                 server_free_if_unused(pool, s);
             }
             s = next;
@@ -353,27 +353,27 @@
     if (!s->gone) {
         s->gone = true;
         server_watch(s);
-        link_close_idle(s, now_ms, true);
-        pool_list(s->pool, now_ms);
+        upstream_conn_close_idle(s, now_ms, true);
+        pool_update_servers(s->pool, now_ms);
     }
 }
 
-void upstreams_departs(upstreams_t* u, int64_t now_ms, server_t* s) {
-    s->departs = true;
+void upstreams_mark_draining(upstreams_t* u, int64_t now_ms, server_t* s) {
+    s->is_draining = true;
     upstreams_leaves(u, now_ms, s);
 }
 
-bool upstreams_is_over(upstreams_t* u, int64_t now_ms, server_t* s, int64_t started_ms) {
+bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* s, int64_t started_ms) {
     if (!started_ms || !s->published.started_ms || started_ms == s->published.started_ms || s->gone) {
         return false;
     }
-    server_over(u, s, started_ms, 0);
+    log_restart(u, s, started_ms, 0);
     upstreams_leaves(u, now_ms, s);
     return true;
 }
 
 void upstreams_set_catalog(upstreams_t* u, const cw_catalog_t* catalog) {
-    u->configured = true;
+    u->is_configured = true;
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         pool->declared = false;
     }
@@ -389,7 +389,7 @@
         pool->move_ms = u->desc.dialect->fields.fetch_from && declared->link_mbps
                             ? declared->token_bytes * BITS / (declared->link_mbps * BITS_PER_MS_MBPS)
                             : 0;
-        pool_list(pool, clock_ms());
+        pool_update_servers(pool, clock_ms());
     }
 }
 
@@ -424,11 +424,11 @@
 }
 
 uint32_t upstreams_links(const upstreams_t* u) {
-    return u->links;
+    return u->conn_total;
 }
 
 uint64_t upstreams_refused(const upstreams_t* u) {
-    return u->refused_total;
+    return u->rejected_total;
 }
 
 uint64_t upstreams_connects(const upstreams_t* u) {
@@ -457,18 +457,18 @@
 /* One health check of a server that could not be reached. */
 typedef struct probe_t {
     server_t* server;
-    link_t* link;
+    upstream_conn_t* conn;
     ev_timer timer;
-    bool well;
+    bool is_healthy;
 } probe_t;
 
-static void probe_end(probe_t* p, bool well) {
+static void probe_end(probe_t* p, bool is_healthy) {
     server_t* s = p->server;
     upstreams_t* u = s->pool->upstreams;
     ev_timer_stop(u->desc.loop, &p->timer);
     free(p);
-    s->probing = false;
-    if (well) {
+    s->is_probing = false;
+    if (is_healthy) {
         cw_balance_away(s->pool->balance, clock_ms(), s->key, false);
         cw_log(u->desc.log, CW_EVENT_SERVER_BACK, "server=%s pool=%s", s->published.id, s->pool->name);
         u->desc.on_room(u->desc.user_data, s->pool);
@@ -484,14 +484,14 @@
     cw_message_add_text(&head, "GET %s HTTP/1.1\r\n", s->pool->health);
     cw_message_add_field(&head, "Host", address);
     cw_message_add_end(&head);
-    link_send(p->link, "", false, &head, NULL, 0);
+    upstream_conn_send(p->conn, "", false, &head, NULL, 0);
     cw_buffer_free(&head);
 }
 
 static void probe_on_head(void* owner, const cw_message_t* answer) {
     probe_t* p = owner;
     const char* id = cw_message_field(answer, p->server->pool->upstreams->desc.dialect->fields.server_id);
-    p->well = answer->status == 200 && (!id || strcmp(id, p->server->published.id) == 0);
+    p->is_healthy = answer->status == 200 && (!id || strcmp(id, p->server->published.id) == 0);
 }
 
 static void probe_on_body(void* owner, const char* data, size_t size) {
@@ -502,26 +502,26 @@
 
 static void probe_on_complete(void* owner) {
     probe_t* p = owner;
-    link_release(p->link);
-    probe_end(p, p->well);
+    upstream_conn_release(p->conn);
+    probe_end(p, p->is_healthy);
 }
 
-static void probe_on_broken(void* owner, link_failure_t failure) {
+static void probe_on_broken(void* owner, upstream_conn_failure_t failure) {
     (void)failure;
     probe_end(owner, false);
 }
 
-static const link_handlers_t probe_handlers = {.on_open = probe_on_open,
-                                               .on_head = probe_on_head,
-                                               .on_body = probe_on_body,
-                                               .on_complete = probe_on_complete,
-                                               .on_broken = probe_on_broken};
+static const upstream_conn_handlers_t probe_handlers = {.on_open = probe_on_open,
+                                                        .on_head = probe_on_head,
+                                                        .on_body = probe_on_body,
+                                                        .on_complete = probe_on_complete,
+                                                        .on_broken = probe_on_broken};
 
 static void probe_on_timeout(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     probe_t* p = w->data;
-    link_drop(p->link);
+    upstream_conn_close(p->conn);
     probe_end(p, false);
 }
 
@@ -531,12 +531,12 @@
         abort();
     }
     p->server = s;
-    s->probing = true;
-    ev_timer_init(&p->timer, probe_on_timeout, PROBE_MS / MS_PER_S, 0.0);
+    s->is_probing = true;
+    ev_timer_init(&p->timer, probe_on_timeout, PROBE_TIMEOUT_MS / MS_PER_S, 0.0);
     p->timer.data = p;
-    link_close_idle(s, clock_ms(), true);
-    p->link = link_take(s, &probe_handlers, p, false);
-    if (!p->link) {
+    upstream_conn_close_idle(s, clock_ms(), true);
+    p->conn = upstream_conn_acquire(s, &probe_handlers, p, false);
+    if (!p->conn) {
         probe_end(p, false);
         return;
     }
@@ -546,26 +546,26 @@
 void upstreams_on_wake(upstreams_t* u) {
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
-            link_close_idle(s, clock_ms(), true);
+            upstream_conn_close_idle(s, clock_ms(), true);
         }
     }
 }
 
 /* Ends what is over at the server. True: it was missing for too long, and is gone from now on. */
 static bool server_tick(server_t* s, int64_t now_ms) {
-    bool expired = !s->gone && !s->published_now && now_ms >= s->missing_until_ms;
+    bool expired = !s->gone && !s->is_listed && now_ms >= s->expires_at_ms;
     s->gone = s->gone || expired;
-    link_close_idle(s, now_ms, s->gone);
+    upstream_conn_close_idle(s, now_ms, s->gone);
     return expired;
 }
 
 void upstreams_tick(upstreams_t* u, int64_t now_ms) {
-    link_free_dead(u);
+    upstream_conn_free_closed(u);
     for (uint32_t i = u->watched_count; i-- > 0;) {
         server_t* s = u->watched[i];
         pool_t* pool = s->pool;
         pool->expired = server_tick(s, now_ms) || pool->expired;
-        if (!s->idle && !s->gone && s->published_now) {
+        if (!s->idle_conns && !s->gone && s->is_listed) {
             s->watched = false;
             u->watched[i] = u->watched[--u->watched_count];
         } else {
@@ -574,13 +574,13 @@
     }
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         if (pool->expired) {
-            pool_list(pool, now_ms);
+            pool_update_servers(pool, now_ms);
             pool->expired = false;
         }
         uint64_t key = pool->health[0] ? cw_balance_probe(pool->balance, now_ms) : 0;
-        server_t* away = upstreams_server(u, key);
-        if (away && !away->probing && !away->gone) {
-            probe_start(away);
+        server_t* unreachable = upstreams_server(u, key);
+        if (unreachable && !unreachable->is_probing && !unreachable->gone) {
+            probe_start(unreachable);
         }
     }
 }
@@ -594,7 +594,7 @@
     }
     u->desc = *desc;
     u->daemons = 1;
-    u->desc.max_servers = desc->max_servers ? desc->max_servers : SERVERS_MAX;
+    u->desc.max_servers = desc->max_servers ? desc->max_servers : SERVERS_MAX_DEFAULT;
     u->by_key = cw_map_setup(1, NULL);
     u->by_name = cw_map_setup(1, NULL);
     return u;
@@ -607,17 +607,17 @@
         while (pool->servers) {
             server_t* s = pool->servers;
             pool->servers = s->next;
-            link_close_idle(s, 0, true);
+            upstream_conn_close_idle(s, 0, true);
             server_free(u, s);
         }
         cw_balance_shutdown(pool->balance);
         free(pool);
     }
-    link_free_dead(u);
+    upstream_conn_free_closed(u);
     cw_map_shutdown(&u->by_key);
     cw_map_shutdown(&u->by_name);
     free(u->servers);
-    free(u->free_places);
+    free(u->free_indexes);
     free(u->watched);
     free(u);
 }
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -26,28 +26,28 @@
 typedef struct upstreams_t upstreams_t;
 typedef struct pool_t pool_t;
 typedef struct server_t server_t;
-typedef struct link_t link_t;
+typedef struct upstream_conn_t upstream_conn_t;
 
 struct server_t {
     uint64_t key;  /* of this life: cw_server_life */
     uint64_t name; /* id of the id, the same for all its lives */
     cw_server_t published;
-    int64_t listed_at; /* revision of the source at which it was listed last, 0: not known */
+    int64_t listed_revision; /* revision of the source at which it was listed last, 0: not known */
     struct sockaddr_in address;
     pool_t* pool;
-    bool left;                /* it is taken to be over, or departs */
-    bool departs;             /* this life of it said that it leaves, in the list or in its answers: for good */
-    bool gone;                /* left, or no longer published: gets nothing new */
-    bool closed;              /* its hall is closed: it gets nothing new for now */
-    bool published_now;       /* in the list read last, leaving or not */
-    int64_t missing_until_ms; /* not in the list: taken as gone then */
-    bool probing;
-    bool watched;      /* by upstreams_tick */
-    int64_t ended_ms;  /* it was taken for ended then: it is listened for over older connections, 0: not */
-    uint32_t open;     /* connections */
-    link_t* idle;      /* used last first */
-    double connect_ms; /* learned, 0: unknown */
-    server_t* next;    /* of the pool */
+    bool left;             /* it is taken to be over, or departs */
+    bool is_draining;      /* this life of it said that it leaves, in the list or in its answers: for good */
+    bool gone;             /* left, or no longer published: gets nothing new */
+    bool closed;           /* its hall is closed: it gets nothing new for now */
+    bool is_listed;        /* in the list read last, leaving or not */
+    int64_t expires_at_ms; /* not in the list: taken as gone then */
+    bool is_probing;
+    bool watched;                /* by upstreams_tick */
+    int64_t presumed_crash_ms;   /* it was taken for ended then: it is listened for over older connections, 0: not */
+    uint32_t open;               /* connections */
+    upstream_conn_t* idle_conns; /* used last first */
+    double connect_ms;           /* learned, 0: unknown */
+    server_t* next;              /* of the pool */
 };
 
 struct pool_t {
@@ -59,9 +59,9 @@
     uint32_t connections; /* that one server takes from all daemons, 0: no limit */
     uint32_t slots;       /* of an engine, 0: none */
     uint32_t memory_tokens;
-    double cold_per_s;   /* requests a second that a cold server bears from all daemons, 0: no limit */
-    double move_ms;      /* to fetch one token from another engine, 0: none can be fetched */
-    double told_read_ms; /* reading pace in the log's last line on it, ms a token; 0: none yet */
+    double cold_per_s;        /* requests a second that a cold server bears from all daemons, 0: no limit */
+    double move_ms;           /* to fetch one token from another engine, 0: none can be fetched */
+    double logged_prefill_ms; /* reading pace in the log's last line on it, ms a token; 0: none yet */
     cw_retry_window_t retries;
     server_t* servers;
     cw_subset_t subset;             /* of the listed ones, that are used */
@@ -72,21 +72,21 @@
     pool_t* next;
 };
 
-typedef enum link_failure_t {
-    LINK_UNREACHABLE = 0, /* no connection came up: nothing was sent */
-    LINK_RESET,           /* reset by the server */
-    LINK_LOST,            /* nothing acknowledged in time */
-    LINK_CLOSED,          /* ended before the answer was whole */
-    LINK_GARBLED          /* bytes that are no answer */
-} link_failure_t;
+typedef enum upstream_conn_failure_t {
+    UPSTREAM_CONN_UNREACHABLE = 0, /* no connection came up: nothing was sent */
+    UPSTREAM_CONN_RESET,           /* reset by the server */
+    UPSTREAM_CONN_LOST,            /* nothing acknowledged in time */
+    UPSTREAM_CONN_CLOSED,          /* ended before the answer was whole */
+    UPSTREAM_CONN_MALFORMED        /* bytes that are no answer */
+} upstream_conn_failure_t;
 
-typedef struct link_handlers_t {
+typedef struct upstream_conn_handlers_t {
     void (*on_open)(void* owner); /* connected: send now */
     void (*on_head)(void* owner, const cw_message_t* answer);
     void (*on_body)(void* owner, const char* data, size_t size);
-    void (*on_complete)(void* owner);                       /* the answer's own end was seen */
-    void (*on_broken)(void* owner, link_failure_t failure); /* the link is closed and freed */
-} link_handlers_t;
+    void (*on_complete)(void* owner);                                /* the answer's own end was seen */
+    void (*on_broken)(void* owner, upstream_conn_failure_t failure); /* the link is closed and freed */
+} upstream_conn_handlers_t;
 
 typedef struct upstreams_desc_t {
     struct ev_loop* loop;
@@ -101,7 +101,7 @@
     uint32_t rest_max_ms; /* a server that asks for a longer rest gets this, default 30 minutes */
     /* Whether this daemon, and no other one, sends to the server while it is cold; NULL: it does. */
     bool (*is_mine)(void* user_data, uint64_t server);
-    /* A server goes on over a connection that is older than its ended_ms. May be NULL. */
+    /* A server goes on over a connection that is older than its presumed_crash_ms. May be NULL. */
     void (*on_alive)(void* user_data, const server_t* server);
     /* The server held callers back, or does no more: the others are to hear of it. May be NULL. */
     void (*on_pushback)(void* user_data, const server_t* server);
@@ -130,9 +130,9 @@
 /* Logs the rate that the server named where it differs from the one in force before; host as above. */
 void server_log_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host);
 /* What the server said of itself names another start: this life of it is over. True: it was not known to be. */
-bool upstreams_is_over(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
+bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
 /* This life of the server said itself that it leaves: whatever the source goes on saying, it gets nothing new. */
-void upstreams_departs(upstreams_t* u, int64_t now_ms, server_t* server);
+void upstreams_mark_draining(upstreams_t* u, int64_t now_ms, server_t* server);
 /* This life of the server is taken to be over, until a list of the source says otherwise. */
 void upstreams_leaves(upstreams_t* u, int64_t now_ms, server_t* server);
 /* The machine was suspended: connections at rest may have ended without a sign. */
@@ -145,19 +145,20 @@
 uint64_t upstreams_refused(const upstreams_t* u);
 /* A request found no place in the part of the pool that is used: a larger part is, from now on. False: it is the whole
    pool, or was widened a moment ago. */
-bool upstreams_widen(pool_t* pool, int64_t now_ms);
+bool upstreams_expand_subset(pool_t* pool, int64_t now_ms);
 
 /* A connection to the server: an idle one, or a new one that calls on_open later. once: the request may not be sent
    twice, so a connection that rested long is not used. NULL: no connection may be had now. */
-link_t* link_take(server_t* server, const link_handlers_t* handlers, void* owner, bool once);
-bool link_is_open(const link_t* link);
+upstream_conn_t* upstream_conn_acquire(server_t* server, const upstream_conn_handlers_t* handlers, void* owner,
+                                       bool once);
+bool upstream_conn_is_open(const upstream_conn_t* link);
 /* Sends a request. */
-void link_send(link_t* link, const char* request_id, bool bodiless, const cw_buffer_t* head, const void* body,
-               size_t size);
-void link_pause(link_t* link, bool paused);
+void upstream_conn_send(upstream_conn_t* link, const char* request_id, bool bodiless, const cw_buffer_t* head,
+                        const void* body, size_t size);
+void upstream_conn_pause(upstream_conn_t* link, bool paused);
 /* The owner's use ends after on_complete: the connection is kept where it is sound. */
-void link_release(link_t* link);
+void upstream_conn_release(upstream_conn_t* link);
 /* Cuts the connection. */
-void link_drop(link_t* link);
+void upstream_conn_close(upstream_conn_t* link);
 
 #endif
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -194,7 +194,7 @@
     rig_t* r = user;
     if (work && r->departing) {
         r->departing--;
-        upstreams_departs(r->upstreams, clock_ms(), upstreams_server(r->upstreams, server->key));
+        upstreams_mark_draining(r->upstreams, clock_ms(), upstreams_server(r->upstreams, server->key));
     }
 }
 
@@ -303,7 +303,7 @@
                                                        .upstreams = r->upstreams,
                                                        .quarantine = r->quarantine,
                                                        .seed = 7,
-                                                       .young_ms = document ? 0 : 1,
+                                                       .startup_grace_ms = document ? 0 : 1,
                                                        .on_load = rig_on_load,
                                                        .on_life = rig_on_life,
                                                        .user_data = r});
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -32,7 +32,7 @@
     ck_assert_ptr_nonnull(catalog);
     cw_message_setup(&m, CW_MESSAGE_REQUEST, &handlers, NULL);
     cw_message_read(&m, text, (size_t)size);
-    admission_t a = admission_judge(&platform_dialect, catalog, &m);
+    admission_t a = admission_check(&platform_dialect, catalog, &m);
     cw_message_shutdown(&m);
     cw_catalog_release(catalog);
     return a;
--- a/tests/test_deadly.c
+++ b/tests/test_deadly.c
@@ -107,7 +107,7 @@
     expect_status(ask(r, "q2", "ordinary"), "200");
     expect_status(ask(r, "q3", "ordinary"), "200");
     cw_fingerprint_t request = fingerprint("ordinary");
-    ck_assert_uint_eq(quarantine_ask(r->quarantine, &request).ends, 0);
+    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 0);
     rig_shutdown(r);
 }
 END_TEST
@@ -136,12 +136,12 @@
     usleep(2000); /* the next connection is younger */
     expect_status(ask(r, "q1", "the same"), "502");
     cw_fingerprint_t request = fingerprint("the same");
-    ck_assert_uint_eq(quarantine_ask(r->quarantine, &request).ends, 1);
+    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 1);
     ev_timer_init(&late, on_late_answer, 0.35, 0.0);
     late.data = r;
     ev_timer_start(r->loop, &late);
     rig_run(r);
-    while (quarantine_ask(r->quarantine, &request).ends) {
+    while (quarantine_check(r->quarantine, &request).ends) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     cw_stream_close(&other);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -91,7 +91,7 @@
     ck_assert_uint_eq(upstreams_pool(u, "services")->ready, SERVICES);
     ck_assert_uint_eq(engines->listed, ENGINES);
     ck_assert_uint_ge(engines->ready, 1024);
-    for (int64_t now_ms = 2000; upstreams_widen(engines, now_ms); now_ms += 200) {
+    for (int64_t now_ms = 2000; upstreams_expand_subset(engines, now_ms); now_ms += 200) {
     }
     ck_assert_uint_eq(engines->ready, ENGINES); /* where requests find no place */
     upstreams_shutdown(u);
