--- a/gateway/admission.c
+++ b/gateway/admission.c
@@ -5,10 +5,9 @@
 #include "request_head.h"
 
 #define HOST_MAX 256
-#define UNCONFIGURED_RETRY_MS 300   /* a host that has just started will have a configuration, or other hosts do */
-#define PRIORITIES_PER_TIER 3       /* of workspaces, told apart within a kind of work: three kinds fit 0 to 9 */
-#define UNAVAILABLE_RETRY_SHARE 0.2 /* of a caller's time left, and up to half as much more, until it comes back then  \
-                                     */
+#define UNCONFIGURED_RETRY_MS 300   /* by then a host that just started has a configuration, or other hosts have one */
+#define PRIORITIES_PER_TIER 3       /* workspace priorities within a tier; three tiers fit into 0 to 9 */
+#define UNAVAILABLE_RETRY_SHARE 0.2 /* of the caller's remaining time, plus up to half as much at random */
 
 static const cw_route_t* find_route(const cw_catalog_t* catalog, const cw_message_t* m) {
     char host[HOST_MAX];
@@ -24,13 +23,14 @@
 
 static uint32_t time_limit_ms(const dialect_t* dialect, const cw_message_t* m, const cw_route_t* route) {
     double requested_ms = 0;
-    request_deadline_read(dialect, m, &requested_ms); /* checked before */
+    request_deadline_read(dialect, m, &requested_ms); /* request_fields_check has rejected malformed values */
     return requested_ms > 0 && requested_ms < route->timeout_ms ? (uint32_t)requested_ms : route->timeout_ms;
 }
 
-/* What servers are told, up to the dialect's last one: the kind of work first, by its route's tier, then the
-   workspace's priority. An engine that is full preempts the newest among the least urgent. That must never be work that
-   can't wait while work that can runs on, whoever sent it, so a workspace's priority decides only among equal kinds. */
+/* The urgency that is sent to servers, up to the dialect's priority_max: by the route's tier first, then by the
+   workspace's priority. A full engine preempts the newest of its least urgent requests. That must never be one that
+   can't wait while others that can wait run on, whichever workspace sent them, so the workspace's priority decides only
+   within a tier. */
 static uint32_t urgency(const dialect_t* dialect, uint32_t priority, uint32_t tier) {
     uint32_t clamped = priority < PRIORITIES_PER_TIER ? priority : PRIORITIES_PER_TIER - 1;
     uint32_t urgency_value = tier * PRIORITIES_PER_TIER + clamped;
@@ -71,7 +71,7 @@
 uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* m, bool away, uint64_t draw) {
     double left_ms = 0;
     if (!request_deadline_read(dialect, m, &left_ms)) {
-        left_ms = 0; /* it is told so by a host that can judge the request */
+        left_ms = 0; /* a host with a configuration will reject the malformed field */
     }
     double share = UNAVAILABLE_RETRY_SHARE * (1 + (double)(draw % 500) / 1000);
     bool known = left_ms > 0 && left_ms < UINT32_MAX;
--- a/gateway/admission.h
+++ b/gateway/admission.h
@@ -1,28 +1,28 @@
 #ifndef CW_GATEWAY_ADMISSION_H
 #define CW_GATEWAY_ADMISSION_H
 /*
-    What a request may do by the configuration in force: its route, its workspace, its priority and how long it is held;
-    or why it is denied. It reads the request's head and the catalog, and changes nothing.
+    Admits or denies a request according to the current configuration: determines its route, workspace, priority and
+    time limit. Reads the request's head and the catalog, and changes nothing.
 */
 #include "../chalkway_catalog.h"
 #include "../io/message.h"
 #include "dialect.h"
 
 typedef struct admission_t {
-    unsigned status; /* 0: admitted; else the status that denies it */
-    const char* why; /* of a denial */
+    unsigned status; /* 0: admitted; otherwise the status of the denial */
+    const char* why; /* reason of a denial */
     const cw_route_t* route;
     const cw_tenant_t* workspace; /* NULL: none */
-    uint32_t priority;            /* 0 goes first */
-    uint32_t urgency;             /* what servers are told, 0 first: by kind of work, then by priority */
-    uint32_t time_limit_ms;       /* longest time until its answer */
+    uint32_t priority;            /* 0 is the highest */
+    uint32_t urgency;             /* as sent to servers, 0 is the highest; by the route's tier, then by priority */
+    uint32_t time_limit_ms;       /* longest time until the response is complete */
     bool repeatable;              /* it may run again after any failure */
 } admission_t;
 
-/* Judges a request; status and why are set in any case, the rest only where it is admitted. */
+/* Checks a request. status and why are always set, the other fields only if it is admitted. */
 admission_t admission_check(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* request);
-/* Time to come back to a host that has no configuration yet. away: its source seems to be away for everybody, so
-   callers that came back at once would use up their tries. draw: random. */
+/* Time after which a caller should retry at a host that has no configuration yet. away: the configuration source seems
+   unavailable to all hosts, so a caller that retried quickly would use up its attempts. draw: random number. */
 uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* request, bool away,
                                          uint64_t draw);
 
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -9,10 +9,10 @@
 #include "clock.h"
 #include "request_head.h"
 
-#define RETRY_AFTER_MIN_MS 300    /* shortest time to come back after a refusal */
-#define RETRY_AFTER_SPREAD_MS 500 /* spread, so that those refused do not come back together */
-#define STARTUP_GRACE_MS 500      /* a process that has no configuration for longer takes its source to be away */
-#define DETACHED_TIMEOUT_MS 2000  /* a run that may not be repeated is left to itself for so long after its time */
+#define RETRY_AFTER_MIN_MS 300    /* shortest Retry-After of a refusal */
+#define RETRY_AFTER_SPREAD_MS 500 /* random part, so that refused callers do not return at the same time */
+#define STARTUP_GRACE_MS 500      /* a process without a configuration for longer takes its source for unavailable */
+#define DETACHED_TIMEOUT_MS 2000  /* time for a detached request, which can't be retried, to complete */
 
 static void run_actions(exchange_t* x, uint32_t todo);
 
@@ -20,9 +20,9 @@
     return cw_mix(e->desc.seed, ++e->draws);
 }
 
-/* -- answers of the gateway's own ----------------------------------------- */
+/* -- error responses ------------------------------------------------------- */
 
-/* A small answer that repeats the request's id; retry_ms 0: no time to come back. */
+/* Sends a short JSON response with the request's id. retry_ms 0: without Retry-After. */
 static void reply_error(exchanges_t* e, caller_t* caller, unsigned status, const char* id, const char* why,
                         uint32_t retry_ms) {
     const dialect_fields_t* f = &e->desc.dialect->fields;
@@ -40,7 +40,7 @@
     cw_buffer_free(&fields);
 }
 
-/* -- life ----------------------------------------------------------------- */
+/* -- lifetime -------------------------------------------------------------- */
 
 static void exchange_free(exchange_t* x) {
     exchanges_t* e = x->exchanges;
@@ -63,7 +63,7 @@
 
 static const char* const outcome_names[EXCHANGE_OUTCOME_COUNT] = {"served", "denied", "refused", "failed", "gone"};
 
-/* The one line that tells how a request ended, and from what. */
+/* Logs the end of a request and reports it to on_done. */
 static void report_done(exchange_t* x, exchange_outcome_t outcome, const char* why) {
     exchanges_t* e = x->exchanges;
     int64_t now_ms = clock_ms();
@@ -82,7 +82,7 @@
     }
 }
 
-/* -- time ----------------------------------------------------------------- */
+/* -- deadlines ------------------------------------------------------------- */
 
 void exchange_set_timer(exchange_t* x) {
     int64_t due_ms = x->deadline_ms;
@@ -113,7 +113,7 @@
     exchange_handle_event(x, e);
 }
 
-/* Ends, gives up or moves on what is due by the clock. The exchange may be gone afterwards. */
+/* Handles the deadline that has passed, if any, and sets the timer for the next one. May free the exchange. */
 static void handle_due(exchange_t* x) {
     int64_t now_ms = clock_ms();
     if (now_ms >= x->deadline_ms && x->fsm.state == CW_REQ_DETACHED) {
@@ -130,7 +130,7 @@
     } else if (x->is_queued && now_ms >= x->wait.until_ms) {
         exchange_refuse(x, "no place came free in time");
     } else if (x->is_queued && !x->work.late && now_ms >= x->wait.late_ms) {
-        exchange_requeue_overdue(x);
+        exchange_requeue_late(x);
     } else if (x->conn && x->stall_at_ms && now_ms >= x->stall_at_ms) {
         if (exchange_may_retry(x)) {
             exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "silent for too long");
@@ -149,7 +149,7 @@
     handle_due(w->data);
 }
 
-/* -- the machine's actions ------------------------------------------------ */
+/* -- actions of the state machine ------------------------------------------ */
 
 static void release_server(exchange_t* x) {
     pool_t* pool = x->pool;
@@ -181,7 +181,7 @@
     return x->retry_ms + RETRY_AFTER_MIN_MS + (uint32_t)(next_random(x->exchanges) % RETRY_AFTER_SPREAD_MS);
 }
 
-/* The final answer, by what may truthfully be said. */
+/* Completes the caller's response, or sends an error that claims no more than is known about the run. */
 static void send_outcome(exchange_t* x) {
     exchanges_t* e = x->exchanges;
     caller_t* caller = x->caller;
@@ -237,7 +237,6 @@
     }
 }
 
-/* Tells the machine; the exchange may be gone afterwards. */
 void exchange_handle_event(exchange_t* x, cw_request_event_t e) {
     x->fsm.retry_allowed = cw_retry_window_has(&x->pool->retries, clock_ms());
     uint32_t todo = cw_request_event(&x->fsm, e);
@@ -246,7 +245,7 @@
     }
 }
 
-/* -- from the caller ------------------------------------------------------ */
+/* -- callers --------------------------------------------------------------- */
 
 static void deny(exchanges_t* e, caller_t* caller, unsigned status, const char* id, const char* why) {
     const cw_message_t* m = caller_message(caller);
@@ -256,7 +255,7 @@
     reply_error(e, caller, status, id, why, 0);
 }
 
-/* The whole body is there: it can be told what the request is before it is sent anywhere. */
+/* The whole body has been read, so the request can be identified before it is sent to any server. */
 static cw_fingerprint_t fingerprint_of(caller_t* caller, const cw_tenant_t* workspace) {
     const cw_message_t* m = caller_message(caller);
     const cw_buffer_t* body = caller_body(caller);
@@ -283,7 +282,7 @@
     x->workspace = admission->workspace;
     x->fingerprint = fingerprint_of(caller, x->workspace);
     x->arrived_ms = clock_ms();
-    x->checked_at_wake = e->wake_count;
+    x->checked_at_resume = e->resume_count;
     x->deadline_ms = x->arrived_ms + admission->time_limit_ms;
     x->priority = admission->priority;
     x->run.server = CW_BALANCE_NONE;
@@ -309,7 +308,7 @@
     return x;
 }
 
-/* Has no configuration although it is no longer young. */
+/* Whether the startup grace period has passed; called when there is no configuration. */
 static bool is_source_unavailable(const exchanges_t* e) {
     return clock_ms() - e->setup_ms > (e->desc.startup_grace_ms ? e->desc.startup_grace_ms : STARTUP_GRACE_MS);
 }
@@ -338,7 +337,7 @@
     exchange_t* x = exchange_new(e, caller, &admission, id);
     const cw_catalog_pool_t* pool = cw_catalog_pool(e->catalog, admission.route, next_random(e));
     x->pool = upstreams_pool(e->desc.upstreams, pool->name);
-    assert(x->pool); /* upstreams were told of the catalog before */
+    assert(x->pool); /* upstreams_set_catalog has created the pools of this catalog */
     cw_retry_window_first(&x->pool->retries, x->arrived_ms);
     cw_balance_asked(x->pool->balance, x->arrived_ms, &x->work);
     exchange_handle_event(x, CW_EV_START);
@@ -383,7 +382,7 @@
     cw_catalog_release(previous);
 }
 
-/* The first request of the kind that waits for a server, or has one. */
+/* First exchange of the request that is queued, connected or waiting for a verdict. */
 static exchange_t* find_active(const exchanges_t* e, const cw_fingerprint_t* request) {
     exchange_t* x = e->list;
     while (x && (!cw_fingerprint_same(&x->fingerprint, request) || !(x->is_queued || x->conn || x->verdict_due_ms))) {
@@ -395,26 +394,27 @@
 void exchanges_on_held(exchanges_t* e, const cw_fingerprint_t* request) {
     for (exchange_t* x = find_active(e, request); x; x = find_active(e, request)) {
         if (x->conn) {
-            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_CANCELLED, BLOCKED_REASON);
+            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_CANCELLED, QUARANTINED_REASON);
         } else if (!exchange_check_quarantine(x)) {
             return;
         }
     }
 }
 
-/* One that has not looked at the clock since the last wake. What one does then may end others. */
+/* An exchange whose deadlines have not been checked since the last resume from suspend. The list is searched again
+   after each one, because handling a deadline may free other exchanges. */
 static exchange_t* next_unchecked(const exchanges_t* e) {
     exchange_t* x = e->list;
-    while (x && x->checked_at_wake == e->wake_count) {
+    while (x && x->checked_at_resume == e->resume_count) {
         x = x->next;
     }
     return x;
 }
 
 void exchanges_on_wake(exchanges_t* e) {
-    e->wake_count++;
+    e->resume_count++;
     for (exchange_t* x = next_unchecked(e); x; x = next_unchecked(e)) {
-        x->checked_at_wake = e->wake_count;
+        x->checked_at_resume = e->resume_count;
         handle_due(x);
     }
 }
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -1,9 +1,8 @@
 #ifndef CW_GATEWAY_EXCHANGE_H
 #define CW_GATEWAY_EXCHANGE_H
-/*
-    Requests from a caller to a server and back. What may be promised and repeated is decided by chalkway_request.h, the
-    server by chalkway_balance.h; here the two meet the connections.
-*/
+/* Request/response exchanges between callers and servers. chalkway_request.h decides what may be retried and which
+   outcome may be reported, chalkway_balance.h chooses the server; this module connects both to the caller's and the
+   server's connection. */
 #include "../chalkway_catalog.h"
 #include "front.h"
 #include "quarantine.h"
@@ -12,11 +11,11 @@
 typedef struct exchanges_t exchanges_t;
 
 typedef enum exchange_outcome_t {
-    EXCHANGE_SERVED = 0, /* a server's whole answer */
-    EXCHANGE_DENIED,     /* not allowed: 400, 401, 404 */
-    EXCHANGE_REFUSED,    /* not run: 503 */
-    EXCHANGE_FAILED,     /* may have run: 502, 504 or a cut answer */
-    EXCHANGE_GONE,       /* the caller left */
+    EXCHANGE_SERVED = 0, /* the complete response of a server */
+    EXCHANGE_DENIED,     /* not allowed: status 400, 401 or 404 */
+    EXCHANGE_REFUSED,    /* did not run: status 503 */
+    EXCHANGE_FAILED,     /* may have run: status 502 or 504, or a truncated response */
+    EXCHANGE_GONE,       /* the caller closed its connection */
     EXCHANGE_OUTCOME_COUNT
 } exchange_outcome_t;
 
@@ -27,12 +26,12 @@
     upstreams_t* upstreams;
     quarantine_t* quarantine; /* must outlive the exchanges */
     uint64_t seed;
-    uint32_t startup_grace_ms; /* without a configuration for longer, the source is taken to be away; default 500 */
-    /* A request was sent to or ended at a server: others should hear of it. */
+    uint32_t startup_grace_ms; /* no configuration for longer: its source counts as unavailable; default 500 */
+    /* An attempt at the server began (work set) or ended (work NULL); other hosts need the new load. */
     void (*on_load)(void* user_data, const server_t* server, const cw_work_t* work);
-    /* A connection to the server failed, or a server that others suspect lives: they are to hear of it at once. */
+    /* A connection to the server failed, or a server that other hosts suspect has responded; notify them at once. */
     void (*on_life)(void* user_data, const server_t* server);
-    /* A request has ended; may be NULL. */
+    /* The request has ended. May be NULL. */
     void (*on_done)(void* user_data, const char* route, const char* workspace, exchange_outcome_t outcome,
                     uint32_t first_ms, uint32_t took_ms);
     void* user_data;
@@ -45,18 +44,18 @@
 
 exchanges_t* exchanges_setup(const exchanges_desc_t* desc);
 void exchanges_shutdown(exchanges_t* e);
-/* The configuration for requests that come from now on; NULL: none is known. */
+/* Sets the configuration for requests that arrive from now on. NULL: none is known. */
 void exchanges_set_catalog(exchanges_t* e, cw_catalog_t* catalog);
 void exchanges_on_request(exchanges_t* e, caller_t* caller);
 void exchanges_on_gone(exchanges_t* e, caller_t* caller);
 void exchanges_on_drained(exchanges_t* e, caller_t* caller);
-/* A place may have come free in the pool: requests that wait are tried again. */
+/* A slot may be free in the pool: tries to assign servers to queued requests. */
 void exchanges_on_room(exchanges_t* e, pool_t* pool);
-/* The request is held from now on: what waits or runs of it is given up. */
+/* The request is quarantined from now on: ends its queued and running exchanges. */
 void exchanges_on_held(exchanges_t* e, const cw_fingerprint_t* request);
-/* The machine was suspended: the loop's timers are behind, and what is over is ended now. */
+/* The host resumed from suspend, so the event loop's timers are late: handles every deadline that has passed. */
 void exchanges_on_wake(exchanges_t* e);
-/* Refuses what has not been sent and what comes from now on: this process ends soon. */
+/* Refuses queued requests and all that arrive from now on, because this process is about to exit. */
 void exchanges_refuse_new(exchanges_t* e);
 exchanges_stats_t exchanges_stats(const exchanges_t* e);
 
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -10,16 +10,16 @@
 #include "../io/address.h"
 
 #define MS_PER_S 1000.0
-#define LINGER_S 1.0 /* a connection being closed still reads for so long, so that the answer is not lost */
-#define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may send before its answer is complete */
-#define ACCEPT_BATCH 16           /* connections taken in one turn of the loop */
-#define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for so long is gone */
-#define IDLE_SLACK_MS 200         /* an idle connection is closed so much after the limit */
+#define LINGER_S 1.0 /* a connection being closed is read for this time, so that the response is not lost */
+#define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may pipeline before it is read no more */
+#define ACCEPT_BATCH 16           /* connections accepted in one iteration of the event loop */
+#define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for this time is taken for gone */
+#define IDLE_SLACK_MS 200         /* an idle connection is closed this long after the limit */
 
 typedef enum caller_state_t {
-    CALLER_READING = 0, /* a request, or idle before one */
-    CALLER_ACTIVE,      /* the owner has the request */
-    CALLER_CLOSING      /* the last answer is being sent */
+    CALLER_READING = 0, /* reading a request, or idle before one */
+    CALLER_ACTIVE,      /* the owner is handling the request */
+    CALLER_CLOSING      /* the last response is being sent */
 } caller_state_t;
 
 struct caller_t {
@@ -27,12 +27,12 @@
     cw_stream_t stream;
     cw_message_t message;
     cw_buffer_t body;
-    cw_buffer_t pipelined; /* bytes that came after the request */
+    cw_buffer_t pipelined; /* bytes received after the request */
     caller_state_t state;
     bool must_close;
-    bool is_finished; /* the end of the last answer was written */
+    bool is_finished; /* the last response was written completely */
     cw_framing_t framing;
-    bool is_head_request; /* the answer to a HEAD */
+    bool is_head_request; /* the response has no body */
     ev_timer timer;
     void* data;
     caller_t* prev;
@@ -51,7 +51,7 @@
 
 static void read_pipelined(caller_t* c);
 
-/* -- life ----------------------------------------------------------------- */
+/* -- lifetime of a connection --------------------------------------------- */
 
 static void free_body(caller_t* c) {
     c->front->stats.body_bytes -= c->body.size;
@@ -92,7 +92,7 @@
     timer_start(c, (limits.idle_ms + IDLE_SLACK_MS) / MS_PER_S);
 }
 
-/* Sends what is left, tells the caller that no more comes and reads on for a while. */
+/* Sends the unsent bytes, shuts the connection down for writing and reads on for a while. */
 static void start_closing(caller_t* c) {
     c->state = CALLER_CLOSING;
     if (!cw_stream_unsent(&c->stream)) {
@@ -118,7 +118,7 @@
     read_pipelined(c);
 }
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
 static bool has_no_body(const caller_t* c, unsigned status) {
     return c->is_head_request || status / 100 == 1 || status == 204 || status == 304;
@@ -160,7 +160,7 @@
 void caller_begin(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length) {
     c->framing = has_no_body(c, status) && framing != CW_FRAMING_LENGTH ? CW_FRAMING_NONE : framing;
     if (c->framing == CW_FRAMING_CLOSE) {
-        c->framing = CW_FRAMING_CHUNKED; /* so that the caller can tell a whole answer from a cut one */
+        c->framing = CW_FRAMING_CHUNKED; /* so that the caller can tell a complete response from a truncated one */
     }
     if (c->framing == CW_FRAMING_CHUNKED && c->message.parser.http_major == 1 && c->message.parser.http_minor == 0) {
         c->framing = CW_FRAMING_CLOSE;
@@ -224,12 +224,12 @@
 
 /* -- reading -------------------------------------------------------------- */
 
-/* Answers a request that is not handed over and closes. */
+/* Responds to a request that is not handed to the owner, and closes the connection. */
 static void reject(caller_t* c, unsigned status, const char* fields) {
     timer_stop(c);
     c->must_close = true;
     c->is_head_request = false;
-    c->message.state = CW_MESSAGE_BROKEN; /* what still comes is not read as a request */
+    c->message.state = CW_MESSAGE_BROKEN; /* further bytes are not parsed as a request */
     c->front->stats.active++;
     caller_reply(c, status, fields, "", 0);
 }
@@ -267,7 +267,7 @@
     c->front->desc.on_request(c, c->front->desc.user_data);
 }
 
-/* Whether what was read so far is refused. */
+/* Rejects a request that is malformed or exceeds a limit so far. Returns whether it did. */
 static bool reject_over_limits(caller_t* c) {
     front_t* f = c->front;
     front_limits_t limits = f->desc.limits(f->desc.user_data);
@@ -291,7 +291,7 @@
     return true;
 }
 
-/* Reads a request from the bytes; what follows it is kept. The caller may be gone afterwards. */
+/* Parses a request and buffers the bytes after it. May free the caller. */
 static void read_request(caller_t* c, const char* data, size_t size) {
     bool idle = c->message.state == CW_MESSAGE_IDLE;
     size_t used = cw_message_read(&c->message, data, size);
@@ -359,7 +359,7 @@
         c->front->stats.timed_out++;
         reject(c, 408, "");
     } else if (c->state == CALLER_CLOSING && cw_stream_unsent(&c->stream)) {
-        timer_start(c, LINGER_S); /* a slow reader; one that is gone ends the stream */
+        timer_start(c, LINGER_S); /* the caller reads slowly; the stream ends by itself if it is gone */
     } else {
         caller_free(c);
     }
--- a/gateway/pushback.c
+++ b/gateway/pushback.c
@@ -1,24 +1,23 @@
-/* What the heads of a server's answers say of the server itself, whichever request they answer: each head is a report
-   of its server, and the choice of a server must hear it. */
+/* Evaluates what the head of a response announces about its server: leaving, backoff and advertised rate. Whichever
+   request a head responds to, it describes the server, and the choice of a server must take it into account. */
 #include <string.h>
 
 #include "clock.h"
 #include "upstream_parts.h"
 
 #define NO_RATE_LIMIT (-1.0)
-#define DRAINING_VALUE "1"
+#define LEAVING_VALUE "1"
 #define STATUS_UNAVAILABLE 503
 #define STATUS_TOO_MANY 429
 #define BACKOFF_MAX_MS 1800000
 
-/* Another server may have the address now: what it says is no word of this one. */
+/* Whether the response is from server s. Another server may have its address now, and announces nothing about s. */
 static bool is_from_server(const server_t* s, const cw_message_t* head) {
     const dialect_t* d = s->pool->upstreams->desc.dialect;
     const char* id = d->fields.server_id ? cw_message_field(head, d->fields.server_id) : NULL;
     return head->status != d->misdirected_status && (!id || strcmp(id, s->published.id) == 0);
 }
 
-/* The other hosts are to hear of it. */
 static void notify_pushback(const server_t* s) {
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
     if (desc->on_pushback) {
@@ -31,8 +30,8 @@
            s->published.id, s->pool->name, field, value);
 }
 
-/* Only a final answer without a rate says that there is none. */
-static void read_rate_limit(server_t* s, const cw_message_t* head, int64_t sent_ms) {
+/* Only a final response without the field withdraws the advertised rate; an interim one announces nothing. */
+static void read_advertised_rate(server_t* s, const cw_message_t* head, int64_t sent_ms) {
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
     cw_balance_t* balance = s->pool->balance;
     const char* field = desc->dialect->fields.limit;
@@ -53,25 +52,25 @@
     }
 }
 
-/* The source may be away, or tell it later: the server's own word is enough. */
-static void read_draining(server_t* s, const cw_message_t* head) {
+/* The server's announcement suffices: the source may be unavailable, or list the server as leaving only later. */
+static void read_leaving(server_t* s, const cw_message_t* head) {
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
     const char* field = desc->dialect->fields.leaving;
     const char* text = field ? cw_message_field(head, field) : NULL;
-    if (!text || s->is_draining) {
+    if (!text || s->is_leaving) {
         return;
     }
-    if (strcmp(text, DRAINING_VALUE) != 0) {
+    if (strcmp(text, LEAVING_VALUE) != 0) {
         log_malformed(s, field, text);
         return;
     }
     cw_log(desc->log, CW_EVENT_SERVER_LEAVES, "server=%s pool=%s reason=\"its answers say so\"", s->published.id,
            s->pool->name);
-    upstreams_mark_draining(s->pool->upstreams, clock_ms(), s);
+    upstreams_mark_leaving(s->pool->upstreams, clock_ms(), s);
     notify_pushback(s);
 }
 
-/* It asks this host alone: the others are turned away, and told, for themselves. */
+/* The backoff is for this host alone. Other hosts that the server rejects get a Retry-After of their own. */
 static void read_retry_after(server_t* s, const cw_message_t* head) {
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
     const char* field = desc->dialect->fields.retry_after;
@@ -90,8 +89,8 @@
 
 void server_read_pushback(server_t* s, const cw_message_t* head, int64_t sent_ms) {
     if (is_from_server(s, head)) {
-        read_draining(s, head);
+        read_leaving(s, head);
         read_retry_after(s, head);
-        read_rate_limit(s, head, sent_ms);
+        read_advertised_rate(s, head, sent_ms);
     }
 }
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -18,12 +18,12 @@
     return names[kind];
 }
 
-/* Takes a mark over and says what it changed; returns whether it was news. */
-static bool apply_mark(quarantine_t* q, const cw_mark_t* mark, const char* by) {
+/* Applies an observation and logs a changed verdict. Returns whether the observation was new. */
+static bool apply_observation(quarantine_t* q, const cw_mark_t* observation, const char* by) {
     int64_t now_ms = clock_ms();
-    const cw_fingerprint_t* request = &mark->request;
+    const cw_fingerprint_t* request = &observation->request;
     cw_verdict_t previous = cw_quarantine_ask(q->table, now_ms, request);
-    if (!cw_quarantine_take(q->table, now_ms, mark)) {
+    if (!cw_quarantine_take(q->table, now_ms, observation)) {
         return false;
     }
     cw_verdict_t updated = cw_quarantine_ask(q->table, now_ms, request);
@@ -32,21 +32,21 @@
                "fingerprint=%016llx workspace=%016llx verdict=%s was=%s ends=%u life=%016llx age_ms=%u told_by=%s "
                "retry_ms=%u",
                (unsigned long long)request->content, (unsigned long long)request->workspace, verdict_name(updated.kind),
-               verdict_name(previous.kind), updated.ends, (unsigned long long)mark->life, mark->age_ms, by,
-               updated.retry_ms);
+               verdict_name(previous.kind), updated.ends, (unsigned long long)observation->life, observation->age_ms,
+               by, updated.retry_ms);
     }
     return true;
 }
 
-/* A mark of this daemon's own. */
-static void publish_mark(quarantine_t* q, const cw_mark_t* mark) {
-    if (apply_mark(q, mark, "self")) {
+/* Applies an observation of this daemon and publishes it if it is new. */
+static void publish_observation(quarantine_t* q, const cw_mark_t* observation) {
+    if (apply_observation(q, observation, "self")) {
         q->told++;
-        q->desc.on_mark(q->desc.user_data, mark);
+        q->desc.on_mark(q->desc.user_data, observation);
     }
 }
 
-/* From now on a sign of the server over an older connection is listened for. */
+/* From now on, data on a connection that was opened before the presumed crash proves the server alive. */
 static void watch_for_response(server_t* server, int64_t presumed_crash_ms) {
     server->presumed_crash_ms = presumed_crash_ms;
 }
@@ -55,7 +55,7 @@
     return cw_quarantine_ask(q->table, clock_ms(), request);
 }
 
-void quarantine_record_blocked(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
+void quarantine_record_refusal(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
                                const cw_verdict_t* verdict) {
     q->held_back++;
     cw_log(q->desc.log, CW_EVENT_REQUEST_HELD, "id=%s fingerprint=%016llx workspace=%016llx ends=%u retry_ms=%u", id,
@@ -64,55 +64,57 @@
 }
 
 void quarantine_on_trial(quarantine_t* q, const cw_fingerprint_t* request, const server_t* server) {
-    publish_mark(q, &(cw_mark_t){.kind = CW_MARK_TRIED, .request = *request, .life = server->key});
+    publish_observation(q, &(cw_mark_t){.kind = CW_MARK_TRIED, .request = *request, .life = server->key});
 }
 
 void quarantine_on_crash(quarantine_t* q, const cw_fingerprint_t* request, server_t* server) {
-    cw_mark_t mark = {.kind = CW_MARK_ENDED, .request = *request, .life = server->key};
+    cw_mark_t observation = {.kind = CW_MARK_ENDED, .request = *request, .life = server->key};
     watch_for_response(server, clock_ms());
-    publish_mark(q, &mark);
+    publish_observation(q, &observation);
 }
 
 void quarantine_on_response(quarantine_t* q, const cw_fingerprint_t* request) {
     if (cw_quarantine_knows(q->table, request)) {
-        publish_mark(q, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = *request});
+        publish_observation(q, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = *request});
     }
 }
 
 void quarantine_on_alive(quarantine_t* q, const server_t* server) {
-    publish_mark(q, &(cw_mark_t){.kind = CW_MARK_ALIVE, .life = server->key});
+    publish_observation(q, &(cw_mark_t){.kind = CW_MARK_ALIVE, .life = server->key});
 }
 
-void quarantine_on_mark(quarantine_t* q, const cw_mark_t* mark) {
-    if (!apply_mark(q, mark, "other")) {
+void quarantine_on_mark(quarantine_t* q, const cw_mark_t* observation) {
+    if (!apply_observation(q, observation, "other")) {
         return;
     }
     q->heard++;
-    server_t* server = mark->kind == CW_MARK_ENDED ? upstreams_server(q->desc.upstreams, mark->life) : NULL;
+    server_t* server =
+        observation->kind == CW_MARK_ENDED ? upstreams_server(q->desc.upstreams, observation->life) : NULL;
     if (server) {
-        watch_for_response(server, clock_ms() - mark->age_ms);
+        watch_for_response(server, clock_ms() - observation->age_ms);
     }
 }
 
-/* The ends that hold it, for the log: "LIFE:AGE_MS" each. */
-static void format_crashes(const cw_quarantine_entry_t* held, char* out, size_t size) {
+/* Formats the crashes for which the request is quarantined, for the log: "LIFE:AGE_MS" each, with "?" after a trial. */
+static void format_crashes(const cw_quarantine_entry_t* quarantined, char* out, size_t size) {
     size_t n = 0;
     out[0] = 0;
-    for (uint32_t i = 0; i < held->verdict.ruled_out && n < size; i++) {
+    for (uint32_t i = 0; i < quarantined->verdict.ruled_out && n < size; i++) {
         n += (size_t)snprintf(out + n, size - n, "%s%016llx:%u%s", i ? "," : "",
-                              (unsigned long long)held->verdict.lives[i], held->age_ms[i], held->tried[i] ? "?" : "");
+                              (unsigned long long)quarantined->verdict.lives[i], quarantined->age_ms[i],
+                              quarantined->tried[i] ? "?" : "");
     }
 }
 
 void quarantine_tick(quarantine_t* q) {
-    cw_quarantine_entry_t held;
+    cw_quarantine_entry_t quarantined;
     char ends[CW_QUARANTINE_ENDS * 32];
-    while (cw_quarantine_newly_held(q->table, clock_ms(), &held)) {
-        format_crashes(&held, ends, sizeof(ends));
+    while (cw_quarantine_newly_held(q->table, clock_ms(), &quarantined)) {
+        format_crashes(&quarantined, ends, sizeof(ends));
         cw_log(q->desc.log, CW_EVENT_REQUEST_BARRED, "fingerprint=%016llx workspace=%016llx ends=%s retry_ms=%u",
-               (unsigned long long)held.request.content, (unsigned long long)held.request.workspace, ends,
-               held.verdict.retry_ms);
-        q->desc.on_held(q->desc.user_data, &held.request);
+               (unsigned long long)quarantined.request.content, (unsigned long long)quarantined.request.workspace, ends,
+               quarantined.verdict.retry_ms);
+        q->desc.on_held(q->desc.user_data, &quarantined.request);
     }
 }
 
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -1,11 +1,11 @@
 #ifndef CW_GATEWAY_QUARANTINE_H
 #define CW_GATEWAY_QUARANTINE_H
 /*
-    Requests under which servers end (chalkway_quarantine.h), at this daemon: what its own broken connections and other
-    daemons' marks say, which marks are told to the others, and what is logged of it.
+    Quarantine of requests that crash servers (chalkway_quarantine.h), at this daemon. It derives observations from
+    this daemon's broken connections and publishes them, applies those of other daemons and logs changed verdicts.
 
-    A connection that broke while a request was there counts as the server's end at once. It is taken back when the
-    server goes on over a connection that was open before: then the connection broke, and not the server.
+    A connection that breaks while a request runs counts as a crash of the server at once. The crash is revoked when the
+    server sends data on a connection that was opened before: then the connection broke, and not the server.
 */
 #include "../chalkway_log.h"
 #include "../chalkway_quarantine.h"
@@ -17,44 +17,44 @@
     const cw_log_t* log;
     upstreams_t* upstreams;
     uint32_t entries, keep_ms; /* as in cw_quarantine_desc_t */
-    /* Tell the others at once. */
-    void (*on_mark)(void* user_data, const cw_mark_t* mark);
-    /* The request is held from now on: what waits or runs of it here is given up. */
+    /* Publish the observation to the other daemons at once. */
+    void (*on_mark)(void* user_data, const cw_mark_t* observation);
+    /* The request is quarantined from now on; its queued and running exchanges at this daemon must be ended. */
     void (*on_held)(void* user_data, const cw_fingerprint_t* request);
     void* user_data;
 } quarantine_desc_t;
 
 typedef struct quarantine_stats_t {
     cw_quarantine_stats_t requests;
-    uint64_t told, heard; /* marks that were new to the others, or here */
-    uint64_t held_back;   /* requests that were answered as held */
+    uint64_t told, heard; /* observations of this daemon, and of other daemons, that were new when applied */
+    uint64_t held_back;   /* requests refused because they are quarantined */
 } quarantine_stats_t;
 
 quarantine_t* quarantine_setup(const quarantine_desc_t* desc);
 void quarantine_shutdown(quarantine_t* q);
-/* What may be done with a request that is about to look for a server. */
+/* The verdict on a request that is about to be assigned to a server. */
 cw_verdict_t quarantine_check(quarantine_t* q, const cw_fingerprint_t* request);
-/* A request was answered as held. */
-void quarantine_record_blocked(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
+/* Counts and logs a request that was refused because it is quarantined. */
+void quarantine_record_refusal(quarantine_t* q, const cw_fingerprint_t* request, const char* id,
                                const cw_verdict_t* verdict);
 /* A request on trial is about to be sent to the server. */
 void quarantine_on_trial(quarantine_t* q, const cw_fingerprint_t* request, const server_t* server);
-/* The connection to the server broke while the request was there. */
+/* The connection to the server broke while the request ran there: the server is presumed crashed. */
 void quarantine_on_crash(quarantine_t* q, const cw_fingerprint_t* request, server_t* server);
-/* The request was answered whole. */
+/* The request got a complete response: clears it of all suspicion. */
 void quarantine_on_response(quarantine_t* q, const cw_fingerprint_t* request);
-/* The server goes on after what was taken for its end. */
+/* The server sent data after its presumed crash. */
 void quarantine_on_alive(quarantine_t* q, const server_t* server);
-/* Another daemon's mark. */
-void quarantine_on_mark(quarantine_t* q, const cw_mark_t* mark);
-/* Finds which requests have come to be held. */
+/* Applies an observation of another daemon. */
+void quarantine_on_mark(quarantine_t* q, const cw_mark_t* observation);
+/* Detects requests that have become quarantined. */
 void quarantine_tick(quarantine_t* q);
-/* Marks to be told again, from place *at on. */
+/* Observations to publish again, from index *at on. */
 uint32_t quarantine_marks(quarantine_t* q, uint32_t* at, cw_mark_t* out, uint32_t max);
-/* The requests under suspicion as a JSON document. */
+/* Writes the requests under suspicion as a JSON document. */
 void quarantine_write(quarantine_t* q, cw_buffer_t* out);
-/* An operator's word that a request is no danger, by its fingerprint and the id of its workspace as the log and
-   quarantine_write tell them, in hex: what counted against it goes, here and at the others. False: nothing did. */
+/* An operator releases a request. fingerprint and workspace are in hex, as the log and quarantine_write show them. All
+   observations of the request are cleared, here and at the other daemons. False: it had none. */
 bool quarantine_release(quarantine_t* q, const char* fingerprint, const char* workspace);
 quarantine_stats_t quarantine_stats(const quarantine_t* q);
 
--- a/gateway/request_head.c
+++ b/gateway/request_head.c
@@ -8,13 +8,13 @@
 #include <xxhash.h>
 
 #define HEX_DIGITS "0123456789abcdefABCDEF"
-#define HEX_DIGITS_MAX 16 /* of a 64-bit number */
+#define HEX_DIGITS_MAX 16 /* digits of a 64-bit number */
 
 static bool equals_ignoring_case(const char* name, const char* other) {
     return other && strcasecmp(name, other) == 0;
 }
 
-/* Fields that the gateway sets itself or that no server may see. */
+/* Whether the field is dropped: the gateway sets it itself, or no server may see it. */
 static bool is_dropped(const dialect_t* d, const request_head_t* set, const char* name) {
     const dialect_fields_t* f = &d->fields;
     if (equals_ignoring_case(name, f->key) || equals_ignoring_case(name, f->workspace) ||
@@ -72,18 +72,18 @@
     cw_message_add_end(out);
 }
 
-void answer_fields_write(cw_buffer_t* out, const cw_message_t* answer) {
-    for (uint32_t i = 0; i < answer->field_count; i++) {
-        const cw_field_t* field = &answer->fields[i];
-        if (!cw_message_hop_field(answer, field->name)) {
+void response_fields_write(cw_buffer_t* out, const cw_message_t* response) {
+    for (uint32_t i = 0; i < response->field_count; i++) {
+        const cw_field_t* field = &response->fields[i];
+        if (!cw_message_hop_field(response, field->name)) {
             cw_message_add_field(out, field->name, field->value);
         }
     }
 }
 
-/* -- what a request says of itself ---------------------------------------- */
+/* -- fields that describe the request ------------------------------------- */
 
-/* Reads a decimal number that fits 32 bits; returns what follows it, NULL: there is none. */
+/* Reads a decimal number of at most 32 bits. Returns the text after it; NULL: there is no such number. */
 static const char* read_count(const char* text, uint32_t* out) {
     char* end = NULL;
     errno = 0;
@@ -95,7 +95,7 @@
     return end;
 }
 
-/* "IN" or "IN,OUT"; false: the text is something else. */
+/* Reads "IN" or "IN,OUT". False: the text is malformed. */
 static bool read_tokens(const char* text, uint32_t* in, uint32_t* out) {
     *out = 0;
     text = read_count(text, in);
@@ -105,7 +105,7 @@
     return text && !*text;
 }
 
-/* The id of a part's name in hex: its value, or a hash of a name too long for one. */
+/* The id of a part from its name in hex: the number, or a hash of a name that is too long for one. Never 0. */
 static uint64_t part_id(const char* name, size_t length) {
     char text[HEX_DIGITS_MAX + 1];
     if (length > HEX_DIGITS_MAX) {
@@ -122,7 +122,7 @@
     return length && !name[length] ? part_id(name, length) : 0;
 }
 
-/* Reads "ID:TOKENS" in the list; returns what follows, NULL: it is something else. */
+/* Reads one "ID:TOKENS" of a list. Returns the text after it; NULL: it is malformed. */
 static const char* read_part(const char* text, cw_work_part_t* part) {
     size_t length = strspn(text, HEX_DIGITS);
     if (!length || text[length] != ':') {
@@ -132,7 +132,7 @@
     return read_count(text + length + 1, &part->tokens);
 }
 
-/* The first of the parts; false: the text is no list of them. work may be NULL: it is only checked. */
+/* Reads a list of parts and keeps the first CW_WORK_PARTS. False: it is malformed. work NULL: only checks the list. */
 static bool read_parts(cw_work_t* work, const char* text) {
     while (*text) {
         cw_work_part_t part;
--- a/gateway/seek.c
+++ b/gateway/seek.c
@@ -1,5 +1,5 @@
-/* Finding a server for a request: whether it may be sent at all, which server, and what to do while none has a place.
- */
+/* Assigns a server to a request: decides whether the request may be sent at all, chooses the server, and queues or
+   refuses the request while no server has a free slot. */
 #include <assert.h>
 #include <string.h>
 
@@ -8,7 +8,7 @@
 
 /* -- the queue ------------------------------------------------------------ */
 
-/* One more (by = 1) or fewer (-1) of the request's urgency wait. */
+/* Counts one more (by = 1) or one fewer (by = -1) queued request of this urgency. */
 static void update_waiting_count(const exchange_t* x, int by) {
     uint32_t urgency = cw_work_turn_urgency(&x->work);
     uint32_t* waiting = &x->pool->waiting[urgency];
@@ -51,7 +51,7 @@
     update_waiting_count(x, 1);
 }
 
-/* Requests of this host that wait for the pool and go before x. */
+/* Queued requests of the same pool and host that precede x. */
 static uint32_t count_ahead(const exchange_t* x) {
     uint32_t count = 0;
     for (const exchange_t* y = x->exchanges->queue; y && y != x; y = y->next_queued) {
@@ -84,7 +84,7 @@
     exchange_handle_event(x, CW_EV_REFUSED);
 }
 
-/* Whether one that is as urgent, and whose time is as short, waits for the pool already. */
+/* Whether a queued request of the same pool precedes x and has a target that is at least as short. */
 static bool must_queue_behind(const exchange_t* x) {
     for (const exchange_t* y = x->exchanges->queue; y && !precedes(x, y) && !x->is_queued; y = y->next_queued) {
         if (y->pool == x->pool && y->route->target_ms <= x->route->target_ms) {
@@ -94,7 +94,7 @@
     return false;
 }
 
-/* When the caller is taken to have left: of a stream, by the dialect, once it heard nothing for too long. */
+/* When the caller is taken to give up: at its deadline, or, for a stream, earlier, after the dialect's read timeout. */
 static int64_t caller_gives_up_ms(const exchange_t* x) {
     int64_t last_received_ms = x->last_byte_ms ? x->last_byte_ms : x->arrived_ms;
     uint32_t read_timeout_ms =
@@ -105,8 +105,8 @@
     return sooner ? last_received_ms + read_timeout_ms : x->deadline_ms;
 }
 
-/* Only engines have places that come free at once: where plain servers can't be used, they are away, and a caller is
-   better told so than kept. */
+/* Only engines free slots within a request's time. Plain servers without a free slot are unreachable, and then a quick
+   refusal serves the caller better than a wait. */
 static cw_turn_wait_t slot_wait(const exchange_t* x) {
     const cw_balance_t* b = x->pool->balance;
     return cw_turn_wait(&(cw_turn_ask_t){.now_ms = clock_ms(),
@@ -116,30 +116,30 @@
                                          .patient = !x->pool->memory_tokens || cw_balance_patient(b, &x->work)});
 }
 
-/* Whether servers end under what the request is: then it goes nowhere, whatever its id, and is answered at once, or,
-   where that can't be said yet, waits until it can. */
+/* Refuses a quarantined request, whatever its id. While the verdict is undecided, the request waits outside of the
+   queue. */
 bool exchange_check_quarantine(exchange_t* x) {
     quarantine_t* quarantine = x->exchanges->desc.quarantine;
     x->verdict = quarantine_check(quarantine, &x->fingerprint);
     x->work.spread = x->verdict.kind == CW_VERDICT_FREE ? 0 : x->fingerprint.content;
     x->verdict_due_ms = x->verdict.kind == CW_VERDICT_WAIT ? clock_ms() + x->verdict.retry_ms : 0;
     if (x->verdict_due_ms) {
-        exchange_dequeue(x); /* it would stand before others */
+        exchange_dequeue(x); /* in the queue it would precede requests that can be sent */
         exchange_set_timer(x);
         return true;
     }
     if (x->verdict.kind != CW_VERDICT_HELD) {
         return false;
     }
-    quarantine_record_blocked(quarantine, &x->fingerprint, x->id, &x->verdict);
+    quarantine_record_refusal(quarantine, &x->fingerprint, x->id, &x->verdict);
     x->retry_ms = x->verdict.retry_ms;
-    x->reason = BLOCKED_REASON;
+    x->reason = QUARANTINED_REASON;
     exchange_handle_event(x, CW_EV_REFUSED);
     return true;
 }
 
-/* Whether all servers that are left hold callers back, and none takes a request from this host while x may wait.
-   opens_ms: until the soonest does, 0: not known. */
+/* Whether all untried servers are throttled (backoff or advertised rate) and none accepts a request from this host
+   before x would be refused. opens_ms: time until the first one does, 0: unknown. */
 static bool are_all_throttled(const exchange_t* x, uint32_t opens_ms) {
     const cw_left_out_t* left = &x->choice.left_out;
     uint32_t throttled = left->resting + left->limited;
@@ -148,8 +148,9 @@
     return throttled && left->tried + throttled >= x->pool->ready && !in_time;
 }
 
-/* Takes a repeat from the budget at the moment of the decision: those that break together would else all be decided by
-   what was left before the first of them was sent. A repeat that isn't sent then is not given back. */
+/* Reserves a retry when the retry is decided, not when it is sent. Otherwise requests whose connections break together
+   would all be decided on the budget that was left before the first of them was sent. A reserved retry that is not sent
+   is not returned to the budget. */
 static bool reserve_retry(exchange_t* x) {
     if (x->attempt_count && !x->has_reserved_retry) {
         x->has_reserved_retry = cw_retry_window_take(&x->pool->retries, clock_ms());
@@ -157,7 +158,7 @@
     return !x->attempt_count || x->has_reserved_retry;
 }
 
-/* The best server but for those that failed this request, or ended under another one that is the same. */
+/* The best server, without those that failed this request and those that crashed under an identical one. */
 static cw_choice_t choose_server(const exchange_t* x) {
     uint64_t excluded[TRIED_SERVERS_MAX + CW_QUARANTINE_ENDS];
     uint32_t count = x->tried_count + x->verdict.ruled_out;
@@ -223,7 +224,7 @@
     exchange_set_timer(x);
 }
 
-/* Whether x still waits. */
+/* Whether x is queued. x may have been freed. */
 static bool is_waiting(const exchanges_t* e, const exchange_t* x) {
     const exchange_t* y = e->queue;
     while (y && y != x) {
@@ -232,10 +233,11 @@
     return y != NULL;
 }
 
-/* One of each kind that waits is tried: a late one may find no place, since those are left to others, where one behind
-   it that is light does. Of its own kind the rest would find none either. */
+/* Tries one request of each kind (light, late, urgency). A late request may find no slot, because slots
+   are reserved for other requests, while a light one behind it finds one. When a request finds none, the others
+   of its kind would not either. */
 void exchanges_on_room(exchanges_t* e, pool_t* pool) {
-    bool failed_kinds[2][2][CW_URGENCIES] = {{{false}}}; /* found no place, by light, late and urgency */
+    bool failed_kinds[2][2][CW_URGENCIES] = {{{false}}}; /* no slot found, by light, late, urgency */
     exchange_t* x = e->queue;
     while (x) {
         bool* failed = &failed_kinds[x->work.light][x->work.late][x->work.urgency];
@@ -243,18 +245,18 @@
             x = x->next_queued;
             continue;
         }
-        exchange_assign_server(x); /* x may be gone now: only its place in the queue is looked at */
+        exchange_assign_server(x); /* x may be freed now: is_waiting compares its address only */
         *failed = is_waiting(e, x);
         x = e->queue;
     }
 }
 
-void exchange_requeue_overdue(exchange_t* x) {
+void exchange_requeue_late(exchange_t* x) {
     pool_t* pool = x->pool;
     exchanges_t* e = x->exchanges;
     exchange_dequeue(x);
     x->work.late = true;
     enqueue(x);
     exchange_set_timer(x);
-    exchanges_on_room(e, pool); /* those that were behind it */
+    exchanges_on_room(e, pool); /* the late request no longer precedes them */
 }
--- a/gateway/transfer.c
+++ b/gateway/transfer.c
@@ -1,5 +1,5 @@
-/* One transfer of a request to a server: the connection, the bytes there, the answer back, and what is learned of it.
- */
+/* One attempt of a request at a server: connects, sends the request, forwards the response to the caller and reports
+   the result to the balancer and the quarantine. */
 #include <math.h>
 #include <string.h>
 
@@ -7,12 +7,12 @@
 #include "exchange_parts.h"
 #include "request_head.h"
 
-#define PREFILL_RATE_LOG_FACTOR 1.25 /* times by which the learned reading pace moves until it is told again */
-#define UNSENT_MAX_BYTES 262144      /* bytes that wait for a caller before its server is read no more */
-#define CALL_STALL_TARGET_SHARE 0.7  /* of the target: a repeatable call without an answer is tried elsewhere */
-#define STREAM_STALL_TARGETS 2.0     /* targets without a first event, beyond the prediction, until a stream is moved */
-#define STREAM_STALL_EXPECTED_FACTOR 1.5 /* times the predicted time that is waited beside */
-#define EVENT_STALL_GAPS 4               /* longest pauses without an event until a stream is moved */
+#define PREFILL_RATE_LOG_FACTOR 1.25     /* change of the prefill rate that is logged */
+#define UNSENT_MAX_BYTES 262144          /* unsent bytes to a caller above which its server is not read */
+#define CALL_STALL_TARGET_SHARE 0.7      /* a call without a response is retried after this share of its target */
+#define STREAM_STALL_TARGETS 2.0         /* a stream without a first event is retried after this many targets ... */
+#define STREAM_STALL_EXPECTED_FACTOR 1.5 /* ... plus this many times the predicted time to the first event */
+#define EVENT_STALL_GAPS 4 /* a stream is retried after this many of its longest allowed gaps without an event */
 #define EVENT_STALL_MIN_MS 400
 
 bool exchange_may_retry(const exchange_t* x) {
@@ -20,7 +20,8 @@
            cw_retry_window_has(&x->pool->retries, clock_ms());
 }
 
-/* When a transfer that gives no sign is taken as lost. Only what may be sent again is given up early. */
+/* Sets the time at which an attempt without a response counts as stalled. Only a request that may be retried is given
+   up early. */
 static void arm_first_byte_timeout(exchange_t* x) {
     x->stall_at_ms = 0;
     if (!exchange_may_retry(x)) {
@@ -80,10 +81,11 @@
     exchange_set_timer(x);
 }
 
-/* Nothing has been sent yet, so what was learned of the server while the connection came up still counts. */
+/* Nothing has been sent yet, so the request can still avoid a server that has announced that it leaves or asked for a
+   backoff while the connection was opened. */
 static void reassign(exchange_t* x, const char* why) {
     bool is_in_tried = x->tried_count && x->tried[x->tried_count - 1] == x->server->key;
-    x->tried_count -= is_in_tried; /* it did not fail this request */
+    x->tried_count -= is_in_tried; /* the server did not fail this request */
     exchange_fail_attempt(x, CW_EV_GRANT_EXPIRED, CW_TRY_CANCELLED, why);
 }
 
@@ -98,7 +100,7 @@
     }
 }
 
-/* The server says that it did not run the request. */
+/* The server reports that it did not run the request. */
 static void handle_not_run(exchange_t* x, const cw_message_t* head) {
     bool misdirected = head->status == x->exchanges->desc.dialect->misdirected_status;
     if (misdirected) {
@@ -111,10 +113,10 @@
                           misdirected ? "another server has the address" : "the server has no room");
 }
 
-/* Keeps the head until the first byte of the body: until then another server may still give the whole answer. */
+/* Stores the head until the first body byte. Until then another server can still give the complete response. */
 static void store_head(exchange_t* x, const cw_message_t* head) {
     cw_buffer_free(&x->head_fields);
-    answer_fields_write(&x->head_fields, head);
+    response_fields_write(&x->head_fields, head);
     x->head_framing = head->framing == CW_FRAMING_CLOSE ? CW_FRAMING_CHUNKED : head->framing;
     x->head_length = head->length;
     x->status = head->status;
@@ -154,8 +156,8 @@
     }
 }
 
-/* Tells the pool's reading pace when it has moved by more than PREFILL_RATE_LOG_FACTOR since it was told last, and by
- * what. */
+/* Logs the pool's prefill rate, and the request that changed it, when it differs by PREFILL_RATE_LOG_FACTOR from the
+   last one logged. */
 static void log_prefill_rate(const exchange_t* x, int64_t now_ms) {
     pool_t* pool = x->pool;
     double read_ms = cw_balance_read_rate(pool->balance);
@@ -231,8 +233,8 @@
     exchange_handle_event(x, CW_EV_END);
 }
 
-/* Whether a server seems to have ended with the request there. One that leaves as planned may cut what it has; a way
-   that is lost says nothing of the server. */
+/* Whether the server is presumed to have crashed while it ran the request. A leaving server may close connections with
+   running requests, and a lost network path says nothing about the server. */
 static bool is_presumed_crash(const exchange_t* x, upstream_conn_failure_t failure) {
     bool sent = x->fsm.state != CW_REQ_CONNECTING;
     return sent && (failure == UPSTREAM_CONN_RESET || failure == UPSTREAM_CONN_CLOSED) && !x->server->left;
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -11,12 +11,12 @@
 #define MS_PER_S 1000.0
 #define PROBE_TIMEOUT_MS 1000
 #define BITS 8.0
-#define BITS_PER_MS_MBPS 1000.0 /* bits in a ms at 1 Mbit/s */
-#define RETURN_GRACE_MS 2000    /* an entry that lapsed while the source was away is back so long after it */
-#define SUBSET_MIN_SERVERS 1024 /* servers of a larger pool that are used, until a request finds no place there */
-#define INITIAL_CAPACITY 256    /* servers for which there is memory, to begin with */
-#define REJECTED_LOG_INTERVAL_MS 10000 /* at most one line in so long on servers beyond the bound */
-#define RETRY_BUDGET_SHARE 0.8         /* share of the budget for repeats that is used */
+#define BITS_PER_MS_MBPS 1000.0 /* bits per millisecond at 1 Mbit/s */
+#define RETURN_GRACE_MS 2000    /* time for servers that went missing during a source outage to be listed again */
+#define SUBSET_MIN_SERVERS 1024 /* used servers of a larger pool, until a request finds no slot there */
+#define INITIAL_CAPACITY 256    /* servers for which memory is allocated first */
+#define REJECTED_LOG_INTERVAL_MS 10000 /* shortest time between log lines about rejected servers */
+#define RETRY_BUDGET_SHARE 0.8         /* share of the configured retry budget that is used, as a safety margin */
 
 /* -- servers -------------------------------------------------------------- */
 
@@ -45,14 +45,14 @@
     free(s);
 }
 
-/* An older list may name the server again after it was freed here. */
-static void remember_drained(upstreams_t* u, uint64_t key) {
-    u->drained[u->drained_next++ % DRAINED_MAX] = key;
+/* Remembers a freed incarnation, because an older server list may name it again. */
+static void remember_leaving(upstreams_t* u, uint64_t key) {
+    u->leaving_keys[u->leaving_next++ % LEAVING_KEYS_MAX] = key;
 }
 
-static bool was_drained(const upstreams_t* u, uint64_t key) {
-    for (uint32_t i = 0; i < DRAINED_MAX && i < u->drained_next; i++) {
-        if (u->drained[i] == key) {
+static bool was_leaving(const upstreams_t* u, uint64_t key) {
+    for (uint32_t i = 0; i < LEAVING_KEYS_MAX && i < u->leaving_next; i++) {
+        if (u->leaving_keys[i] == key) {
             return true;
         }
     }
@@ -67,8 +67,8 @@
     for (server_t** at = &pool->servers; *at; at = &(*at)->next) {
         if (*at == s) {
             *at = s->next;
-            if (s->is_draining) {
-                remember_drained(pool->upstreams, s->key);
+            if (s->is_leaving) {
+                remember_leaving(pool->upstreams, s->key);
             }
             server_free(pool->upstreams, s);
             return;
@@ -108,7 +108,6 @@
     return index == CW_MAP_NONE ? NULL : u->servers[index];
 }
 
-/* Servers of the pool that are not gone and in no closed hall. */
 static uint32_t pool_count_listed(const pool_t* pool) {
     uint32_t count = 0;
     for (const server_t* s = pool->servers; s; s = s->next) {
@@ -117,7 +116,7 @@
     return count;
 }
 
-/* Tells the pool's balance which servers may be chosen: of a large pool a part that all hosts see alike. */
+/* Sets the servers that the balancer may choose: of a large pool a subset, which is the same at all hosts. */
 static void pool_update_servers(pool_t* pool, int64_t now_ms) {
     pool->listed = pool_count_listed(pool);
     cw_subset_fit(&pool->subset, now_ms, pool->listed);
@@ -153,7 +152,7 @@
     return true;
 }
 
-/* Makes places for twice as many servers, up to the bound. */
+/* Doubles the capacity, up to max_servers. */
 static void grow_capacity(upstreams_t* u) {
     uint32_t capacity = u->capacity ? u->capacity * 2 : INITIAL_CAPACITY;
     capacity = capacity < u->desc.max_servers ? capacity : u->desc.max_servers;
@@ -172,7 +171,7 @@
     u->capacity = capacity;
 }
 
-/* There is no place for a server of the list. */
+/* Counts and logs a listed server that exceeds max_servers. */
 static void reject_server(upstreams_t* u, const cw_server_t* published) {
     int64_t now_ms = clock_ms();
     u->rejected_unlogged++;
@@ -185,7 +184,7 @@
     }
 }
 
-/* A new server of the pool; NULL when its address is no address or there is no place for it. */
+/* A new server of the pool. NULL: its address is invalid, or max_servers are known. */
 static server_t* server_new(upstreams_t* u, const cw_server_t* published) {
     uint64_t key = cw_server_life(published);
     struct sockaddr_in address;
@@ -208,7 +207,7 @@
     s->key = key;
     s->name = cw_name_id(published->id);
     s->published.started_ms = published->started_ms;
-    s->is_draining = s->left = s->gone = was_drained(u, key);
+    s->is_leaving = s->left = s->gone = was_leaving(u, key);
     cw_map_put(&u->by_key, key, index);
     cw_map_put(&u->by_name, s->name, index);
     s->pool = pool_get(u, published->pool);
@@ -218,19 +217,20 @@
     return s;
 }
 
-/* The present life of a server, as far as it is known. */
+/* The current incarnation of the server. */
 static server_t* find_by_id(const upstreams_t* u, const char* id) {
     uint32_t index = cw_map_get(&u->by_name, cw_name_id(id));
     return index == CW_MAP_NONE ? NULL : u->servers[index];
 }
 
-/* Whether an entry of the list tells of the same life as s. An entry without a start doesn't say. */
+/* Whether the list entry describes incarnation s. An entry without a start time matches any. */
 static bool is_same_incarnation(const server_t* s, const cw_server_t* published) {
     return !published->started_ms || published->started_ms == s->published.started_ms;
 }
 
-/* Whether another life of s, listed at the revision, came after it. The source's order goes before the server's clock,
-   which may have been set back between two starts; a list of unknown or the same revision leaves only the clock. */
+/* Whether the entry, listed at revision at, describes a later incarnation than s. The order of the source has priority
+   over the server's clock, which may have been set back between two starts. Only if the revisions are equal or unknown
+   does the start time decide. */
 static bool is_newer_incarnation(const server_t* s, const cw_server_t* published, int64_t at) {
     if (at && s->listed_revision && at != s->listed_revision) {
         return at > s->listed_revision;
@@ -238,15 +238,15 @@
     return published->started_ms > s->published.started_ms;
 }
 
-/* This life of the server is over. What runs there still ends by itself. */
+/* Logs that this incarnation is over. Requests that run there are left to end by themselves. */
 static void log_restart(upstreams_t* u, const server_t* s, int64_t started_ms, int64_t at) {
     cw_log(u->desc.log, CW_EVENT_SERVER_RESTARTED, "server=%s pool=%s peer=%s was_ms=%lld started_ms=%lld at=%lld",
            s->published.id, s->pool->name, s->published.address, (long long)s->published.started_ms,
            (long long)started_ms, (long long)at);
 }
 
-/* The server that the entry is of, a new one where it isn't known; NULL: it can't be used. changed: it is new, or an
-   earlier life of it was replaced. */
+/* The server of the list entry, created if necessary. NULL: it can't be used. changed: set if it is new or replaces an
+   earlier incarnation. */
 static server_t* find_or_create(upstreams_t* u, const cw_server_t* published, int64_t at, bool* changed) {
     server_t* current = find_by_id(u, published->id);
     if (!current) {
@@ -263,13 +263,12 @@
     if (!known) {
         return server_new(u, published);
     }
-    known->left =
-        known->is_draining; /* it was taken for over, by an entry of another writer; the source says that it lives */
+    known->left = known->is_leaving; /* another writer's entry had retired it; the source lists it as alive */
     cw_map_put(&u->by_name, known->name, cw_map_get(&u->by_key, known->key));
     return known;
 }
 
-/* Takes over what is published of the server. Returns whether it is new, or is used now and was not, or the reverse. */
+/* Applies the list entry of a server. Returns whether the server is new or its availability changed. */
 static bool server_update(upstreams_t* u, const cw_server_t* published, const cw_closed_t* closed, int64_t at) {
     const pool_t* pool = upstreams_pool(u, published->pool);
     if (u->is_configured && (!pool || !pool->declared)) {
@@ -278,12 +277,12 @@
     bool changed = false;
     server_t* s = find_or_create(u, published, at, &changed);
     if (!s || strcmp(s->pool->name, published->pool) != 0) {
-        return changed && s; /* a life that another pool still uses waits until that server is gone */
+        return changed && s; /* an incarnation in another pool must be removed there first */
     }
     s->is_listed = true;
     s->expires_at_ms = 0;
     if (!is_same_incarnation(s, published)) {
-        return changed; /* an earlier life, told late: nothing of it is taken over */
+        return changed; /* the late entry of an earlier incarnation is ignored */
     }
     bool was_available = !s->gone && !s->closed;
     int64_t started_ms = s->published.started_ms;
@@ -291,13 +290,13 @@
     s->published.started_ms = published->started_ms ? published->started_ms : started_ms;
     s->listed_revision = at > s->listed_revision ? at : s->listed_revision;
     s->closed = cw_closed_has(closed, published->hall);
-    s->is_draining = s->is_draining || published->leaving;
-    s->left = s->left || s->is_draining;
+    s->is_leaving = s->is_leaving || published->leaving;
+    s->left = s->left || s->is_leaving;
     s->gone = s->left;
     return changed || (!s->gone && !s->closed) != was_available;
 }
 
-/* Before a list is taken over: what it does not name is missing. */
+/* Before a list is applied: marks all servers as missing from it. */
 static void clear_listed(upstreams_t* u) {
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
@@ -306,7 +305,7 @@
     }
 }
 
-/* Takes servers as gone that are missing for longer than they may; returns how many. */
+/* Removes servers that have been missing from the list for too long; returns how many. */
 static uint32_t pool_expire(pool_t* pool, int64_t now_ms) {
     uint32_t expired = 0;
     for (server_t* s = pool->servers; s; s = s->next) {
@@ -358,8 +357,8 @@
     }
 }
 
-void upstreams_mark_draining(upstreams_t* u, int64_t now_ms, server_t* s) {
-    s->is_draining = true;
+void upstreams_mark_leaving(upstreams_t* u, int64_t now_ms, server_t* s) {
+    s->is_leaving = true;
     upstreams_leaves(u, now_ms, s);
 }
 
@@ -454,7 +453,7 @@
 
 /* -- probes --------------------------------------------------------------- */
 
-/* One health check of a server that could not be reached. */
+/* A health check of an unreachable server. */
 typedef struct probe_t {
     server_t* server;
     upstream_conn_t* conn;
@@ -488,10 +487,10 @@
     cw_buffer_free(&head);
 }
 
-static void probe_on_head(void* owner, const cw_message_t* answer) {
+static void probe_on_head(void* owner, const cw_message_t* response) {
     probe_t* p = owner;
-    const char* id = cw_message_field(answer, p->server->pool->upstreams->desc.dialect->fields.server_id);
-    p->is_healthy = answer->status == 200 && (!id || strcmp(id, p->server->published.id) == 0);
+    const char* id = cw_message_field(response, p->server->pool->upstreams->desc.dialect->fields.server_id);
+    p->is_healthy = response->status == 200 && (!id || strcmp(id, p->server->published.id) == 0);
 }
 
 static void probe_on_body(void* owner, const char* data, size_t size) {
@@ -551,7 +550,7 @@
     }
 }
 
-/* Ends what is over at the server. True: it was missing for too long, and is gone from now on. */
+/* Closes idle connections. True: the server was missing from the list for too long and is gone from now on. */
 static bool server_tick(server_t* s, int64_t now_ms) {
     bool expired = !s->gone && !s->is_listed && now_ms >= s->expires_at_ms;
     s->gone = s->gone || expired;
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -3,12 +3,13 @@
 /*
     Pools, their servers and the connections to them.
 
-    A server is an id and a start: each life of it is a server of its own here, with its own key, so that nothing that
-   was believed of one, told of one or done by one counts for another. Which life is the present one follows from the
-   list: the later reading of the source says so, and where that can't be told the later start. Servers of pools that
-   the configuration doesn't name are left out. A server's connections are kept within this daemon's part of what it
-   takes from all. An answer belongs to a request only when it repeats the request's id: an answer to an earlier request
-   is skipped, bytes after an answer end the connection.
+    A server process is identified by its id and its start time. Each incarnation of a server is a server_t of its own
+    with its own key, so that what is known, reported or done for one incarnation is not attributed to another. The
+    current incarnation follows from the server list: the one listed at the later revision of the source or, where that
+    does not decide, the one that started later. Servers of pools that the configuration does not declare are ignored.
+    The connections to a server are limited to this daemon's share of what the server accepts from all daemons. A
+    response belongs to a request only if it repeats the request's id: a response to an earlier request is skipped, and
+    bytes after a response end the connection.
 */
 #include <ev.h>
 
@@ -29,136 +30,137 @@
 typedef struct upstream_conn_t upstream_conn_t;
 
 struct server_t {
-    uint64_t key;  /* of this life: cw_server_life */
-    uint64_t name; /* id of the id, the same for all its lives */
+    uint64_t key;  /* of this incarnation: cw_server_life */
+    uint64_t name; /* hash of the published id, the same for all incarnations */
     cw_server_t published;
-    int64_t listed_revision; /* revision of the source at which it was listed last, 0: not known */
+    int64_t listed_revision; /* source revision of the last list that named it; 0: unknown */
     struct sockaddr_in address;
     pool_t* pool;
-    bool left;             /* it is taken to be over, or departs */
-    bool is_draining;      /* this life of it said that it leaves, in the list or in its answers: for good */
-    bool gone;             /* left, or no longer published: gets nothing new */
-    bool closed;           /* its hall is closed: it gets nothing new for now */
-    bool is_listed;        /* in the list read last, leaving or not */
-    int64_t expires_at_ms; /* not in the list: taken as gone then */
+    bool left;       /* this incarnation is over, or it is leaving */
+    bool is_leaving; /* this incarnation announced, in the list or in a response, that it drains and stops; never reset
+                      */
+    bool gone;       /* retired, or no longer listed: gets no new requests */
+    bool closed;     /* its hall is closed: gets no new requests for now */
+    bool is_listed;  /* the last list names it, leaving or not */
+    int64_t expires_at_ms; /* while it is not listed: it counts as gone then */
     bool is_probing;
-    bool watched;                /* by upstreams_tick */
-    int64_t presumed_crash_ms;   /* it was taken for ended then: it is listened for over older connections, 0: not */
-    uint32_t open;               /* connections */
-    upstream_conn_t* idle_conns; /* used last first */
-    double connect_ms;           /* learned, 0: unknown */
-    server_t* next;              /* of the pool */
+    bool watched;                /* upstreams_tick checks it */
+    int64_t presumed_crash_ms;   /* presumed crash; data on an older connection would disprove it; 0: none */
+    uint32_t open;               /* number of connections */
+    upstream_conn_t* idle_conns; /* most recently used first */
+    double connect_ms;           /* moving average of the time to connect; 0: unknown */
+    server_t* next;              /* in the pool */
 };
 
 struct pool_t {
     char name[CW_NAME_MAX];
-    char health[CW_NAME_MAX * 2]; /* path, "" none */
-    bool declared;                /* by the configuration in force */
+    char health[CW_NAME_MAX * 2]; /* path of the health check, "": none */
+    bool declared;                /* in the current configuration */
     upstreams_t* upstreams;
     cw_balance_t* balance;
-    uint32_t connections; /* that one server takes from all daemons, 0: no limit */
-    uint32_t slots;       /* of an engine, 0: none */
+    uint32_t connections; /* accepted by one server from all daemons; 0: no limit */
+    uint32_t slots;       /* per engine; 0: not engines */
     uint32_t memory_tokens;
-    double cold_per_s;        /* requests a second that a cold server bears from all daemons, 0: no limit */
-    double move_ms;           /* to fetch one token from another engine, 0: none can be fetched */
-    double logged_prefill_ms; /* reading pace in the log's last line on it, ms a token; 0: none yet */
+    double cold_per_s;        /* requests per second that all daemons may send to a cold server; 0: no limit */
+    double move_ms;           /* time to fetch one cached token from another engine; 0: not possible */
+    double logged_prefill_ms; /* prefill time per token as last logged; 0: not yet */
     cw_retry_window_t retries;
     server_t* servers;
-    cw_subset_t subset;             /* of the listed ones, that are used */
-    bool expired;                   /* one of its servers was missing for too long: to be listed anew */
-    uint32_t listed;                /* servers that are not gone and stand in no closed hall */
+    cw_subset_t subset;             /* the listed servers that are used */
+    bool expired;                   /* a server has expired, so the list of usable servers must be updated */
+    uint32_t listed;                /* servers that are not gone and whose hall is not closed */
     uint32_t ready;                 /* servers that may be chosen */
-    uint32_t waiting[CW_URGENCIES]; /* requests of this daemon without a place, by urgency */
+    uint32_t waiting[CW_URGENCIES]; /* this daemon's requests that wait for a slot, by urgency */
     pool_t* next;
 };
 
 typedef enum upstream_conn_failure_t {
-    UPSTREAM_CONN_UNREACHABLE = 0, /* no connection came up: nothing was sent */
+    UPSTREAM_CONN_UNREACHABLE = 0, /* not connected: nothing was sent */
     UPSTREAM_CONN_RESET,           /* reset by the server */
-    UPSTREAM_CONN_LOST,            /* nothing acknowledged in time */
-    UPSTREAM_CONN_CLOSED,          /* ended before the answer was whole */
-    UPSTREAM_CONN_MALFORMED        /* bytes that are no answer */
+    UPSTREAM_CONN_LOST,            /* the server acknowledged nothing in time */
+    UPSTREAM_CONN_CLOSED,          /* closed before the response was complete */
+    UPSTREAM_CONN_MALFORMED        /* the bytes received are no HTTP response */
 } upstream_conn_failure_t;
 
 typedef struct upstream_conn_handlers_t {
-    void (*on_open)(void* owner); /* connected: send now */
-    void (*on_head)(void* owner, const cw_message_t* answer);
+    void (*on_open)(void* owner); /* connected: the request may be sent */
+    void (*on_head)(void* owner, const cw_message_t* response);
     void (*on_body)(void* owner, const char* data, size_t size);
-    void (*on_complete)(void* owner);                                /* the answer's own end was seen */
-    void (*on_broken)(void* owner, upstream_conn_failure_t failure); /* the link is closed and freed */
+    void (*on_complete)(void* owner);                                /* the end of the response was received */
+    void (*on_broken)(void* owner, upstream_conn_failure_t failure); /* the connection is closed and freed */
 } upstream_conn_handlers_t;
 
 typedef struct upstreams_desc_t {
     struct ev_loop* loop;
     const cw_log_t* log;
     const dialect_t* dialect;
-    uint64_t hall; /* id of the own hall's name */
-    uint64_t host; /* own id */
+    uint64_t hall; /* hash of the own hall's name */
+    uint64_t host; /* id of this host */
     double retry_ratio, retry_slack;
     uint32_t retry_window_ms;
-    uint32_t max_links;   /* of this process */
-    uint32_t max_servers; /* of all pools that are known at once, default 4096; memory is taken as they come */
-    uint32_t rest_max_ms; /* a server that asks for a longer rest gets this, default 30 minutes */
-    /* Whether this daemon, and no other one, sends to the server while it is cold; NULL: it does. */
+    uint32_t max_links;   /* connections of this process to all servers */
+    uint32_t max_servers; /* known at the same time, in all pools; default 4096; memory grows with their number */
+    uint32_t rest_max_ms; /* longest backoff that a server can ask for; default 30 minutes */
+    /* Whether only this daemon sends to the server while it is cold. NULL: it does. */
     bool (*is_mine)(void* user_data, uint64_t server);
-    /* A server goes on over a connection that is older than its presumed_crash_ms. May be NULL. */
+    /* A server sent data on a connection that was opened before its presumed crash. May be NULL. */
     void (*on_alive)(void* user_data, const server_t* server);
-    /* The server held callers back, or does no more: the others are to hear of it. May be NULL. */
+    /* A server's advertised rate changed, or it announced that it leaves; notify the other hosts. May be NULL. */
     void (*on_pushback)(void* user_data, const server_t* server);
-    /* A place may have come free in the pool. */
+    /* A slot may be free in the pool. */
     void (*on_room)(void* user_data, pool_t* pool);
     void* user_data;
 } upstreams_desc_t;
 
 upstreams_t* upstreams_setup(const upstreams_desc_t* desc);
 void upstreams_shutdown(upstreams_t* u);
-/* Pools as declared; those that are gone stay until their last server is. The list of servers is to be set again. */
+/* Creates and updates the declared pools. Others get no new servers. Call upstreams_set_servers afterwards. */
 void upstreams_set_catalog(upstreams_t* u, const cw_catalog_t* catalog);
-/* Servers as published. after_outage: nothing was known of the source for long before; entries that lapsed meanwhile
-   are given time to come back. Returns how many changed. */
+/* Applies a server list. after_outage: the source was unavailable for long before, so servers that are missing from the
+   list get time to be listed again. Returns the number of servers that changed. */
 uint32_t upstreams_set_servers(upstreams_t* u, int64_t now_ms, const cw_servers_t* list, bool after_outage);
-/* Most daemons that were ever known at once: they share connections and repeats. */
+/* Highest number of daemons ever known at the same time. Limits on connections and retries are divided by it. */
 void upstreams_set_daemons(upstreams_t* u, uint32_t daemons);
-/* The daemons that live; their ids must stay until the next call. */
+/* The live daemons. Their ids must stay valid until the next call. */
 void upstreams_set_fleet(upstreams_t* u, const cw_fleet_t* fleet);
 pool_t* upstreams_pool(const upstreams_t* u, const char* name);
 pool_t* upstreams_pools(const upstreams_t* u);
 server_t* upstreams_server(const upstreams_t* u, uint64_t key);
-/* Logs a suspicion of the server that began or ended since before was asked of cw_balance_suspected. host: whose word
-   changed it, 0 this host's own. */
+/* Logs the start or end of a suspicion, if it differs from before, an earlier result of cw_balance_suspected. host: id
+   of the host whose report changed it, 0: this host. */
 void server_log_life(const server_t* server, int64_t now_ms, bool before, uint64_t host);
-/* Logs the rate that the server named where it differs from the one in force before; host as above. */
+/* Logs the advertised rate of the server if it differs from the earlier one; host as above. */
 void server_log_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host);
-/* What the server said of itself names another start: this life of it is over. True: it was not known to be. */
+/* The server has reported its start time. If it belongs to another incarnation, retires this one and returns true. */
 bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
-/* This life of the server said itself that it leaves: whatever the source goes on saying, it gets nothing new. */
-void upstreams_mark_draining(upstreams_t* u, int64_t now_ms, server_t* server);
-/* This life of the server is taken to be over, until a list of the source says otherwise. */
+/* This incarnation has announced that it stops: it gets no new requests, whatever the source lists. */
+void upstreams_mark_leaving(upstreams_t* u, int64_t now_ms, server_t* server);
+/* Takes this incarnation for over until a server list says otherwise. */
 void upstreams_leaves(upstreams_t* u, int64_t now_ms, server_t* server);
-/* The machine was suspended: connections at rest may have ended without a sign. */
+/* The host resumed from suspend: closes idle connections, which servers may have closed meanwhile without notice. */
 void upstreams_on_wake(upstreams_t* u);
-/* Closes idle connections in time and probes servers that are away. */
+/* Closes expired idle connections, removes expired servers and probes unreachable ones. */
 void upstreams_tick(upstreams_t* u, int64_t now_ms);
 uint32_t upstreams_links(const upstreams_t* u);
 uint64_t upstreams_connects(const upstreams_t* u);
-/* Times that a server of the list found no place. */
+/* How often a listed server was rejected because max_servers were known. */
 uint64_t upstreams_refused(const upstreams_t* u);
-/* A request found no place in the part of the pool that is used: a larger part is, from now on. False: it is the whole
-   pool, or was widened a moment ago. */
+/* Uses a larger subset of the pool, because a request found no free slot in the current one. False: the whole pool is
+   used already, or the subset was expanded a moment ago. */
 bool upstreams_expand_subset(pool_t* pool, int64_t now_ms);
 
-/* A connection to the server: an idle one, or a new one that calls on_open later. once: the request may not be sent
-   twice, so a connection that rested long is not used. NULL: no connection may be had now. */
+/* Returns an idle connection, or a new one that calls on_open later. once: the request must not be sent twice, so no
+   connection is used that has been idle for long. NULL: the limit of connections is reached, or connecting failed. */
 upstream_conn_t* upstream_conn_acquire(server_t* server, const upstream_conn_handlers_t* handlers, void* owner,
                                        bool once);
-bool upstream_conn_is_open(const upstream_conn_t* link);
-/* Sends a request. */
-void upstream_conn_send(upstream_conn_t* link, const char* request_id, bool bodiless, const cw_buffer_t* head,
+bool upstream_conn_is_open(const upstream_conn_t* conn);
+/* Sends a request. bodiless: its response has no body, whatever its head says. */
+void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool bodiless, const cw_buffer_t* head,
                         const void* body, size_t size);
-void upstream_conn_pause(upstream_conn_t* link, bool paused);
-/* The owner's use ends after on_complete: the connection is kept where it is sound. */
-void upstream_conn_release(upstream_conn_t* link);
-/* Cuts the connection. */
-void upstream_conn_close(upstream_conn_t* link);
+void upstream_conn_pause(upstream_conn_t* conn, bool paused);
+/* Ends the owner's use after on_complete. The connection is kept open for reuse where possible. */
+void upstream_conn_release(upstream_conn_t* conn);
+/* Closes the connection without completing the response. */
+void upstream_conn_close(upstream_conn_t* conn);
 
 #endif
--- a/gateway/upstream_parts.h
+++ b/gateway/upstream_parts.h
@@ -1,14 +1,14 @@
 #ifndef CW_GATEWAY_UPSTREAM_PARTS_H
 #define CW_GATEWAY_UPSTREAM_PARTS_H
 /*
-    What the parts of the upstreams share: upstream.c knows the pools, their servers and their probes, link.c the
-    connections to one server.
+    Internal interface between the parts of upstreams: upstream.c manages pools, servers and probes, link.c the
+    connections to one server, pushback.c what servers announce in their responses.
 */
 #include "../chalkway_map.h"
 #include "upstream.h"
 
-#define DRAINED_MAX 1024
-#define SERVERS_MAX_DEFAULT 4096 /* bound of all pools' servers where the description gives none */
+#define LEAVING_KEYS_MAX 1024
+#define SERVERS_MAX_DEFAULT 4096 /* default of upstreams_desc_t.max_servers */
 
 struct upstream_conn_t {
     server_t* server;
@@ -18,13 +18,13 @@
     cw_message_t response;
     char request_id[CW_NAME_MAX * 2];
     bool is_request_sent;
-    int64_t sent_ms;  /* the request, 0: no one yet */
-    bool is_skipping; /* the answer being read belongs to an earlier request */
-    bool must_close;  /* not to be used again */
-    bool closed;      /* closed; freed with the next tick, since it may still be read from */
+    int64_t sent_ms;  /* when the request was sent; 0: none yet */
+    bool is_skipping; /* the response being read belongs to an earlier request */
+    bool must_close;  /* must not be reused */
+    bool closed;      /* freed by the next upstreams_tick, because its data may still be in use */
     int64_t opened_ms;
-    int64_t idle_since_ms;    /* idle since */
-    uint32_t idle_timeout_ms; /* that the server keeps it idle */
+    int64_t idle_since_ms;
+    uint32_t idle_timeout_ms; /* time for which the server keeps an idle connection open */
     ev_timer connect_timer;
     upstream_conn_t* next_conn;
 };
@@ -32,44 +32,44 @@
 struct upstreams_t {
     upstreams_desc_t desc;
     pool_t* pools;
-    cw_map_t by_key;    /* a server's key to its place */
-    cw_map_t by_name;   /* its name to the place of its present life */
-    server_t** servers; /* by place, NULL: free; those that are gone but still used among them */
-    uint32_t capacity;  /* places for which there is memory */
+    cw_map_t by_key;    /* server key to index */
+    cw_map_t by_name;   /* hash of the server id to the index of its current incarnation */
+    server_t** servers; /* by index, NULL: free; includes servers that are gone but still in use */
+    uint32_t capacity;  /* allocated indexes */
     uint32_t* free_indexes;
     uint32_t free_count;
     uint64_t rejected_total;
-    uint64_t rejected_unlogged; /* servers of the list for which there was no place, since the last line on them */
-    int64_t rejected_logged_ms; /* when that was, 0: never */
-    server_t** watched;         /* that upstreams_tick looks at; room for capacity */
+    uint64_t rejected_unlogged; /* rejected since the last log line about it */
+    int64_t rejected_logged_ms; /* time of that line; 0: never */
+    server_t** watched;         /* checked by upstreams_tick; has room for capacity */
     uint32_t watched_count;
-    uint64_t drained[DRAINED_MAX]; /* keys of lives that said they leave and are known no more, as a ring */
-    uint32_t drained_next;
-    upstream_conn_t* closed; /* to be freed */
+    uint64_t leaving_keys[LEAVING_KEYS_MAX]; /* ring of the keys of leaving incarnations that were freed */
+    uint32_t leaving_next;
+    upstream_conn_t* closed; /* list of connections to be freed */
     uint32_t daemons;
-    cw_fleet_t fleet; /* daemons that live */
+    cw_fleet_t fleet; /* live daemons */
     uint32_t conn_total;
     uint64_t connects;
-    bool is_configured; /* which pools there are is known */
+    bool is_configured; /* a configuration has been set, so the declared pools are known */
 };
 
 /* -- pushback.c ----------------------------------------------------------- */
 
-/* The head of any answer that came over a connection to the server, interim ones too. sent_ms: when the request that it
-   answers was sent, at the latest. */
+/* Evaluates the head of any response from the server, interim responses included. sent_ms: when the request of this
+   response was sent, or an earlier time if that is unknown. */
 void server_read_pushback(server_t* s, const cw_message_t* head, int64_t sent_ms);
 
 /* -- upstream.c ----------------------------------------------------------- */
 
-/* upstreams_tick looks at the server from now on, until it has no connection at rest and is neither gone nor missing:
-   most servers of a large fleet are like that. */
+/* Has upstreams_tick check the server until it has no idle connection and is neither gone nor missing from the list, as
+   most servers of a large fleet are. */
 void server_watch(server_t* s);
 
 /* -- link.c --------------------------------------------------------------- */
 
-/* Closes the server's connections at rest: all of them, or those that rested for too long. */
+/* Closes the idle connections to the server: all, or those whose idle timeout has passed. */
 void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool all);
-/* Frees the connections that were closed. None of them may be in use further up the stack. */
+/* Frees closed connections. No function further up the stack may use one of them. */
 void upstream_conn_free_closed(upstreams_t* u);
 
 #endif
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -46,7 +46,7 @@
     cw_log_t log;
     upstreams_t* upstreams;
     quarantine_t* quarantine;
-    uint32_t marks_told;
+    uint32_t observations_published;
     exchanges_t* exchanges;
     front_t* front;
     cw_catalog_t* catalog;
@@ -194,7 +194,7 @@
     rig_t* r = user;
     if (work && r->departing) {
         r->departing--;
-        upstreams_mark_draining(r->upstreams, clock_ms(), upstreams_server(r->upstreams, server->key));
+        upstreams_mark_leaving(r->upstreams, clock_ms(), upstreams_server(r->upstreams, server->key));
     }
 }
 
@@ -203,9 +203,9 @@
     ((rig_t*)user)->life_told++;
 }
 
-static inline void rig_on_mark(void* user, const cw_mark_t* mark) {
-    (void)mark;
-    ((rig_t*)user)->marks_told++;
+static inline void rig_on_mark(void* user, const cw_mark_t* observation) {
+    (void)observation;
+    ((rig_t*)user)->observations_published++;
 }
 
 static inline void rig_on_held(void* user, const cw_fingerprint_t* request) {
--- a/tests/test_deadly.c
+++ b/tests/test_deadly.c
@@ -162,9 +162,9 @@
     quarantine_write(r->quarantine, &list);
     ck_assert(strstr(cw_buffer_text(&list), fingerprint_hex) && strstr(cw_buffer_text(&list), "\"held\""));
     ck_assert(!quarantine_release(r->quarantine, "77", "0"));
-    uint32_t told = r->marks_told;
+    uint32_t told = r->observations_published;
     ck_assert(quarantine_release(r->quarantine, fingerprint_hex, "0"));
-    ck_assert_uint_eq(r->marks_told, told + 1);
+    ck_assert_uint_eq(r->observations_published, told + 1);
     expect_status(ask(r, "q2", "the same"), "200");
     cw_buffer_free(&list);
     rig_shutdown(r);
