--- a/gateway/clock.h
+++ b/gateway/clock.h
@@ -2,7 +2,7 @@
 #define CW_GATEWAY_CLOCK_H
 #include "../io/clock.h"
 
-/* Milliseconds on the clock that counts suspended time. */
+/* Milliseconds of the clock that also counts while the host is suspended. */
 static inline int64_t clock_ms(void) {
     return cw_clock_ms();
 }
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -9,7 +9,7 @@
 #include "../io/message.h"
 
 #define ADDRESSES_MAX 64
-#define SERIES_MAX 64 /* routes, and workspaces, that are counted on their own */
+#define SERIES_MAX 64 /* routes, and also workspaces, with metrics of their own, including "other" */
 #define OUTCOMES_MAX 8
 #define IDLE_S 30
 #define MS_PER_S 1000.0
@@ -20,7 +20,7 @@
     cw_hist_t first_ms, took_ms;
 } series_t;
 
-/* Routes or workspaces; the last place is "other". */
+/* Routes or workspaces. The last of SERIES_MAX items is "other". */
 typedef struct series_list_t {
     uint32_t count;
     series_t* items;
@@ -34,7 +34,7 @@
     series_list_t routes, workspaces;
 };
 
-/* -- counting ------------------------------------------------------------- */
+/* -- metrics -------------------------------------------------------------- */
 
 static series_t* series_get(series_list_t* series_list, const char* name) {
     for (uint32_t i = 0; i < series_list->count; i++) {
@@ -100,7 +100,7 @@
     }
 }
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
 static void handle_ready(cw_exchange_t* x, void* user) {
     directory_t* d = user;
@@ -109,7 +109,7 @@
     cw_exchange_reply(x, status, NULL, 0, "", 0);
 }
 
-/* Body of a lookup answer in the dialect's spelling, to be freed by free(). */
+/* Body of a lookup response in the dialect's names, to be freed by free(). */
 static char* lookup_body(const dialect_t* dialect, const char* const* addresses, uint32_t count, uint32_t keep_ms) {
     json_t* list = json_array();
     for (uint32_t i = 0; i < count; i++) {
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -8,16 +8,16 @@
 #include "clock.h"
 
 #define SETTLE_DELAY_MS 300
-#define MAX_CALLS 2              /* at once: an engine's list may be long, and this host has work */
-#define CALL_TIMEOUT_MS 1000     /* longest time for an engine's list */
-#define CONNECT_TIMEOUT_MS 300   /* longest time to connect to it */
+#define MAX_CALLS 2            /* at the same time: an engine's list may be long, and this host has requests to serve */
+#define CALL_TIMEOUT_MS 1000   /* longest time for one engine's list */
+#define CONNECT_TIMEOUT_MS 300 /* longest time to connect to an engine */
 #define LIST_MAX_BYTES (1 << 20) /* a longer list is not read */
-#define IDLE_CLIENTS 1           /* connections kept: each engine is asked once */
+#define IDLE_CLIENTS 1           /* idle connections kept, few since each engine is queried once */
 
 typedef struct call_t {
     inventory_t* inventory;
     uint64_t server;
-    cw_call_t* call; /* NULL: free */
+    cw_call_t* call; /* NULL: not in use */
     cw_buffer_t body;
     unsigned status;
 } call_t;
@@ -25,24 +25,24 @@
 struct inventory_t {
     inventory_desc_t desc;
     cw_client_t* client;
-    int64_t engines_known_ms; /* servers are known since, 0: not yet */
+    int64_t engines_known_ms; /* since when engines are known; 0: not yet */
     uint64_t* pending;
     uint32_t pending_count;
-    uint32_t max_parts; /* parts of one engine that are learned */
-    bool is_listed;     /* the servers to ask stand in waiting */
+    uint32_t max_parts; /* recorded of one engine */
+    bool is_listed;     /* pending holds the engines to query */
     call_t calls[MAX_CALLS];
     inventory_stats_t stats;
 };
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
 typedef struct parts_t {
     cw_work_part_t items[INVENTORY_PARTS_PER_ENGINE];
-    uint32_t max_parts; /* that are kept in items, as a ring: the last ones */
-    uint32_t count;     /* of all that were read */
+    uint32_t max_parts; /* size of the ring in items, which keeps the last parts */
+    uint32_t count;     /* all parts that were read */
 } parts_t;
 
-/* Without its tokens: the engine has read them before, and forgets nothing else for them now. */
+/* Records a part with 0 tokens: the engine has computed it before, and evicts nothing for it now. */
 static void add_part(void* user, const cw_work_part_t* part) {
     parts_t* parts = user;
     parts->items[parts->count++ % parts->max_parts] = (cw_work_part_t){.id = part->id};
@@ -103,7 +103,7 @@
     cw_buffer_free(&c->body);
 }
 
-/* -- asking --------------------------------------------------------------- */
+/* -- queries -------------------------------------------------------------- */
 
 static void start_call(inventory_t* v, call_t* c, const server_t* server) {
     char url[256];
@@ -128,7 +128,7 @@
     return false;
 }
 
-/* The engines that this daemon is to ask, as the fleet stands now. */
+/* Lists the engines that this daemon owns, for the fleet as it is known now. */
 static void list_owned_engines(inventory_t* v) {
     uint32_t engines = 0;
     v->is_listed = true;
@@ -150,8 +150,8 @@
     v->max_parts = part < 1 ? 1 : part > INVENTORY_PARTS_PER_ENGINE ? INVENTORY_PARTS_PER_ENGINE : part;
 }
 
-/* Uses the free calls; returns how many are under way. Whose an engine is, is asked again: as this host hears of more
-   peers, engines fall to them. */
+/* Starts queries while calls are free; returns how many are in progress. Ownership is checked again, because engines
+   pass to other hosts as this one gets to know more peers. */
 static uint32_t start_pending_calls(inventory_t* v) {
     uint32_t busy = 0;
     for (uint32_t i = 0; i < MAX_CALLS; i++) {
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -1,12 +1,12 @@
 #ifndef CW_GATEWAY_INVENTORY_H
 #define CW_GATEWAY_INVENTORY_H
 /*
-    Prefix cache inventory. A daemon that starts knows nothing of the parts of prompts that engines keep, and when the
-    whole fleet has started anew, neither does any other: prompts would be read again that an engine still has. So each
-    daemon asks some engines for their list once, soon after its start; each engine is asked by one of the daemons that
-    live then. What comes back is learned here and told to the peers.
+    Prefix cache inventory. A daemon that starts does not know which prompt parts the engines have cached. After a
+    restart of the whole fleet no other daemon knows it either, and prompts would be prefilled again although an engine
+    still has them cached. So each daemon queries the cache lists of some engines once, soon after its start. Each
+   engine is queried by the live daemon that owns it. That daemon records the list and publishes it to its peers.
 
-    It asks no second time: what is sent to the engines later is learned from requests.
+    No engine is queried again: later prompts are recorded as requests are sent.
 */
 #include <ev.h>
 
@@ -14,22 +14,22 @@
 #include "dialect.h"
 #include "upstream.h"
 
-#define INVENTORY_PARTS_PER_ENGINE 512 /* most parts of one engine that are learned: the last ones of its list */
-#define INVENTORY_PARTS_TOTAL 8192 /* most parts of all engines together: half of what chalkway_balance.h remembers */
+#define INVENTORY_PARTS_PER_ENGINE 512 /* recorded of one engine: the last ones of its list */
+#define INVENTORY_PARTS_TOTAL 8192     /* recorded of all engines together; less than max_parts of chalkway_balance.h */
 
 typedef struct inventory_t inventory_t;
 
 typedef struct inventory_desc_t {
     struct ev_loop* loop;
     const cw_log_t* log;
-    const dialect_t* dialect; /* one without an inventory call: nothing is ever asked */
+    const dialect_t* dialect; /* without an inventory_path nothing is queried */
     upstreams_t* upstreams;
-    uint32_t settle_ms; /* from the first list of servers until it asks, default 300 */
-    /* Whether this daemon knows its peers: until then it would take the engines of others for its own. */
-    bool (*is_settled)(void* user_data); /* NULL: it has none */
-    /* Whether this daemon is the one to ask the server. */
+    uint32_t settle_ms; /* delay from the first known engine to the queries, default 300 */
+    /* Whether this daemon knows its peers. Until then it would take the engines of other daemons for its own. */
+    bool (*is_settled)(void* user_data); /* NULL: it has no peers */
+    /* Whether this daemon is the one that queries the server. */
     bool (*is_mine)(void* user_data, uint64_t server);
-    /* The engine keeps these parts. */
+    /* The engine has these parts cached. */
     void (*on_parts)(void* user_data, server_t* server, const cw_work_part_t* parts, uint32_t count);
     void* user_data;
 } inventory_desc_t;
