--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -2,8 +2,8 @@
 #define CW_GATEWAY_DIALECT_H
 /*
     The names that requests, responses, host lookups and the configuration source use on the wire. A dialect only maps
-    names; all decisions are the gateway's. dialect_native is chalkway's own. A program that uses another dialect passes
-    it to gateway_main.
+    names; all decisions are the gateway's. dialect_native is chalkway's own. A program that uses another dialect
+    passes it to gateway_main.
 */
 #include "../chalkway_balance.h"
 #include "../chalkway_servers.h"
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -1,8 +1,10 @@
 #ifndef CW_GATEWAY_EXCHANGE_H
 #define CW_GATEWAY_EXCHANGE_H
-/* Request/response exchanges between callers and servers. chalkway_request.h decides what may be retried and which
-   outcome may be reported, chalkway_balance.h chooses the server; this module connects both to the caller's and the
-   server's connection. */
+/*
+    Request/response exchanges between callers and servers. chalkway_request.h decides what may be retried and which
+    outcome may be reported, chalkway_balance.h chooses the server. This module connects both to the caller's and the
+    server's connection.
+*/
 #include "../chalkway_catalog.h"
 #include "front.h"
 #include "quarantine.h"
--- a/gateway/exchange_parts.h
+++ b/gateway/exchange_parts.h
@@ -1,9 +1,11 @@
 #ifndef CW_GATEWAY_EXCHANGE_PARTS_H
 #define CW_GATEWAY_EXCHANGE_PARTS_H
-/* Internal interface between the parts of an exchange. exchange.c owns the lifetime of a request, its timer and its
-   final response. seek.c assigns a server, queues the request or refuses it. transfer.c sends the request and forwards
-   the response. Every state change goes through exchange_handle_event. That function may free the exchange, and so may
-   every function that calls it. */
+/*
+    Internal interface between the parts of an exchange. exchange.c owns the lifetime of a request, its timer and its
+    final response. seek.c assigns a server, queues the request or refuses it. transfer.c sends the request and
+    forwards the response. Every state change goes through exchange_handle_event. That function may free the exchange,
+    and so may every function that calls it.
+*/
 #include "../chalkway_events.h"
 #include "../chalkway_fingerprint.h"
 #include "../chalkway_request.h"
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -2,9 +2,10 @@
 #define CW_GATEWAY_INVENTORY_H
 /*
     Prefix cache inventory. A daemon that starts does not know which prompt parts the engines have cached. After a
-    restart of the whole fleet no other daemon knows it either, and prompts would be prefilled again although an engine
-    still has them cached. So each daemon queries the cache lists of some engines once, soon after its start. Each
-   engine is queried by the live daemon that owns it. That daemon records the list and publishes it to its peers.
+    restart of the whole fleet no other daemon knows it either, and prompts would be prefilled again although an
+    engine still has them cached. So each daemon queries the cache lists of some engines once, soon after its start.
+    Each engine is queried by the live daemon that owns it. That daemon records the list and publishes it to its
+    peers.
 
     No engine is queried again: later prompts are recorded as requests are sent.
 */
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -4,8 +4,8 @@
     Quarantine of requests that crash servers (chalkway_quarantine.h), at this daemon. It derives observations from
     this daemon's broken connections and publishes them, applies those of other daemons and logs changed verdicts.
 
-    A connection that breaks while a request runs counts as a crash of the server at once. The crash is revoked when the
-    server sends data on a connection that was opened before: then the connection broke, and not the server.
+    A connection that breaks while a request runs counts as a crash of the server at once. The crash is revoked when
+    the server sends data on a connection that was opened before: then the connection broke, and not the server.
 */
 #include "../chalkway_log.h"
 #include "../chalkway_quarantine.h"
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -5,11 +5,11 @@
 
     A server process is identified by its id and its start time. Each incarnation of a server is a server_t of its own
     with its own key, so that what is known, reported or done for one incarnation is not attributed to another. The
-    current incarnation follows from the server list: the one listed at the later revision of the source or, where that
-    does not decide, the one that started later. Servers of pools that the configuration does not declare are ignored.
-    The connections to a server are limited to this daemon's share of what the server accepts from all daemons. A
-    response belongs to a request only if it repeats the request's id: a response to an earlier request is skipped, and
-    bytes after a response end the connection.
+    current incarnation follows from the server list: the one listed at the later revision of the source or, where
+    that does not decide, the one that started later. Servers of pools that the configuration does not declare are
+    ignored. The connections to a server are limited to this daemon's share of what the server accepts from all
+    daemons. A response belongs to a request only if it repeats the request's id: a response to an earlier request is
+    skipped, and bytes after a response end the connection.
 */
 #include <ev.h>
 
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -1,8 +1,8 @@
 #ifndef CW_TEST_RIG_H
 #define CW_TEST_RIG_H
 /*
-    A gateway's data path in the test's own loop: callers' side, exchanges, servers. The servers are scripted here: each
-    arrival takes the next step of the script, in order of arrival over all servers. All ports are the kernel's.
+    Test rig: the gateway's data path with one caller and scripted servers, all in one event loop. Each request that
+    arrives at any server takes the next step of the script. All ports are assigned by the kernel.
 */
 #include <ev.h>
 #include <stdio.h>
@@ -16,18 +16,18 @@
 
 #define RIG_SERVERS 3
 #define RIG_STEPS 16
-#define RIG_GIVE_UP_S 5.0 /* a test that waits longer fails */
+#define RIG_TIMEOUT_S 5.0 /* a test that waits longer fails */
 
-typedef enum rig_act_t {
-    RIG_ANSWER = 0,   /* text, then keep the connection */
-    RIG_ANSWER_CLOSE, /* text, then close in order */
-    RIG_ANSWER_RESET, /* text, then reset */
-    RIG_SILENT        /* nothing */
-} rig_act_t;
+typedef enum rig_action_t {
+    RIG_ANSWER = 0,   /* send text, keep the connection open */
+    RIG_ANSWER_CLOSE, /* send text, then close the connection */
+    RIG_ANSWER_RESET, /* send text, then reset the connection */
+    RIG_SILENT        /* send nothing */
+} rig_action_t;
 
-/* One arrival's treatment. "@ID@" in the text stands for the request's id. */
+/* What a server does with one request. "@ID@" in text is replaced by the request's id. */
 typedef struct rig_step_t {
-    rig_act_t act;
+    rig_action_t action;
     const char* text;
 } rig_step_t;
 
@@ -50,26 +50,25 @@
     exchanges_t* exchanges;
     front_t* front;
     cw_catalog_t* catalog;
-    uint32_t departing; /* so many servers say that they leave just as they were chosen, before a connection is up */
-    uint32_t life_told; /* times that a failed connection, or life against a suspicion, was told to others */
+    uint32_t leaving_count;    /* the next servers chosen announce leaving before they are connected */
+    uint32_t liveness_reports; /* calls of on_life */
     int listen_fds[RIG_SERVERS];
     ev_io accept_ios[RIG_SERVERS];
     char addresses[RIG_SERVERS][CW_ADDR_TEXT];
     rig_conn_t conns[64];
     uint32_t conn_count;
     rig_step_t steps[RIG_STEPS];
-    uint32_t step_count, step_at;
-    char arrivals[RIG_STEPS][4096]; /* heads and bodies as they came */
+    uint32_t step_count, next_step;
+    char arrivals[RIG_STEPS][4096]; /* requests as received, heads and bodies */
     uint32_t arrival_server[RIG_STEPS];
     int64_t arrival_ms[RIG_STEPS];
     uint32_t arrival_count;
-    uint32_t closed_by_gateway; /* connections with an arrival that the gateway ended */
-    /* the caller */
+    uint32_t closed_by_gateway; /* connections with a request that the gateway closed */
     cw_stream_t caller;
     cw_buffer_t answer;
     bool caller_open;
-    bool stop_on_answer; /* end the loop when a whole answer is there */
-    ev_timer give_up, tick;
+    bool stop_on_answer; /* leave the event loop when the response is complete */
+    ev_timer timeout_timer, tick;
 };
 
 static inline void rig_ignore_line(const char* line, void* user) {
@@ -99,16 +98,16 @@
         }
     }
     cw_stream_flush(&c->stream);
-    if (step->act == RIG_ANSWER_CLOSE) {
+    if (step->action == RIG_ANSWER_CLOSE) {
         c->open = false;
         cw_stream_close(&c->stream);
-    } else if (step->act == RIG_ANSWER_RESET) {
+    } else if (step->action == RIG_ANSWER_RESET) {
         c->open = false;
         cw_stream_abort(&c->stream);
     }
 }
 
-static inline bool rig_request_whole(const char* text) {
+static inline bool rig_is_request_complete(const char* text) {
     const char* end = strstr(text, "\r\n\r\n");
     if (!end) {
         return false;
@@ -125,15 +124,15 @@
     rig_conn_t* c = owner;
     rig_t* r = c->rig;
     cw_buffer_add(&c->in, data, size);
-    if (!rig_request_whole(c->in.data)) {
+    if (!rig_is_request_complete(c->in.data)) {
         return;
     }
-    ck_assert_msg(r->arrival_count < RIG_STEPS && r->step_at < r->step_count, "an arrival beyond the script: %s",
+    ck_assert_msg(r->arrival_count < RIG_STEPS && r->next_step < r->step_count, "an arrival beyond the script: %s",
                   c->in.data);
     snprintf(r->arrivals[r->arrival_count], sizeof(r->arrivals[0]), "%s", c->in.data);
     r->arrival_ms[r->arrival_count] = clock_ms();
     r->arrival_server[r->arrival_count++] = c->server;
-    const rig_step_t* step = &r->steps[r->step_at++];
+    const rig_step_t* step = &r->steps[r->next_step++];
     rig_send_step(c, step, r->arrivals[r->arrival_count - 1]);
     cw_buffer_free(&c->in);
 }
@@ -162,7 +161,7 @@
     cw_stream_accept(&c->stream, loop, fd, &rig_server_handlers, c);
 }
 
-/* -- the gateway's parts -------------------------------------------------- */
+/* -- the gateway ---------------------------------------------------------- */
 
 static inline front_limits_t rig_limits(void* user) {
     const cw_catalog_t* catalog = ((rig_t*)user)->catalog;
@@ -192,15 +191,15 @@
 
 static inline void rig_on_load(void* user, const server_t* server, const cw_work_t* work) {
     rig_t* r = user;
-    if (work && r->departing) {
-        r->departing--;
+    if (work && r->leaving_count) {
+        r->leaving_count--;
         upstreams_mark_leaving(r->upstreams, clock_ms(), upstreams_server(r->upstreams, server->key));
     }
 }
 
 static inline void rig_on_life(void* user, const server_t* server) {
     (void)server;
-    ((rig_t*)user)->life_told++;
+    ((rig_t*)user)->liveness_reports++;
 }
 
 static inline void rig_on_mark(void* user, const cw_mark_t* observation) {
@@ -216,7 +215,7 @@
     quarantine_on_alive(((rig_t*)user)->quarantine, server);
 }
 
-static inline void rig_give_up(struct ev_loop* loop, ev_timer* w, int events) {
+static inline void rig_on_timeout(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     rig_t* r = w->data;
@@ -243,7 +242,7 @@
     exchanges_set_catalog(r->exchanges, catalog);
 }
 
-/* The servers "s0", "s1", ... of pool "p", all in hall "a". leaving: a bit for each. */
+/* The servers "s0", "s1", ... of pool "p" in hall "a". leaving: one bit for each server. */
 static inline void rig_list(const rig_t* r, cw_servers_t* list, uint32_t count, uint32_t leaving) {
     for (uint32_t i = 0; i < count; i++) {
         cw_server_t s = {.slots = 4, .leaving = (leaving >> i) & 1U};
@@ -255,7 +254,7 @@
     }
 }
 
-/* They are published at a time. Returns how many changed. */
+/* Publishes this list at time now_ms. Returns how many servers changed. */
 static inline uint32_t rig_set_servers_at(rig_t* r, int64_t now_ms, uint32_t count, uint32_t leaving,
                                           bool after_outage) {
     cw_servers_t list = {0};
@@ -269,7 +268,7 @@
     return rig_set_servers_at(r, 1000, count, leaving, false);
 }
 
-/* document NULL: the gateway has no configuration, and has been without for long after a few ms. */
+/* document NULL: the gateway has no configuration, and its startup grace period is over after 1 ms. */
 static inline rig_t* rig_setup(const char* document, uint32_t servers) {
     rig_t* r = calloc(1, sizeof(*r));
     cw_error_t err = {0};
@@ -323,9 +322,9 @@
                                            .user_data = r},
                            &err);
     ck_assert_msg(r->front != NULL, "%s", cw_error_text(&err).text);
-    ev_timer_init(&r->give_up, rig_give_up, RIG_GIVE_UP_S, 0.0);
+    ev_timer_init(&r->timeout_timer, rig_on_timeout, RIG_TIMEOUT_S, 0.0);
     ev_timer_init(&r->tick, rig_tick, 0.01, 0.01);
-    r->give_up.data = r->tick.data = r;
+    r->timeout_timer.data = r->tick.data = r;
     ev_timer_start(r->loop, &r->tick);
     return r;
 }
@@ -333,12 +332,12 @@
 static inline void rig_script(rig_t* r, const rig_step_t* steps, uint32_t count) {
     memcpy(r->steps, steps, count * sizeof(*steps));
     r->step_count = count;
-    r->step_at = r->arrival_count = 0;
+    r->next_step = r->arrival_count = 0;
 }
 
 /* -- the caller ----------------------------------------------------------- */
 
-/* Whether the text is a whole answer: by length, or by its last chunk. */
+/* Whether the text is a complete response: by its length, or by its last chunk. */
 static inline bool rig_answer_whole(const char* text) {
     const char* end = strstr(text, "\r\n\r\n");
     if (!end) {
@@ -369,11 +368,11 @@
 static const cw_stream_handlers_t rig_caller_handlers = {.on_data = rig_caller_data, .on_end = rig_caller_end};
 
 static inline void rig_run(rig_t* r) {
-    ev_timer_stop(r->loop, &r->give_up);
-    ev_timer_set(&r->give_up, RIG_GIVE_UP_S, 0.0);
-    ev_timer_start(r->loop, &r->give_up);
+    ev_timer_stop(r->loop, &r->timeout_timer);
+    ev_timer_set(&r->timeout_timer, RIG_TIMEOUT_S, 0.0);
+    ev_timer_start(r->loop, &r->timeout_timer);
     ev_run(r->loop, 0);
-    ev_timer_stop(r->loop, &r->give_up);
+    ev_timer_stop(r->loop, &r->timeout_timer);
 }
 
 static inline void rig_write(rig_t* r, const char* text) {
@@ -399,8 +398,8 @@
     (void)end;
 }
 
-/* A further caller sends a request over a connection of its own; what comes back is not looked at. */
-static inline void rig_send_beside(rig_t* r, cw_stream_t* caller, const char* text) {
+/* Sends a request over another connection. Its response is ignored. */
+static inline void rig_send_from_other_caller(rig_t* r, cw_stream_t* caller, const char* text) {
     static const cw_stream_handlers_t handlers = {.on_data = rig_ignore_data, .on_end = rig_ignore_end};
     struct sockaddr_in address;
     cw_addr_parse(front_address(r->front), &address, NULL);
@@ -409,7 +408,7 @@
     cw_stream_flush(caller);
 }
 
-/* Sends a request on the kept connection and waits for the whole answer, or the connection's end. */
+/* Sends a request on the caller's connection. Returns when the response is complete or the connection has ended. */
 static inline const char* rig_call(rig_t* r, const char* text) {
     r->stop_on_answer = true;
     rig_write(r, text);
@@ -417,7 +416,7 @@
     return cw_buffer_text(&r->answer);
 }
 
-static inline void rig_leave(rig_t* r) {
+static inline void rig_disconnect(rig_t* r) {
     cw_stream_close(&r->caller);
     r->caller_open = false;
 }
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,4 +1,4 @@
-/* What the configuration allows a request, and how urgent servers are told that it is. */
+/* Admission of requests by the configuration, and the urgency that servers are sent. */
 #include <stdio.h>
 
 #include "../gateway/admission.h"
@@ -17,12 +17,12 @@
                      "[\"k1\"],\"tier\":1},"                                                                           \
                      "{\"name\":\"own\",\"keys\":[\"k2\"]},{\"name\":\"low\",\"keys\":[\"k7\"],\"tier\":7}]}"
 
-static void no_handler(void* owner) {
+static void ignore_head(void* owner) {
     (void)owner;
 }
 
-static admission_t judged(const char* route, const char* key) {
-    static const cw_message_handlers_t handlers = {.on_head = no_handler};
+static admission_t admit(const char* route, const char* key) {
+    static const cw_message_handlers_t handlers = {.on_head = ignore_head};
     cw_catalog_t* catalog = cw_catalog_read(CATALOG, strlen(CATALOG), NULL);
     cw_message_t m;
     char text[256];
@@ -38,41 +38,41 @@
     return a;
 }
 
-/* Workspaces with a priority of their own send all kinds of work with it. Servers preempt among equals whatever came
-   last, so a kind with a short target must not look equal to one that can wait. */
-START_TEST(kinds_of_one_priority_are_told_apart_to_servers) {
-    admission_t chat = judged("chat", "k1");
-    admission_t digest = judged("digest", "k1");
+/* Workspaces with a priority of their own use it for all routes. Servers preempt the newest of equally urgent requests,
+   so a route with a short target must not get the same urgency as one that can wait. */
+START_TEST(routes_of_equal_priority_differ_in_urgency) {
+    admission_t chat = admit("chat", "k1");
+    admission_t digest = admit("digest", "k1");
     ck_assert_uint_eq(chat.status, 0);
     ck_assert_uint_eq(chat.priority, digest.priority);
     ck_assert_uint_lt(chat.urgency, digest.urgency);
 }
 END_TEST
 
-/* A digest of a workspace that goes first was begun before; a chat of any other workspace finds the engine full and is
-   the newest there. It must not be the one that is preempted. */
-START_TEST(the_kind_goes_before_the_workspace_s_priority) {
-    ck_assert_uint_lt(judged("chat", "k1").urgency, judged("digest", "k0").urgency);
-    ck_assert_uint_lt(judged("chat", "k7").urgency, judged("digest", "k0").urgency);
-    ck_assert_uint_lt(judged("chat", "k0").urgency, judged("chat", "k1").urgency);
-    ck_assert_uint_lt(judged("chat", "k2").urgency, judged("chat", "k1").urgency); /* the route's own: 0 */
-    ck_assert_uint_le(judged("digest", "k1").urgency, judged("last", "k1").urgency);
+/* A digest of a high-priority workspace started earlier. A chat of any other workspace finds the engine full and is the
+   newest request there. It must not be the one that is preempted. */
+START_TEST(route_tier_precedes_workspace_priority) {
+    ck_assert_uint_lt(admit("chat", "k1").urgency, admit("digest", "k0").urgency);
+    ck_assert_uint_lt(admit("chat", "k7").urgency, admit("digest", "k0").urgency);
+    ck_assert_uint_lt(admit("chat", "k0").urgency, admit("chat", "k1").urgency);
+    ck_assert_uint_lt(admit("chat", "k2").urgency, admit("chat", "k1").urgency); /* the route's tier, 0 */
+    ck_assert_uint_le(admit("digest", "k1").urgency, admit("last", "k1").urgency);
 }
 END_TEST
 
-START_TEST(no_urgency_is_beyond_what_servers_understand) {
+START_TEST(urgency_never_exceeds_priority_max) {
     static const char* const keys[] = {"k0", "k1", "k2", "k7"};
     for (size_t i = 0; i < sizeof(keys) / sizeof(keys[0]); i++) {
-        ck_assert_uint_le(judged("last", keys[i]).urgency, platform_dialect.priority_max);
-        ck_assert_uint_le(judged("chat", keys[i]).urgency, judged("digest", keys[i]).urgency);
+        ck_assert_uint_le(admit("last", keys[i]).urgency, platform_dialect.priority_max);
+        ck_assert_uint_le(admit("chat", keys[i]).urgency, admit("digest", keys[i]).urgency);
     }
 }
 END_TEST
 
 static void add(TCase* tests) {
-    tcase_add_test(tests, kinds_of_one_priority_are_told_apart_to_servers);
-    tcase_add_test(tests, the_kind_goes_before_the_workspace_s_priority);
-    tcase_add_test(tests, no_urgency_is_beyond_what_servers_understand);
+    tcase_add_test(tests, routes_of_equal_priority_differ_in_urgency);
+    tcase_add_test(tests, route_tier_precedes_workspace_priority);
+    tcase_add_test(tests, urgency_never_exceeds_priority_max);
 }
 
 int main(void) {
--- a/tests/test_deadly.c
+++ b/tests/test_deadly.c
@@ -1,15 +1,14 @@
 /*
-    A request that ends each server that begins to run it.
+    A query of death: a request that crashes each server that begins to run it.
 
-    Seen: with nine engines that come back seconds after they ended, a body that came about twice a second, under new
-   ids and at any host, ended 39 servers in 15 seconds, and what ran beside it broke with them. How it came about: a
-   request that loses its server is sent to another one, and its caller sends it again under another id. Cause:
-   attempts, the window of repeats and suspicions are kept by id, pool and server, so nothing knew it again. Proof: the
-   servers ended under one body whatever its id and host, and no more once that body stopped; nothing else was common to
-   them.
+    Guards against unlimited retries of such a request. With nine engines that restarted within seconds, one body that
+    came about twice a second, under new ids and at any host, crashed 39 servers in 15 seconds, and the requests that
+    ran beside it broke with them. The gateway sent the request to another server after each crash, and its caller
+    sent it again under another id. Attempts, retry budget and suspicions are kept by id, pool and server, so nothing
+    identified the body. The crashes ended when the body stopped.
 
-    Pattern here: the same request three times, each under its own id, at three servers that close without an answer.
-    Three servers is what such a request is allowed in all.
+    The test sends the same request three times, each under its own id, to three servers that close without a
+    response. Three servers is what such a request may crash in all.
 */
 #include "rig.h"
 
@@ -20,10 +19,10 @@
     "\"target_ms\":2000,\"attempts\":2,\"open\":true,\"pools\":[{\"pool\":\"p\"}]}]}"
 
 #define OK(body, length) "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: " length "\r\n\r\n" body
-#define CLOSES                                                                                                         \
+#define CLOSE_WITHOUT_RESPONSE                                                                                         \
     { RIG_ANSWER_CLOSE, "" }
 
-static const char* ask(rig_t* r, const char* id, const char* body) {
+static const char* send_request(rig_t* r, const char* id, const char* body) {
     char text[400];
     snprintf(text, sizeof(text),
              "POST /again/x HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: %s\r\nContent-Length: %zu\r\n\r\n%s",
@@ -36,26 +35,29 @@
                   status, answer);
 }
 
-START_TEST(a_request_that_ended_three_servers_is_sent_to_no_other) {
+START_TEST(request_that_crashed_three_servers_is_sent_to_no_other) {
     rig_t* r = rig_setup(ROUTES, 3);
-    rig_script(r, (rig_step_t[]){CLOSES, CLOSES, CLOSES, CLOSES, CLOSES, CLOSES}, 6);
-    expect_status(ask(r, "q1", "the same"), "502");
-    expect_status(ask(r, "q2", "the same"), "502");
-    expect_status(ask(r, "q3", "the same"), "503");
+    rig_script(r,
+               (rig_step_t[]){CLOSE_WITHOUT_RESPONSE, CLOSE_WITHOUT_RESPONSE, CLOSE_WITHOUT_RESPONSE,
+                              CLOSE_WITHOUT_RESPONSE, CLOSE_WITHOUT_RESPONSE, CLOSE_WITHOUT_RESPONSE},
+               6);
+    expect_status(send_request(r, "q1", "the same"), "502");
+    expect_status(send_request(r, "q2", "the same"), "502");
+    expect_status(send_request(r, "q3", "the same"), "503");
     ck_assert_uint_eq(r->arrival_count, 3);
     rig_shutdown(r);
 }
 END_TEST
 
-/* What the request above is, as every host makes it. */
+/* The fingerprint of the request above, the same at every host. */
 static cw_fingerprint_t fingerprint(const char* body) {
     return cw_fingerprint(
         0, &(cw_fingerprint_parts_t){
                .method = "POST", .host = "h.example", .target = "/again/x", .body = body, .size = strlen(body)});
 }
 
-/* Other hosts tell that three servers ended under it, a second apart. */
-static void hear_of_three_ends(rig_t* r, const char* body) {
+/* Other hosts report three servers that crashed under the request, a second apart. */
+static void receive_three_crashes(rig_t* r, const char* body) {
     for (uint32_t i = 0; i < 3; i++) {
         quarantine_on_mark(r->quarantine, &(cw_mark_t){.kind = CW_MARK_ENDED,
                                                        .request = fingerprint(body),
@@ -64,55 +66,60 @@
     }
 }
 
-START_TEST(what_others_saw_holds_a_request_that_never_came_here_and_no_other) {
+START_TEST(observations_of_other_hosts_quarantine_that_request_only) {
     rig_t* r = rig_setup(ROUTES, 3);
     rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("fine", "4")}}, 1);
-    hear_of_three_ends(r, "the same");
-    const char* answer = ask(r, "q1", "the same");
+    receive_three_crashes(r, "the same");
+    const char* answer = send_request(r, "q1", "the same");
     expect_status(answer, "503");
     ck_assert(strstr(answer, "Retry-After: 179") && strstr(answer, "servers ended under it"));
-    expect_status(ask(r, "q2", "another"), "200");
+    expect_status(send_request(r, "q2", "another"), "200");
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
 }
 END_TEST
 
-static void on_news(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_observations_due(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    hear_of_three_ends(w->data, "the same");
+    receive_three_crashes(w->data, "the same");
 }
 
-/* It runs at the first server as the news comes: that server is spared, and the caller is answered at once. */
-START_TEST(one_that_runs_as_the_news_comes_is_given_up) {
+/* The request runs at the first server when the observations arrive. That server is spared, and the caller gets a
+   response at once. */
+START_TEST(running_request_is_aborted_when_it_becomes_quarantined) {
     rig_t* r = rig_setup(ROUTES, 3);
-    ev_timer news;
+    ev_timer observations_timer;
     rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
-    ev_timer_init(&news, on_news, 0.05, 0.0);
-    news.data = r;
-    ev_timer_start(r->loop, &news);
-    expect_status(ask(r, "q1", "the same"), "502");
+    ev_timer_init(&observations_timer, on_observations_due, 0.05, 0.0);
+    observations_timer.data = r;
+    ev_timer_start(r->loop, &observations_timer);
+    expect_status(send_request(r, "q1", "the same"), "502");
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
 }
 END_TEST
 
-/* Two servers end under each of many ordinary requests, which are answered by the third: none is held, then or later.
- */
-START_TEST(an_answer_clears_what_shared_two_ends) {
+/* Two servers crash under an ordinary request, and the third one serves it: it is not quarantined, then or later. */
+START_TEST(complete_response_clears_a_request_with_two_crashes) {
     rig_t* r = rig_setup(ROUTES, 3);
-    rig_script(r, (rig_step_t[]){CLOSES, CLOSES, {RIG_ANSWER, OK("fine", "4")}, CLOSES, {RIG_ANSWER, OK("fine", "4")}},
+    rig_script(r,
+               (rig_step_t[]){CLOSE_WITHOUT_RESPONSE,
+                              CLOSE_WITHOUT_RESPONSE,
+                              {RIG_ANSWER, OK("fine", "4")},
+                              CLOSE_WITHOUT_RESPONSE,
+                              {RIG_ANSWER, OK("fine", "4")}},
                5);
-    expect_status(ask(r, "q1", "ordinary"), "502");
-    expect_status(ask(r, "q2", "ordinary"), "200");
-    expect_status(ask(r, "q3", "ordinary"), "200");
+    expect_status(send_request(r, "q1", "ordinary"), "502");
+    expect_status(send_request(r, "q2", "ordinary"), "200");
+    expect_status(send_request(r, "q3", "ordinary"), "200");
     cw_fingerprint_t request = fingerprint("ordinary");
     ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 0);
     rig_shutdown(r);
 }
 END_TEST
 
-static void on_late_answer(struct ev_loop* loop, ev_timer* w, int events) {
+static void send_late_response(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     rig_t* r = w->data;
@@ -122,22 +129,22 @@
     ev_break(r->loop, EVBREAK_ALL);
 }
 
-/* One connection breaks, and 0.35 s later the server goes on over another one that is older: it did not end. */
-START_TEST(a_server_that_goes_on_over_an_older_connection_did_not_end) {
+/* One connection breaks, and 0.35 s later the server sends data on an older one: it did not crash. */
+START_TEST(data_on_an_older_connection_revokes_a_presumed_crash) {
     static const char text[] = "POST /again/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stream_t other;
     ev_timer late;
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}, CLOSES}, 2);
-    rig_send_beside(r, &other, text);
+    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}, CLOSE_WITHOUT_RESPONSE}, 2);
+    rig_send_from_other_caller(r, &other, text);
     while (!r->arrival_count) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    usleep(2000); /* the next connection is younger */
-    expect_status(ask(r, "q1", "the same"), "502");
+    usleep(2000); /* so that the next connection is younger */
+    expect_status(send_request(r, "q1", "the same"), "502");
     cw_fingerprint_t request = fingerprint("the same");
     ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 1);
-    ev_timer_init(&late, on_late_answer, 0.35, 0.0);
+    ev_timer_init(&late, send_late_response, 0.35, 0.0);
     late.data = r;
     ev_timer_start(r->loop, &late);
     rig_run(r);
@@ -149,38 +156,38 @@
 }
 END_TEST
 
-/* An operator sees what is held back, and releases it: the next one is sent. */
-START_TEST(an_operator_lists_and_releases_what_is_held) {
+/* An operator lists the quarantined requests and releases one: the next copy of it is sent. */
+START_TEST(operator_lists_and_releases_a_quarantined_request) {
     rig_t* r = rig_setup(ROUTES, 3);
     cw_buffer_t list = {0};
     char fingerprint_hex[20];
     cw_fingerprint_t request = fingerprint("the same");
     snprintf(fingerprint_hex, sizeof(fingerprint_hex), "%016llx", (unsigned long long)request.content);
     rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("fine", "4")}}, 1);
-    hear_of_three_ends(r, "the same");
-    expect_status(ask(r, "q1", "the same"), "503");
+    receive_three_crashes(r, "the same");
+    expect_status(send_request(r, "q1", "the same"), "503");
     quarantine_write(r->quarantine, &list);
     ck_assert(strstr(cw_buffer_text(&list), fingerprint_hex) && strstr(cw_buffer_text(&list), "\"held\""));
     ck_assert(!quarantine_release(r->quarantine, "77", "0"));
-    uint32_t told = r->observations_published;
+    uint32_t published = r->observations_published;
     ck_assert(quarantine_release(r->quarantine, fingerprint_hex, "0"));
-    ck_assert_uint_eq(r->observations_published, told + 1);
-    expect_status(ask(r, "q2", "the same"), "200");
+    ck_assert_uint_eq(r->observations_published, published + 1);
+    expect_status(send_request(r, "q2", "the same"), "200");
     cw_buffer_free(&list);
     rig_shutdown(r);
 }
 END_TEST
 
-/* A server ends under two requests, and the budget has one repeat left. Both are sent again over connections that take
-   a moment to come up: what was decided for the first one must count for the second. Seen with half of nine engines
-   ending at once: 391 repeats in ten seconds where 359 were allowed. */
-START_TEST(requests_that_break_at_once_share_what_is_left_of_the_budget) {
+/* A server crashes under two requests, and the budget has one retry left. Both would be retried over connections that
+   take a moment to open, so the retry must be reserved when it is decided. Without that, when half of nine engines
+   crashed at once, 391 retries were sent in ten seconds where 359 were allowed. */
+START_TEST(requests_that_fail_together_share_the_remaining_retry_budget) {
     static const char text[] = "POST /again/y HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stream_t others[2];
     rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}}, 4);
     for (int i = 0; i < 2; i++) {
-        rig_send_beside(r, &others[i], text);
+        rig_send_from_other_caller(r, &others[i], text);
     }
     while (r->arrival_count < 2) {
         ev_run(r->loop, EVRUN_ONCE);
@@ -205,13 +212,13 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, what_others_saw_holds_a_request_that_never_came_here_and_no_other);
-    tcase_add_test(t, one_that_runs_as_the_news_comes_is_given_up);
-    tcase_add_test(t, an_answer_clears_what_shared_two_ends);
-    tcase_add_test(t, a_server_that_goes_on_over_an_older_connection_did_not_end);
-    tcase_add_test(t, requests_that_break_at_once_share_what_is_left_of_the_budget);
-    tcase_add_test(t, an_operator_lists_and_releases_what_is_held);
-    tcase_add_test(t, a_request_that_ended_three_servers_is_sent_to_no_other);
+    tcase_add_test(t, observations_of_other_hosts_quarantine_that_request_only);
+    tcase_add_test(t, running_request_is_aborted_when_it_becomes_quarantined);
+    tcase_add_test(t, complete_response_clears_a_request_with_two_crashes);
+    tcase_add_test(t, data_on_an_older_connection_revokes_a_presumed_crash);
+    tcase_add_test(t, requests_that_fail_together_share_the_remaining_retry_budget);
+    tcase_add_test(t, operator_lists_and_releases_a_quarantined_request);
+    tcase_add_test(t, request_that_crashed_three_servers_is_sent_to_no_other);
 }
 
 int main(void) {
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -1,4 +1,4 @@
-/* Requests through the gateway's data path to scripted servers, and what callers and servers see when servers fail. */
+/* Requests from callers through the gateway's data path to scripted servers, in particular when servers fail. */
 #include "../chalkway_stop.h"
 #include "../gateway/clock.h"
 #include "rig.h"
@@ -31,7 +31,7 @@
     "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Type: text/event-stream\r\n"                              \
     "Transfer-Encoding: chunked\r\n\r\n"
 
-static void script(rig_t* r, uint32_t count, const rig_step_t* steps) {
+static void set_script(rig_t* r, uint32_t count, const rig_step_t* steps) {
     rig_script(r, steps, count);
 }
 
@@ -40,29 +40,29 @@
                   status, answer);
 }
 
-START_TEST(a_request_is_passed_on_with_the_gateways_own_fields) {
+START_TEST(request_is_forwarded_with_fields_of_the_gateway) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("hello", "5")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("hello", "5")}});
     const char* answer = rig_call(r, "POST /once/a/b?c=%20d HTTP/1.1\r\n" HEAD
                                      "Chalkway-Workspace: forged\r\nChalkway-Server: forged\r\nX-Own: 1\r\n"
                                      "Connection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nbody");
     expect_status(answer, "200");
     ck_assert(strstr(answer, "\r\n\r\nhello"));
-    const char* seen = r->arrivals[0];
-    ck_assert(strncmp(seen, "POST /once/a/b?c=%20d HTTP/1.1\r\n", 32) == 0);
-    ck_assert(strstr(seen, "\r\n\r\nbody"));
-    ck_assert(strstr(seen, "Chalkway-Workspace: w\r\n"));
-    ck_assert(strstr(seen, "Chalkway-Server: s0\r\n"));
-    ck_assert(strstr(seen, "X-Own: 1\r\n"));
-    ck_assert(strstr(seen, "Chalkway-Deadline-Ms: "));
-    ck_assert(!strstr(seen, "forged") && !strstr(seen, "X-Hop") && !strstr(seen, "k1"));
+    const char* forwarded = r->arrivals[0];
+    ck_assert(strncmp(forwarded, "POST /once/a/b?c=%20d HTTP/1.1\r\n", 32) == 0);
+    ck_assert(strstr(forwarded, "\r\n\r\nbody"));
+    ck_assert(strstr(forwarded, "Chalkway-Workspace: w\r\n"));
+    ck_assert(strstr(forwarded, "Chalkway-Server: s0\r\n"));
+    ck_assert(strstr(forwarded, "X-Own: 1\r\n"));
+    ck_assert(strstr(forwarded, "Chalkway-Deadline-Ms: "));
+    ck_assert(!strstr(forwarded, "forged") && !strstr(forwarded, "X-Hop") && !strstr(forwarded, "k1"));
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_chunked_body_and_a_pipelined_request_are_passed_on) {
+START_TEST(chunked_body_and_pipelined_request_are_forwarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("one", "3")}, {RIG_ANSWER, OK("two", "3")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("one", "3")}, {RIG_ANSWER, OK("two", "3")}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Transfer-Encoding: chunked\r\n\r\n"
                                      "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nGET /again/ HTTP/1.1\r\n" HEAD "\r\n");
     expect_status(answer, "200");
@@ -74,27 +74,27 @@
 }
 END_TEST
 
-START_TEST(a_request_that_may_have_run_is_not_sent_again) {
+START_TEST(request_that_may_have_run_is_not_retried) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "502");
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_request_that_a_server_did_not_run_goes_to_the_next) {
+START_TEST(request_not_run_by_a_server_is_retried_at_another) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}, {RIG_ANSWER, OK("ran", "3")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}, {RIG_ANSWER, OK("ran", "3")}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_ne(r->arrival_server[0], r->arrival_server[1]);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_request_that_ran_nowhere_is_refused_with_a_time_to_come_back) {
+START_TEST(request_that_ran_nowhere_gets_503_with_retry_after) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}});
     const char* answer = rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     expect_status(answer, "503");
     ck_assert(strstr(answer, "Retry-After: "));
@@ -103,29 +103,30 @@
 }
 END_TEST
 
-/* First run lost, second rejected: the first may have run all the same. */
-START_TEST(a_rejection_does_not_undo_an_earlier_run) {
+/* The first run was lost, the retry rejected: the request may have run all the same. */
+START_TEST(rejected_retry_does_not_hide_an_earlier_run) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}, {RIG_ANSWER, NOT_RUN}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}, {RIG_ANSWER, NOT_RUN}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "502");
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_repeatable_request_is_sent_again_after_a_loss_and_a_failure) {
+START_TEST(repeatable_request_is_retried_after_reset_and_after_500) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, ""}, {RIG_ANSWER, OK("again", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, ""}, {RIG_ANSWER, OK("again", "5")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
-    script(r, 2,
-           (rig_step_t[]){{RIG_ANSWER, "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 0\r\n\r\n"},
-                          {RIG_ANSWER, OK("again", "5")}});
+    set_script(
+        r, 2,
+        (rig_step_t[]){{RIG_ANSWER, "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 0\r\n\r\n"},
+                       {RIG_ANSWER, OK("again", "5")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
     rig_shutdown(r);
 }
 END_TEST
 
-/* A server that breaks off behind its head: the caller gets head and body of the same answer. */
-START_TEST(a_head_is_never_joined_to_another_servers_body) {
+/* A server breaks off after the head of its response: the caller gets head and body of the same response. */
+START_TEST(head_and_body_come_from_the_same_server) {
     static const char* const heads[] = {
         "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: a\r\nContent-Length: 9\r\n\r\n",
         "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: a\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -133,7 +134,7 @@
     const char* whole = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: b\r\nContent-Length: 5\r\n\r\nagain";
     for (size_t i = 0; i < sizeof(heads) / sizeof(heads[0]); i++) {
         rig_t* r = rig_setup(ROUTES, 2);
-        script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, heads[i]}, {RIG_ANSWER, whole}});
+        set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, heads[i]}, {RIG_ANSWER, whole}});
         const char* answer = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
         ck_assert_uint_eq(r->arrival_count, 2);
         ck_assert_msg(strstr(answer, "X-From: b\r\n") && !strstr(answer, "X-From: a"), "%s", answer);
@@ -143,10 +144,10 @@
 }
 END_TEST
 
-START_TEST(the_last_servers_failure_is_passed_on_unchanged) {
+START_TEST(error_response_of_the_last_server_is_forwarded_unchanged) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* failure = "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nX-Why: w\r\nContent-Length: 3\r\n\r\nwhy";
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, failure}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, failure}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     expect_status(answer, "500");
     ck_assert(strstr(answer, "X-Why: w\r\n") && strstr(answer, "\r\n\r\nwhy"));
@@ -154,44 +155,45 @@
 }
 END_TEST
 
-/* A prompt that is sent elsewhere is read twice, so a stream stays where it is for as long as it could still be in
-   time, and as long again. */
-START_TEST(a_silent_stream_is_moved_when_it_is_late_anyhow) {
+/* A retry at another server prefills the prompt again, so a stream stays at its server for as long as it could still
+   meet its target, and as long again. */
+START_TEST(stalled_stream_is_retried_after_two_targets) {
     static const char document[] =
         "{\"revision\":1,\"pools\":[{\"name\":\"p\"}],\"routes\":[{\"name\":\"s\",\"host\":\"h.example\","
         "\"prefix\":\"/s/\",\"kind\":\"stream\",\"resume\":true,\"open\":true,\"timeout_ms\":4000,\"target_ms\":100,"
         "\"gap_ms\":500,\"attempts\":2,\"pools\":[{\"pool\":\"p\"}]}]}";
     rig_t* r = rig_setup(document, 2);
-    script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
     expect_status(rig_call(r, "POST /s/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_eq(r->arrival_count, 2);
-    ck_assert_int_ge(r->arrival_ms[1] - r->arrival_ms[0], 190); /* two targets, less what it took to arrive */
+    ck_assert_int_ge(r->arrival_ms[1] - r->arrival_ms[0],
+                     190); /* two targets, less the time until the request arrived */
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_silent_server_loses_a_repeatable_request_to_another) {
+START_TEST(stalled_repeatable_call_is_retried_at_another_server) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
     expect_status(rig_call(r, "GET /quick/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
-    ck_assert_uint_ge(r->closed_by_gateway, 1); /* the silent one is told */
+    ck_assert_uint_ge(r->closed_by_gateway, 1); /* the connection to the stalled server was closed */
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(time_that_is_up_is_told_at_once) {
+START_TEST(passed_deadline_gives_504_at_once) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_SILENT, ""}});
+    set_script(r, 1, (rig_step_t[]){{RIG_SILENT, ""}});
     expect_status(rig_call(r, "POST /short/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "504");
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_cut_stream_goes_on_elsewhere_without_a_piece_missing_or_doubled) {
+START_TEST(broken_stream_resumes_at_another_server_without_lost_or_repeated_events) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 2,
-           (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "18\r\nid: 1\ndata: a\n\nid: 2\nda\r\n"},
-                          {RIG_ANSWER, EVENTS_HEAD "1e\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n\r\n0\r\n\r\n"}});
+    set_script(r, 2,
+               (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "18\r\nid: 1\ndata: a\n\nid: 2\nda\r\n"},
+                              {RIG_ANSWER, EVENTS_HEAD "1e\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n\r\n0\r\n\r\n"}});
     const char* answer = rig_call(r, "POST /resume/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     expect_status(answer, "200");
     ck_assert_uint_eq(r->arrival_count, 2);
@@ -206,9 +208,9 @@
 }
 END_TEST
 
-START_TEST(a_cut_stream_that_may_not_go_on_does_not_look_complete) {
+START_TEST(broken_stream_without_resume_does_not_look_complete) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "10\r\nid: 1\ndata: a\n\n\n\r\n"}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "10\r\nid: 1\ndata: a\n\n\n\r\n"}});
     const char* answer = rig_call(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(!r->caller_open);
     ck_assert(!strstr(answer, "\r\n0\r\n\r\n"));
@@ -217,19 +219,19 @@
 }
 END_TEST
 
-START_TEST(an_answer_without_length_ends_with_its_connection) {
+START_TEST(response_without_length_ends_with_its_connection) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* unframed = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\n\r\nall of it";
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, unframed}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, unframed}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(strstr(answer, "all of it\r\n0\r\n\r\n"));
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(an_answer_shorter_than_its_length_does_not_look_complete) {
+START_TEST(truncated_response_does_not_look_complete) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, OK("part", "10")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, OK("part", "10")}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(!r->caller_open);
     ck_assert(!rig_answer_whole(answer));
@@ -237,9 +239,9 @@
 }
 END_TEST
 
-START_TEST(bytes_after_an_answer_belong_to_no_request) {
+START_TEST(bytes_after_a_response_are_discarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("mine", "4") OK("forged", "6")}, {RIG_ANSWER, OK("next", "4")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("mine", "4") OK("forged", "6")}, {RIG_ANSWER, OK("next", "4")}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(strstr(answer, "mine") && !strstr(answer, "forged"));
     answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
@@ -248,10 +250,10 @@
 }
 END_TEST
 
-START_TEST(an_answer_to_an_earlier_request_is_skipped) {
+START_TEST(response_to_an_earlier_request_is_skipped) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* late = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: other\r\nContent-Length: 4\r\n\r\nlate" OK("mine", "4");
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, late}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, late}});
     const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     expect_status(answer, "200");
     ck_assert(strstr(answer, "mine") && !strstr(answer, "late"));
@@ -259,18 +261,18 @@
 }
 END_TEST
 
-START_TEST(bytes_that_are_no_answer_are_not_passed_on) {
+START_TEST(malformed_response_is_not_forwarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, "what is this\r\n\r\n"}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, "what is this\r\n\r\n"}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "502");
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_server_with_another_id_is_not_used_again) {
+START_TEST(server_that_reports_another_id_is_not_used_again) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* other = "HTTP/1.1 421 Misdirected\r\nChalkway-Server-Id: s9\r\nContent-Length: 0\r\n\r\n";
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, other}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, other}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     ck_assert_uint_eq(r->arrival_count, 1);
@@ -278,10 +280,10 @@
 }
 END_TEST
 
-START_TEST(a_leaving_server_gets_nothing_new) {
+START_TEST(leaving_server_gets_no_new_requests) {
     rig_t* r = rig_setup(ROUTES, 2);
     rig_set_servers(r, 2, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
     rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert_uint_eq(r->arrival_server[0], 1);
@@ -290,9 +292,9 @@
 }
 END_TEST
 
-START_TEST(a_closed_hall_gets_nothing_until_it_is_opened_again) {
+START_TEST(closed_hall_gets_no_requests_until_it_is_opened) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     cw_servers_t list = {.closed.at = 5};
     rig_list(r, &list, 1, 0);
@@ -308,63 +310,65 @@
 }
 END_TEST
 
-START_TEST(a_list_that_says_the_same_changes_nothing) {
+START_TEST(identical_server_list_changes_nothing) {
     rig_t* r = rig_setup(ROUTES, 3);
     ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0);
     ck_assert_uint_eq(rig_set_servers(r, 3, 2), 1);
-    ck_assert_uint_eq(rig_set_servers(r, 3, 2), 0); /* a leaving server is still published */
-    ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0); /* and does not come back with the same id */
+    ck_assert_uint_eq(rig_set_servers(r, 3, 2), 0); /* a leaving server is still listed */
+    ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0); /* and does not return under the same id */
     ck_assert_uint_eq(rig_set_servers(r, 1, 0), 1);
     ck_assert_uint_eq(rig_set_servers(r, 1, 0), 0);
     rig_shutdown(r);
 }
 END_TEST
 
-/* Entries that lapsed while the source was away are used until they are back; one that stays away is gone. */
-START_TEST(lapsed_servers_are_used_until_they_are_back) {
+/* Servers that are missing from the list after an outage of the source are used until they are listed again. Those that
+   stay missing are removed. */
+START_TEST(servers_missing_after_an_outage_are_used_until_they_expire) {
     rig_t* r = rig_setup(ROUTES, 3);
     pool_t* pool = upstreams_pool(r->upstreams, "p");
     ck_assert_uint_eq(rig_set_servers_at(r, 10000, 0, 0, true), 0);
     ck_assert_uint_eq(pool->ready, 3);
-    ck_assert_uint_eq(rig_set_servers_at(r, 10500, 1, 0, false), 0); /* the first is back */
-    ck_assert_uint_eq(rig_set_servers_at(r, 11000, 2, 2, false), 1); /* the second, leaving */
+    ck_assert_uint_eq(rig_set_servers_at(r, 10500, 1, 0, false), 0); /* the first is listed again */
+    ck_assert_uint_eq(rig_set_servers_at(r, 11000, 2, 2, false), 1); /* the second is, as leaving */
     ck_assert_uint_eq(pool->ready, 2);
     upstreams_tick(r->upstreams, 11999);
     ck_assert_uint_eq(pool->ready, 2);
     upstreams_tick(r->upstreams, 12000); /* the third is not */
     ck_assert_uint_eq(pool->ready, 1);
-    ck_assert_uint_eq(rig_set_servers_at(r, 13000, 3, 0, false), 1); /* but may be published again later */
+    ck_assert_uint_eq(rig_set_servers_at(r, 13000, 3, 0, false), 1); /* but may be listed again later */
     ck_assert_uint_eq(pool->ready, 2);
-    ck_assert_uint_eq(rig_set_servers_at(r, 14000, 1, 0, false), 1); /* a removal without an outage counts at once */
+    ck_assert_uint_eq(rig_set_servers_at(r, 14000, 1, 0, false),
+                      1); /* without an outage, a missing server is removed at once */
     ck_assert_uint_eq(pool->ready, 1);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_caller_that_leaves_ends_its_stream_at_the_server) {
+START_TEST(disconnect_of_the_caller_closes_its_stream_at_the_server) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, EVENTS_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, EVENTS_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"}});
     rig_write(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     while (!strstr(cw_buffer_text(&r->answer), "data: a")) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    rig_leave(r);
-    rig_run(r); /* until the server's connection ends */
+    rig_disconnect(r);
+    rig_run(r); /* returns when the connection to the server is closed */
     ck_assert_uint_eq(r->closed_by_gateway, 1);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).active, 0);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(keys_and_routes_are_judged_by_the_configuration_in_force) {
+START_TEST(keys_and_routes_follow_the_active_configuration) {
     rig_t* r = rig_setup(ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\nHost: h.example\r\n\r\n"), "401");
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k9\r\n\r\n"), "401");
     expect_status(rig_call(r, "GET /none/ HTTP/1.1\r\n" HEAD "\r\n"), "404");
     expect_status(rig_call(r, "GET /again/x HTTP/1.1\r\n" HEAD "\r\n"), "200");
     char* document = strdup(ROUTES);
-    strstr(document, "\"k1\"")[2] = '8'; /* the key is taken away */
+    strstr(document, "\"k1\"")[2] = '8'; /* removes the key */
     rig_set_catalog(r, document);
     free(document);
     expect_status(rig_call(r, "GET /again/x HTTP/1.1\r\n" HEAD "\r\n"), "401");
@@ -373,7 +377,7 @@
 }
 END_TEST
 
-START_TEST(requests_over_the_limits_are_refused) {
+START_TEST(requests_over_the_limits_are_rejected) {
     static const struct {
         const char* head;
         const char* status;
@@ -399,14 +403,14 @@
 }
 END_TEST
 
-static double come_back_s(const char* answer) {
+static double retry_after_s(const char* answer) {
     const char* field = strstr(answer, "Retry-After: ");
     ck_assert_msg(field != NULL, "%s", answer);
     return strtod(field + strlen("Retry-After: "), NULL);
 }
 
-/* While no host can have a configuration, callers are told to come back as late as their time allows. */
-START_TEST(without_a_configuration_callers_come_back_later) {
+/* When no host can have a configuration, Retry-After is a share of the caller's deadline. */
+START_TEST(retry_after_without_a_configuration_follows_the_deadline) {
     rig_t* r = rig_setup(NULL, 0);
     ev_tstamp until = ev_time() + 0.01;
     while (ev_time() < until) {
@@ -414,16 +418,16 @@
     }
     const char* answer = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "Chalkway-Deadline-Ms: 10000\r\n\r\n");
     expect_status(answer, "503");
-    ck_assert_double_ge(come_back_s(answer), 2.0);
-    ck_assert_double_le(come_back_s(answer), 3.0);
-    answer = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "\r\n"); /* its time is not known */
+    ck_assert_double_ge(retry_after_s(answer), 2.0);
+    ck_assert_double_le(retry_after_s(answer), 3.0);
+    answer = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "\r\n"); /* without a deadline */
     expect_status(answer, "503");
-    ck_assert_double_eq_tol(come_back_s(answer), 0.3, 0.001);
+    ck_assert_double_eq_tol(retry_after_s(answer), 0.3, 0.001);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(without_a_server_a_request_is_refused_at_once) {
+START_TEST(request_without_a_server_is_refused_at_once) {
     rig_t* r = rig_setup(ROUTES, 0);
     const char* answer = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
     expect_status(answer, "503");
@@ -434,8 +438,9 @@
 
 static const cw_stop_desc_t stop_desc = {.quiet_ms = 1000, .take_ms = 1500, .end_ms = 3500};
 
-/* A host that is told to stop finds itself quiet, and a request is read before its next turn, its last one. */
-START_TEST(a_request_read_between_the_quiet_turn_and_the_end_is_refused) {
+/* A stopping host finds no request and starts to refuse. A request that is read before the next step, the last one, is
+   refused. */
+START_TEST(request_read_after_the_host_stops_accepting_is_refused) {
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stop_t stop = {0};
     ck_assert_int_eq(cw_stop_step(&stop, 10, 0), CW_STOP_NOT);
@@ -450,7 +455,7 @@
 }
 END_TEST
 
-START_TEST(a_stopping_host_waits_for_what_runs_until_its_time_is_nearly_up) {
+START_TEST(stopping_host_waits_for_running_requests_until_its_time_is_nearly_up) {
     cw_stop_t stop = {0};
     cw_stop_begin(&stop, 0, &stop_desc);
     cw_stop_begin(&stop, 900, &(cw_stop_desc_t){.end_ms = 9000}); /* a second signal changes nothing */
@@ -461,9 +466,9 @@
 }
 END_TEST
 
-START_TEST(a_server_that_refuses_connections_is_passed_over) {
+START_TEST(server_that_refuses_connections_is_skipped) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
     close(r->listen_fds[0]);
     ev_io_stop(r->loop, &r->accept_ios[0]);
     r->listen_fds[0] = dup(0);
@@ -472,20 +477,20 @@
 }
 END_TEST
 
-START_TEST(others_are_told_of_a_connection_that_fails_and_of_no_other) {
+START_TEST(only_a_failed_connection_is_reported_as_liveness_change) {
     rig_t* r = rig_setup(ROUTES, 2);
-    script(r, 0, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 0, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
     expect_status(rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
-    ck_assert_uint_eq(r->life_told, 0);
+    ck_assert_uint_eq(r->liveness_reports, 0);
     rig_shutdown(r);
     r = rig_setup(ROUTES, 2);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
     close(r->listen_fds[0]);
     ev_io_stop(r->loop, &r->accept_ios[0]);
     r->listen_fds[0] = dup(0);
     expect_status(rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
-    ck_assert_uint_eq(r->life_told, 1);
+    ck_assert_uint_eq(r->liveness_reports, 1);
     rig_shutdown(r);
 }
 END_TEST
@@ -500,7 +505,7 @@
     "POST /gen/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: q1\r\nChalkway-Tokens: " in                        \
     ",10\r\nChalkway-Prompt-Parts: a1:4000,b2:10\r\nContent-Length: 0\r\n\r\n"
 
-/* Another daemon has so many ms of prompts to be read at the server. */
+/* Another daemon reports prompts at the server that take this long to prefill. */
 static void set_backlog(rig_t* r, uint32_t server, uint32_t ms) {
     char id[8];
     snprintf(id, sizeof(id), "s%u", server);
@@ -511,11 +516,11 @@
     cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id(id), &load);
 }
 
-START_TEST(a_long_prompt_that_would_come_too_late_is_refused_and_a_short_one_is_not) {
+START_TEST(long_prompt_behind_a_long_backlog_is_refused_and_a_short_one_is_not) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
     expect_status(rig_call(r, GENERATE("8000")), "200");
-    set_backlog(r, 0, 1500); /* more than the target, less than three of them */
+    set_backlog(r, 0, 1500); /* more than one target, less than three */
     const char* answer = rig_call(r, GENERATE("8000"));
     expect_status(answer, "503");
     ck_assert(strstr(answer, "Retry-After: "));
@@ -528,10 +533,10 @@
 }
 END_TEST
 
-/* Its own reading takes longer than its target: late, it is still of use, and nothing stands before it. */
-START_TEST(an_idle_engine_refuses_no_prompt_for_its_length) {
+/* Prefill alone takes longer than the target. The response is late but still of use, and no backlog precedes it. */
+START_TEST(idle_engine_accepts_a_prompt_of_any_length) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
     expect_status(rig_call(r, GENERATE("80000")), "200");
     rig_shutdown(r);
 }
@@ -571,21 +576,21 @@
     return rig_call(r, text);
 }
 
-/* The same incident on the path of a request: two long prompts of a workspace, whose own priority takes the place of
-   its routes', are being read at the only engine, three seconds of work. An urgent request of that workspace is read
-   before them, so it is sent, not refused. */
-START_TEST(an_urgent_request_goes_before_long_ones_of_a_workspace_with_one_priority) {
+/* Guards against refusing urgent requests behind long prompts. The only engine prefills two long prompts of a workspace
+   whose own priority replaces that of its routes, three seconds of work. An urgent request of the same workspace is
+   prefilled before them, so it must be sent and not refused. */
+START_TEST(urgent_request_precedes_long_prompts_of_the_same_workspace) {
     static const char long_prompt[] = "POST /patient/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k1\r\n"
                                       "Chalkway-Request-Id: long\r\nChalkway-Tokens: 80000,10\r\n"
                                       "Content-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(WORKSPACE_ROUTES, 1);
-    script(
+    set_script(
         r, 4,
         (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_ANSWER, OK("b", "1")}});
     expect_status(workspace_call(r, "/patient/", "80000"), "200"); /* the pool gets such prompts */
     cw_stream_t others[2] = {{.fd = -1}, {.fd = -1}};
     for (uint32_t i = 0; i < 2; i++) {
-        rig_send_beside(r, &others[i], long_prompt);
+        rig_send_from_other_caller(r, &others[i], long_prompt);
         while (r->arrival_count < i + 2) {
             ev_run(r->loop, EVRUN_ONCE);
         }
@@ -597,12 +602,12 @@
 }
 END_TEST
 
-/* Whatever stands before both: where the urgent one is refused, the larger one that is less urgent does not begin. */
-START_TEST(nothing_larger_and_less_urgent_begins_where_an_urgent_prompt_is_refused) {
+/* Whatever the backlog: where the urgent prompt is refused, the larger and less urgent one is not sent either. */
+START_TEST(no_larger_less_urgent_prompt_is_sent_where_an_urgent_one_is_refused) {
     for (uint32_t backlog_ms = 100; backlog_ms <= 3000; backlog_ms += 100) {
         rig_t* r = rig_setup(TIER_ROUTES, 1);
-        script(r, 3,
-               (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}, {RIG_ANSWER, OK("c", "1")}});
+        set_script(r, 3,
+                   (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}, {RIG_ANSWER, OK("c", "1")}});
         expect_status(tier_call(r, "/patient/", "20000"), "200"); /* the pool gets such prompts */
         set_backlog(r, 0, backlog_ms);
         bool urgent_refused = strstr(tier_call(r, "/urgent/", "8000"), "503") != NULL;
@@ -614,18 +619,17 @@
 }
 END_TEST
 
-/* All places of the engine are taken, then one is free, and before the one that waits is looked at, another one comes.
- */
-START_TEST(who_comes_later_does_not_pass_who_waits_and_is_as_urgent) {
+/* All slots of the engine are taken, then one becomes free, and another request arrives before the queue is checked. */
+START_TEST(later_request_does_not_overtake_a_queued_one_of_equal_urgency) {
     static const char first[] = "POST /gen/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: first\r\n"
                                 "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
-    ev_timer_stop(r->loop, &r->tick); /* nobody looks at the queue */
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    ev_timer_stop(r->loop, &r->tick); /* the queue is not checked */
     cw_load_t full = {.running = 8};
     cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
-    cw_stream_t waits = {.fd = -1};
-    rig_send_beside(r, &waits, first);
+    cw_stream_t queued_caller = {.fd = -1};
+    rig_send_from_other_caller(r, &queued_caller, first);
     while (!exchanges_stats(r->exchanges).waiting) {
         ev_run(r->loop, EVRUN_ONCE);
     }
@@ -640,12 +644,12 @@
         ev_run(r->loop, EVRUN_ONCE);
     }
     ck_assert_msg(strstr(r->arrivals[0], "Chalkway-Request-Id: first") != NULL, "%s", r->arrivals[0]);
-    cw_stream_close(&waits);
+    cw_stream_close(&queued_caller);
     rig_shutdown(r);
 }
 END_TEST
 
-#define FAVOURED_ROUTES                                                                                                \
+#define HIGH_PRIORITY_ROUTES                                                                                           \
     "{\"revision\":1,\"pools\":[{\"name\":\"p\",\"engine\":{\"slots\":8,\"memory_tokens\":900000}}],"                  \
     "\"workspaces\":[{\"name\":\"first\",\"keys\":[\"k0\"],\"tier\":0},{\"name\":\"usual\",\"keys\":[\"k1\"],"         \
     "\"tier\":1}],\"routes\":["                                                                                        \
@@ -654,23 +658,23 @@
     "{\"name\":\"patient\",\"host\":\"h.example\",\"prefix\":\"/patient/\",\"kind\":\"stream\",\"timeout_ms\":5000,"   \
     "\"target_ms\":4000,\"tier\":2,\"attempts\":1,\"pools\":[{\"pool\":\"p\"}]}]}"
 
-/* The second place that had an order of its own: a host's queue put whatever a favoured workspace sent before the
-   urgent kinds of all others, while engines go by the kind. Both requests wait for the only place; it goes to the
-   urgent one. */
-START_TEST(an_urgent_request_gets_the_place_before_a_favoured_workspace_s_patient_one) {
+/* Guards against a queue order that differs from that of the engines: hosts put all requests of a high-priority
+   workspace before the urgent ones of other workspaces, while engines order requests by the route's tier first. Both
+   requests wait for the only slot, which goes to the urgent one. */
+START_TEST(urgent_request_precedes_a_delay_tolerant_one_of_a_high_priority_workspace) {
     static const char* const requests[2] = {
         "POST /patient/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k0\r\nChalkway-Request-Id: patient\r\n"
         "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n",
         "POST /urgent/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k1\r\nChalkway-Request-Id: urgent\r\n"
         "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n"};
-    rig_t* r = rig_setup(FAVOURED_ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_SILENT, NULL}, {RIG_SILENT, NULL}});
-    ev_timer_stop(r->loop, &r->tick); /* nobody looks at the queue */
+    rig_t* r = rig_setup(HIGH_PRIORITY_ROUTES, 1);
+    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, NULL}, {RIG_SILENT, NULL}});
+    ev_timer_stop(r->loop, &r->tick); /* the queue is not checked */
     cw_balance_t* balance = upstreams_pool(r->upstreams, "p")->balance;
     cw_balance_news(balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){.running = 8});
     cw_stream_t callers[2] = {{.fd = -1}, {.fd = -1}};
     for (uint32_t i = 0; i < 2; i++) {
-        rig_send_beside(r, &callers[i], requests[i]);
+        rig_send_from_other_caller(r, &callers[i], requests[i]);
         while (exchanges_stats(r->exchanges).waiting < i + 1) {
             ev_run(r->loop, EVRUN_ONCE);
         }
@@ -687,18 +691,19 @@
 }
 END_TEST
 
-/* Both find no place. The one with the longer target came first, and is refused first, so that it takes no place that
-   the other one waits for. That one waits on, as long as its caller does: nobody less urgent is before it then. */
-START_TEST(a_patient_request_gives_up_a_place_first_and_an_impatient_one_waits_while_its_caller_does) {
+/* Neither request finds a slot. The one with the longer target arrived first and is refused first, so that it takes no
+   slot for which the other one waits. The other one then waits as long as its caller, since nothing less urgent
+   precedes it. */
+START_TEST(delay_tolerant_request_is_refused_first_and_an_urgent_one_waits_as_long_as_its_caller) {
     static const char patient[] = "POST /patient/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: patient\r\n"
                                   "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(TIER_ROUTES, 1);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
-    expect_status(tier_call(r, "/urgent/", "100"), "200"); /* the pool gets such work */
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    expect_status(tier_call(r, "/urgent/", "100"), "200"); /* the pool gets such requests */
     cw_load_t full = {.running = 8};
     cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
-    cw_stream_t waits = {.fd = -1};
-    rig_send_beside(r, &waits, patient);
+    cw_stream_t queued_caller = {.fd = -1};
+    rig_send_from_other_caller(r, &queued_caller, patient);
     while (!exchanges_stats(r->exchanges).waiting) {
         ev_run(r->loop, EVRUN_ONCE);
     }
@@ -707,26 +712,26 @@
     while (exchanges_stats(r->exchanges).waiting < 2) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    cw_clock_suspend(200); /* over 0.4 of the shortest target */
+    cw_clock_suspend(200); /* more than 0.4 of the shortest target */
     cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     exchanges_on_wake(r->exchanges);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 1);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).waiting, 1);
     ck_assert_uint_eq(r->arrival_count, 1);
-    cw_clock_suspend(4100); /* of its 5000 ms less than its target of 400 is left */
+    cw_clock_suspend(4100); /* less than its target of 400 ms is left of its 5000 ms */
     cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     exchanges_on_wake(r->exchanges);
     rig_run(r);
     expect_status(cw_buffer_text(&r->answer), "503");
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 2);
-    cw_stream_close(&waits);
+    cw_stream_close(&queued_caller);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(a_kept_prompt_is_fetched_from_its_server_when_that_one_is_busy) {
+START_TEST(cached_prompt_is_fetched_from_a_busy_server) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 2);
-    script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
     expect_status(rig_call(r, GENERATE("5000")), "200");
     uint32_t home = r->arrival_server[0];
     ck_assert(!strstr(r->arrivals[0], "Chalkway-Fetch-From"));
@@ -741,47 +746,47 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, a_long_prompt_that_would_come_too_late_is_refused_and_a_short_one_is_not);
-    tcase_add_test(t, an_idle_engine_refuses_no_prompt_for_its_length);
-    tcase_add_test(t, an_urgent_request_gets_the_place_before_a_favoured_workspace_s_patient_one);
-    tcase_add_test(t, an_urgent_request_goes_before_long_ones_of_a_workspace_with_one_priority);
-    tcase_add_test(t, nothing_larger_and_less_urgent_begins_where_an_urgent_prompt_is_refused);
-    tcase_add_test(t, who_comes_later_does_not_pass_who_waits_and_is_as_urgent);
-    tcase_add_test(t, a_patient_request_gives_up_a_place_first_and_an_impatient_one_waits_while_its_caller_does);
-    tcase_add_test(t, a_kept_prompt_is_fetched_from_its_server_when_that_one_is_busy);
-    tcase_add_test(t, a_request_is_passed_on_with_the_gateways_own_fields);
-    tcase_add_test(t, a_chunked_body_and_a_pipelined_request_are_passed_on);
-    tcase_add_test(t, a_request_that_may_have_run_is_not_sent_again);
-    tcase_add_test(t, a_request_that_a_server_did_not_run_goes_to_the_next);
-    tcase_add_test(t, a_request_that_ran_nowhere_is_refused_with_a_time_to_come_back);
-    tcase_add_test(t, a_rejection_does_not_undo_an_earlier_run);
-    tcase_add_test(t, a_repeatable_request_is_sent_again_after_a_loss_and_a_failure);
-    tcase_add_test(t, a_head_is_never_joined_to_another_servers_body);
-    tcase_add_test(t, the_last_servers_failure_is_passed_on_unchanged);
-    tcase_add_test(t, a_silent_server_loses_a_repeatable_request_to_another);
-    tcase_add_test(t, a_silent_stream_is_moved_when_it_is_late_anyhow);
-    tcase_add_test(t, time_that_is_up_is_told_at_once);
-    tcase_add_test(t, a_cut_stream_goes_on_elsewhere_without_a_piece_missing_or_doubled);
-    tcase_add_test(t, a_cut_stream_that_may_not_go_on_does_not_look_complete);
-    tcase_add_test(t, an_answer_without_length_ends_with_its_connection);
-    tcase_add_test(t, an_answer_shorter_than_its_length_does_not_look_complete);
-    tcase_add_test(t, bytes_after_an_answer_belong_to_no_request);
-    tcase_add_test(t, an_answer_to_an_earlier_request_is_skipped);
-    tcase_add_test(t, bytes_that_are_no_answer_are_not_passed_on);
-    tcase_add_test(t, a_server_with_another_id_is_not_used_again);
-    tcase_add_test(t, a_leaving_server_gets_nothing_new);
-    tcase_add_test(t, a_closed_hall_gets_nothing_until_it_is_opened_again);
-    tcase_add_test(t, a_list_that_says_the_same_changes_nothing);
-    tcase_add_test(t, lapsed_servers_are_used_until_they_are_back);
-    tcase_add_test(t, a_caller_that_leaves_ends_its_stream_at_the_server);
-    tcase_add_test(t, keys_and_routes_are_judged_by_the_configuration_in_force);
-    tcase_add_test(t, requests_over_the_limits_are_refused);
-    tcase_add_test(t, without_a_configuration_callers_come_back_later);
-    tcase_add_test(t, without_a_server_a_request_is_refused_at_once);
-    tcase_add_test(t, a_server_that_refuses_connections_is_passed_over);
-    tcase_add_test(t, others_are_told_of_a_connection_that_fails_and_of_no_other);
-    tcase_add_test(t, a_request_read_between_the_quiet_turn_and_the_end_is_refused);
-    tcase_add_test(t, a_stopping_host_waits_for_what_runs_until_its_time_is_nearly_up);
+    tcase_add_test(t, long_prompt_behind_a_long_backlog_is_refused_and_a_short_one_is_not);
+    tcase_add_test(t, idle_engine_accepts_a_prompt_of_any_length);
+    tcase_add_test(t, urgent_request_precedes_a_delay_tolerant_one_of_a_high_priority_workspace);
+    tcase_add_test(t, urgent_request_precedes_long_prompts_of_the_same_workspace);
+    tcase_add_test(t, no_larger_less_urgent_prompt_is_sent_where_an_urgent_one_is_refused);
+    tcase_add_test(t, later_request_does_not_overtake_a_queued_one_of_equal_urgency);
+    tcase_add_test(t, delay_tolerant_request_is_refused_first_and_an_urgent_one_waits_as_long_as_its_caller);
+    tcase_add_test(t, cached_prompt_is_fetched_from_a_busy_server);
+    tcase_add_test(t, request_is_forwarded_with_fields_of_the_gateway);
+    tcase_add_test(t, chunked_body_and_pipelined_request_are_forwarded);
+    tcase_add_test(t, request_that_may_have_run_is_not_retried);
+    tcase_add_test(t, request_not_run_by_a_server_is_retried_at_another);
+    tcase_add_test(t, request_that_ran_nowhere_gets_503_with_retry_after);
+    tcase_add_test(t, rejected_retry_does_not_hide_an_earlier_run);
+    tcase_add_test(t, repeatable_request_is_retried_after_reset_and_after_500);
+    tcase_add_test(t, head_and_body_come_from_the_same_server);
+    tcase_add_test(t, error_response_of_the_last_server_is_forwarded_unchanged);
+    tcase_add_test(t, stalled_repeatable_call_is_retried_at_another_server);
+    tcase_add_test(t, stalled_stream_is_retried_after_two_targets);
+    tcase_add_test(t, passed_deadline_gives_504_at_once);
+    tcase_add_test(t, broken_stream_resumes_at_another_server_without_lost_or_repeated_events);
+    tcase_add_test(t, broken_stream_without_resume_does_not_look_complete);
+    tcase_add_test(t, response_without_length_ends_with_its_connection);
+    tcase_add_test(t, truncated_response_does_not_look_complete);
+    tcase_add_test(t, bytes_after_a_response_are_discarded);
+    tcase_add_test(t, response_to_an_earlier_request_is_skipped);
+    tcase_add_test(t, malformed_response_is_not_forwarded);
+    tcase_add_test(t, server_that_reports_another_id_is_not_used_again);
+    tcase_add_test(t, leaving_server_gets_no_new_requests);
+    tcase_add_test(t, closed_hall_gets_no_requests_until_it_is_opened);
+    tcase_add_test(t, identical_server_list_changes_nothing);
+    tcase_add_test(t, servers_missing_after_an_outage_are_used_until_they_expire);
+    tcase_add_test(t, disconnect_of_the_caller_closes_its_stream_at_the_server);
+    tcase_add_test(t, keys_and_routes_follow_the_active_configuration);
+    tcase_add_test(t, requests_over_the_limits_are_rejected);
+    tcase_add_test(t, retry_after_without_a_configuration_follows_the_deadline);
+    tcase_add_test(t, request_without_a_server_is_refused_at_once);
+    tcase_add_test(t, server_that_refuses_connections_is_skipped);
+    tcase_add_test(t, only_a_failed_connection_is_reported_as_liveness_change);
+    tcase_add_test(t, request_read_after_the_host_stops_accepting_is_refused);
+    tcase_add_test(t, stopping_host_waits_for_running_requests_until_its_time_is_nearly_up);
 }
 
 int main(void) {
--- a/tests/test_limited.c
+++ b/tests/test_limited.c
@@ -1,14 +1,13 @@
 /*
-    A server that names the rate at which it takes requests, from all hosts together.
+    Servers that advertise the rate at which they accept requests from all hosts together.
 
-    Seen: nine engines before eight hosts; two of them named 3.3 and 1 requests a second in all their answers and got 36
-   and 15 in four seconds, as many as before. How it came about: every host went on choosing them by cost. Cause: an
-   answer's head was looked at by its request alone, so nothing of what it says of its server reached the choice. Proof:
-   sends to the two servers were the same in the four seconds before and after they named a rate, at hosts that had been
-   told and at those that had not.
+    Guards against ignoring that rate. With nine engines and eight hosts, two engines advertised 3.3 and 1 requests
+    per second in all their responses and got 36 and 15 requests in four seconds, as many as before. Every host went
+    on choosing them by cost: a response's head was evaluated for its own request only, so the advertised rate never
+    reached the choice of a server.
 
-    Pattern here: a server that names a rate in each answer, and requests that come as fast as they are answered. What
-   it may get in four seconds is one and a half times its rate, and five more.
+    The tests script a server that advertises a rate in each response, and send requests as fast as they are served.
+    In four seconds the server may get one and a half times its rate, plus five requests.
 */
 #include "rig.h"
 
@@ -18,7 +17,7 @@
     "{\"name\":\"once\",\"host\":\"h.example\",\"prefix\":\"/once/\",\"kind\":\"once\",\"timeout_ms\":5000,"           \
     "\"target_ms\":300,\"attempts\":1,\"open\":true,\"pools\":[{\"pool\":\"p\"}]}]}"
 #define REQUEST "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
-#define LIMITED                                                                                                        \
+#define LIMITED_RESPONSE                                                                                               \
     {                                                                                                                  \
         RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Limit: 0.01\r\n"                  \
                     "Content-Length: 4\r\n\r\nfine"                                                                    \
@@ -28,7 +27,8 @@
 #define ALLOWED (1.5 * PER_S * WINDOW_S + 5)
 #define CALLS 16
 
-/* Calls one after the other; returns how many were served, and checks that the others were refused as not run. */
+/* Makes calls one after the other and checks that those not served are refused as not run. Returns how many were
+   served. */
 static uint32_t call_all(rig_t* r) {
     uint32_t served = 0;
     for (uint32_t i = 0; i < CALLS; i++) {
@@ -49,17 +49,17 @@
     return count;
 }
 
-static void all_limited(rig_t* r) {
+static void script_limited_responses(rig_t* r) {
     rig_step_t steps[CALLS];
     for (uint32_t i = 0; i < CALLS; i++) {
-        steps[i] = (rig_step_t)LIMITED;
+        steps[i] = (rig_step_t)LIMITED_RESPONSE;
     }
     rig_script(r, steps, CALLS);
 }
 
-START_TEST(a_server_gets_no_more_than_the_rate_that_it_named) {
+START_TEST(server_gets_no_more_than_its_advertised_rate) {
     rig_t* r = rig_setup(ROUTES, 1);
-    all_limited(r);
+    script_limited_responses(r);
     uint32_t served = call_all(r);
     ck_assert_msg(r->arrival_count <= ALLOWED, "%u requests reached it", r->arrival_count);
     ck_assert_uint_eq(served, r->arrival_count);
@@ -67,10 +67,10 @@
 }
 END_TEST
 
-/* The second server names nothing: what the first may not get goes there, and nobody is refused. */
-START_TEST(what_a_limited_server_may_not_get_goes_to_the_others) {
+/* The second server advertises no rate: it gets the requests beyond the first one's rate, and none is refused. */
+START_TEST(requests_beyond_the_advertised_rate_go_to_other_servers) {
     rig_t* r = rig_setup(ROUTES, 2);
-    all_limited(r);
+    script_limited_responses(r);
     rig_call(r, REQUEST);
     uint32_t limited = r->arrival_server[0];
     rig_step_t steps[CALLS];
@@ -86,8 +86,8 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, a_server_gets_no_more_than_the_rate_that_it_named);
-    tcase_add_test(t, what_a_limited_server_may_not_get_goes_to_the_others);
+    tcase_add_test(t, server_gets_no_more_than_its_advertised_rate);
+    tcase_add_test(t, requests_beyond_the_advertised_rate_go_to_other_servers);
 }
 
 int main(void) {
--- a/tests/test_pushback.c
+++ b/tests/test_pushback.c
@@ -1,15 +1,14 @@
 /*
-    Servers that say in an answer that they leave, or that they want nothing from this host for a while.
+    Servers that announce in a response that they are leaving, or ask this host for a backoff.
 
-    Seen: while the source was away, hosts went on sending to a server for nine seconds after an answer of it had told
-   them that it leaves. On another day servers that shed load turned requests away with a time to come back, and got as
-   many from the same host in that time as before; each was spent on a server that had said no, though others had room.
-   Cause: of an answer's head only "not run" was learned, as no room for 100 ms, whatever else it said. Proof: sends to
-   those servers were the same before and after the answers, at hosts that had been told and at those that had not, and
-   ended only with the list of servers.
+    Guards against ignoring such announcements. While the source was unavailable, hosts went on sending to a server
+    for nine seconds after its response had announced that it is leaving. On another day, servers that shed load
+    rejected requests with Retry-After and got as many from the same host in that time as before. Each was spent on a
+    server that had refused, though others had free slots. Of a response's head only "not run" was evaluated, as no
+    free slot for 100 ms, so only a new server list ended the sends.
 
-    Pattern here: one answer that says so, and requests after it, with the clock of the tests (io/clock.h) moved on
-   where time must pass.
+    The tests script one response with an announcement and requests after it, and move the test clock (io/clock.h)
+    where time must pass.
 */
 #include "rig.h"
 
@@ -21,45 +20,45 @@
     "{\"name\":\"once\",\"host\":\"h.example\",\"prefix\":\"/once/\",\"kind\":\"once\",\"timeout_ms\":9000,"           \
     "\"target_ms\":300,\"attempts\":1,\"open\":true,\"pools\":[{\"pool\":\"p\"}]}]}"
 #define REQUEST "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
-#define FINE                                                                                                           \
+#define OK_RESPONSE                                                                                                    \
     { RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 4\r\n\r\nfine" }
-#define LEAVES                                                                                                         \
+#define LEAVING_RESPONSE                                                                                               \
     {                                                                                                                  \
         RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 1\r\n"                   \
                     "Content-Length: 4\r\n\r\nfine"                                                                    \
     }
-#define AWAY(retry_after)                                                                                              \
+#define BACKOFF_RESPONSE(retry_after)                                                                                  \
     {                                                                                                                  \
         RIG_ANSWER, "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\nChalkway-Not-Run: 1\r\nRetry-After: " retry_after \
                     "\r\nContent-Length: 0\r\n\r\n"                                                                    \
     }
 #define CALLS 8
-#define REST_MS 30000
-#define UNDER_WAY_MS 500 /* what was on its way as the server spoke may still come for so long */
+#define BACKOFF_MS 30000
+#define IN_FLIGHT_MS 500 /* requests that were in flight when the server responded may still arrive for this time */
 
 static void expect_status(const char* answer, const char* status) {
     ck_assert_msg(strncmp(answer, "HTTP/1.1 ", 9) == 0 && strncmp(answer + 9, status, 3) == 0, "wanted %s, got: %s",
                   status, answer);
 }
 
-/* So many calls, one after the other, each of which is answered so; returns how many reached the server. */
+/* Makes this many calls one after the other and checks the status of each. Returns how many reached the server. */
 static uint32_t call(rig_t* r, uint32_t calls, const char* status, uint32_t server) {
     rig_step_t steps[CALLS];
     for (uint32_t i = 0; i < CALLS; i++) {
-        steps[i] = (rig_step_t)FINE;
+        steps[i] = (rig_step_t)OK_RESPONSE;
     }
     rig_script(r, steps, CALLS);
     for (uint32_t i = 0; i < calls; i++) {
         expect_status(rig_call(r, REQUEST), status);
     }
-    uint32_t there = 0;
+    uint32_t reached = 0;
     for (uint32_t i = 0; i < r->arrival_count; i++) {
-        there += r->arrival_server[i] == server;
+        reached += r->arrival_server[i] == server;
     }
-    return there;
+    return reached;
 }
 
-/* Calls once; the server, whose index is returned, answers by the step. */
+/* Makes one call, to which a server responds as the step says. Returns the index of that server. */
 static uint32_t call_first(rig_t* r, rig_step_t step, const char* status) {
     rig_script(r, &step, 1);
     expect_status(rig_call(r, REQUEST), status);
@@ -68,18 +67,18 @@
 
 /* -- leaving -------------------------------------------------------------- */
 
-START_TEST(a_server_that_says_it_leaves_gets_nothing_more) {
+START_TEST(server_that_announces_leaving_gets_no_more_requests) {
     rig_t* r = rig_setup(ROUTES, 2);
-    uint32_t leaving = call_first(r, (rig_step_t)LEAVES, "200");
+    uint32_t leaving = call_first(r, (rig_step_t)LEAVING_RESPONSE, "200");
     ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
     rig_shutdown(r);
 }
 END_TEST
 
-/* A list read before it left, a list that lacks it for a moment, and the end of an outage: it has left all the same. */
-START_TEST(no_list_brings_a_server_back_that_said_it_leaves) {
+/* Neither a list read before, nor one that lacks the server for a moment, nor the end of an outage brings it back. */
+START_TEST(no_server_list_brings_a_leaving_server_back) {
     rig_t* r = rig_setup(ROUTES, 2);
-    uint32_t leaving = call_first(r, (rig_step_t)LEAVES, "200");
+    uint32_t leaving = call_first(r, (rig_step_t)LEAVING_RESPONSE, "200");
     rig_set_servers(r, 2, 0);
     ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
     rig_set_servers(r, 0, 0);
@@ -89,20 +88,21 @@
 }
 END_TEST
 
-/* The word comes while a connection is being opened: nothing has been sent, and the other server gets the request. */
-START_TEST(a_request_that_is_about_to_be_sent_goes_elsewhere) {
+/* The announcement arrives while a connection is being opened. Nothing has been sent, so the other server gets the
+   request. */
+START_TEST(request_not_sent_yet_goes_to_another_server) {
     rig_t* r = rig_setup(ROUTES, 2);
-    r->departing = 1;
+    r->leaving_count = 1;
     call(r, 1, "200", 0);
     ck_assert_uint_eq(r->arrival_count, 1);
-    r->departing = 1;
+    r->leaving_count = 1;
     expect_status(rig_call(r, REQUEST), "503");
     rig_shutdown(r);
 }
 END_TEST
 
-/* Whatever it answers to: a health check, or a request that it turns away. */
-START_TEST(any_answer_tells_that_a_server_leaves) {
+/* Also the response to a health check, or to a request that the server rejects. */
+START_TEST(any_response_can_announce_leaving) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t leaving = call_first(r,
                                   (rig_step_t){RIG_ANSWER, "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\n"
@@ -114,7 +114,7 @@
 }
 END_TEST
 
-START_TEST(another_word_than_yes_changes_nothing) {
+START_TEST(other_values_of_the_leaving_field_change_nothing) {
     rig_t* r = rig_setup(ROUTES, 1);
     call_first(r,
                (rig_step_t){RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 0\r\n"
@@ -125,27 +125,27 @@
 }
 END_TEST
 
-/* -- rest ----------------------------------------------------------------- */
+/* -- backoff -------------------------------------------------------------- */
 
-START_TEST(a_server_that_asked_for_rest_gets_nothing_until_it_is_over) {
+START_TEST(server_in_backoff_gets_no_requests_until_it_ends) {
     rig_t* r = rig_setup(ROUTES, 2);
-    uint32_t resting = call_first(r, (rig_step_t)AWAY("30"), "503");
-    cw_clock_suspend(UNDER_WAY_MS);
-    ck_assert_uint_eq(call(r, CALLS, "200", resting), 0);
-    cw_clock_suspend(REST_MS / 2);
-    ck_assert_uint_eq(call(r, CALLS, "200", resting), 0);
-    cw_clock_suspend(REST_MS);
-    rig_set_servers(r, 2, 2 - resting); /* the other one leaves */
-    ck_assert_uint_eq(call(r, CALLS, "200", resting), CALLS);
+    uint32_t backoff_server = call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
+    cw_clock_suspend(IN_FLIGHT_MS);
+    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
+    cw_clock_suspend(BACKOFF_MS / 2);
+    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
+    cw_clock_suspend(BACKOFF_MS);
+    rig_set_servers(r, 2, 2 - backoff_server); /* the other server leaves */
+    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), CALLS);
     rig_shutdown(r);
 }
 END_TEST
 
-/* None is tried after all: the caller is told at once, and when to come back. */
-START_TEST(where_all_rest_a_request_is_refused_with_the_soonest_end) {
+/* No server is tried. The caller is refused at once and told when to retry. */
+START_TEST(request_is_refused_with_the_earliest_end_when_all_servers_are_in_backoff) {
     rig_t* r = rig_setup(ROUTES, 1);
-    call_first(r, (rig_step_t)AWAY("30"), "503");
-    cw_clock_suspend(UNDER_WAY_MS);
+    call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
+    cw_clock_suspend(IN_FLIGHT_MS);
     ck_assert_uint_eq(call(r, 3, "503", 0), 0);
     const char* field = strstr(cw_buffer_text(&r->answer), "Retry-After: ");
     ck_assert_msg(field && atof(field + strlen("Retry-After: ")) > 20, "%s", cw_buffer_text(&r->answer));
@@ -153,20 +153,20 @@
 }
 END_TEST
 
-/* A later answer neither shortens a rest nor, served, ends it. */
-START_TEST(a_rest_is_never_shortened) {
+/* A later response neither shortens a backoff nor ends it by serving a request. */
+START_TEST(backoff_is_never_shortened) {
     rig_t* r = rig_setup(ROUTES, 1);
-    call_first(r, (rig_step_t)AWAY("30"), "503");
+    call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
     server_t* s = upstreams_pool(r->upstreams, "p")->servers;
     cw_balance_rest(s->pool->balance, clock_ms(), s->key, 1);
-    cw_clock_suspend(UNDER_WAY_MS);
+    cw_clock_suspend(IN_FLIGHT_MS);
     ck_assert_uint_eq(call(r, 3, "503", 0), 0);
     rig_shutdown(r);
 }
 END_TEST
 
-/* What waited for the end doesn't come all at once. */
-START_TEST(after_a_rest_a_server_is_used_slowly_at_first) {
+/* Requests that waited for the end of the backoff are not sent all at once. */
+START_TEST(server_gets_few_requests_at_first_after_a_backoff) {
     cw_rest_t rest = {0};
     ck_assert_uint_eq(cw_rest_wait_ms(&rest, 1000), 0);
     cw_rest_ask(&rest, 1000, 3000);
@@ -184,15 +184,16 @@
 }
 END_TEST
 
-/* -- what can be read ----------------------------------------------------- */
+/* -- valid values --------------------------------------------------------- */
 
-START_TEST(odd_values_change_nothing_and_huge_ones_are_bounded) {
-    static const char* const odd[] = {
+START_TEST(invalid_values_change_nothing_and_huge_ones_are_bounded) {
+    static const char* const invalid[] = {
         "", " ", "-1", "1e3", "inf", "nan", "0x10", "1.2.3", "1,5", "3 s", "+1", ".", "Thu, 03 Dec 2026 08:00:00 GMT"};
-    for (size_t i = 0; i < sizeof(odd) / sizeof(*odd); i++) {
+    for (size_t i = 0; i < sizeof(invalid) / sizeof(*invalid); i++) {
         double per_s = 7;
         uint32_t ms = 7;
-        ck_assert_msg(!cw_pushback_limit(odd[i], &per_s) && !cw_pushback_rest(odd[i], 1000, &ms), "%s", odd[i]);
+        ck_assert_msg(!cw_pushback_limit(invalid[i], &per_s) && !cw_pushback_rest(invalid[i], 1000, &ms), "%s",
+                      invalid[i]);
         ck_assert(per_s == 7 && ms == 7);
     }
     double per_s = 0;
@@ -208,16 +209,16 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, a_rest_is_never_shortened);
-    tcase_add_test(t, after_a_rest_a_server_is_used_slowly_at_first);
-    tcase_add_test(t, odd_values_change_nothing_and_huge_ones_are_bounded);
-    tcase_add_test(t, a_server_that_says_it_leaves_gets_nothing_more);
-    tcase_add_test(t, no_list_brings_a_server_back_that_said_it_leaves);
-    tcase_add_test(t, a_request_that_is_about_to_be_sent_goes_elsewhere);
-    tcase_add_test(t, any_answer_tells_that_a_server_leaves);
-    tcase_add_test(t, another_word_than_yes_changes_nothing);
-    tcase_add_test(t, a_server_that_asked_for_rest_gets_nothing_until_it_is_over);
-    tcase_add_test(t, where_all_rest_a_request_is_refused_with_the_soonest_end);
+    tcase_add_test(t, backoff_is_never_shortened);
+    tcase_add_test(t, server_gets_few_requests_at_first_after_a_backoff);
+    tcase_add_test(t, invalid_values_change_nothing_and_huge_ones_are_bounded);
+    tcase_add_test(t, server_that_announces_leaving_gets_no_more_requests);
+    tcase_add_test(t, no_server_list_brings_a_leaving_server_back);
+    tcase_add_test(t, request_not_sent_yet_goes_to_another_server);
+    tcase_add_test(t, any_response_can_announce_leaving);
+    tcase_add_test(t, other_values_of_the_leaving_field_change_nothing);
+    tcase_add_test(t, server_in_backoff_gets_no_requests_until_it_ends);
+    tcase_add_test(t, request_is_refused_with_the_earliest_end_when_all_servers_are_in_backoff);
 }
 
 int main(void) {
