--- a/gateway/admission.c
+++ b/gateway/admission.c
@@ -57,7 +57,7 @@
     if (catalog->needs_keys && !route->open && !workspace) {
         return deny(401, "unknown key");
     }
-    bool resumable = route->kind == CW_ROUTE_STREAM && route->resume;
+    bool is_resumable = route->kind == CW_ROUTE_STREAM && route->resume;
     uint32_t priority = workspace && workspace->has_tier ? workspace->tier : route->tier;
     return (admission_t){.why = "",
                          .route = route,
@@ -65,16 +65,17 @@
                          .priority = priority,
                          .urgency = urgency(dialect, priority, route->tier),
                          .time_limit_ms = time_limit_ms(dialect, m, route),
-                         .repeatable = route->kind == CW_ROUTE_REPEATABLE || resumable};
+                         .repeatable = route->kind == CW_ROUTE_REPEATABLE || is_resumable};
 }
 
-uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* m, bool away, uint64_t draw) {
+uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* m, bool is_source_unavailable,
+                                         uint64_t random_number) {
     double left_ms = 0;
     if (!request_deadline_read(dialect, m, &left_ms)) {
         left_ms = 0; /* a host with a configuration will reject the malformed field */
     }
-    double share = UNAVAILABLE_RETRY_SHARE * (1 + (double)(draw % 500) / 1000);
-    bool known = left_ms > 0 && left_ms < UINT32_MAX;
-    uint32_t later_ms = away && known ? (uint32_t)(left_ms * share) : 0;
+    double share = UNAVAILABLE_RETRY_SHARE * (1 + (double)(random_number % 500) / 1000);
+    bool has_deadline = left_ms > 0 && left_ms < UINT32_MAX;
+    uint32_t later_ms = is_source_unavailable && has_deadline ? (uint32_t)(left_ms * share) : 0;
     return later_ms > UNCONFIGURED_RETRY_MS ? later_ms : UNCONFIGURED_RETRY_MS;
 }
--- a/gateway/admission.h
+++ b/gateway/admission.h
@@ -1,7 +1,7 @@
 #ifndef CW_GATEWAY_ADMISSION_H
 #define CW_GATEWAY_ADMISSION_H
 /*
-    Admits or denies a request according to the current configuration: determines its route, workspace, priority and
+    Admits or denies a request according to the active configuration: determines its route, workspace, priority and
     time limit. Reads the request's head and the catalog, and changes nothing.
 */
 #include "../chalkway_catalog.h"
@@ -21,9 +21,9 @@
 
 /* Checks a request. status and why are always set, the other fields only if it is admitted. */
 admission_t admission_check(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* request);
-/* Time after which a caller should retry at a host that has no configuration yet. away: the configuration source seems
-   unavailable to all hosts, so a caller that retried quickly would use up its attempts. draw: random number. */
-uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* request, bool away,
-                                         uint64_t draw);
+/* Time after which a caller should retry at a host that has no configuration yet. is_source_unavailable: the source
+   seems unavailable to all hosts, so a caller that retried quickly would use up its attempts. */
+uint32_t admission_unconfigured_retry_ms(const dialect_t* dialect, const cw_message_t* request,
+                                         bool is_source_unavailable, uint64_t random_number);
 
 #endif
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -17,7 +17,7 @@
 static void run_actions(exchange_t* x, uint32_t todo);
 
 static uint64_t next_random(exchanges_t* e) {
-    return cw_mix(e->desc.seed, ++e->draws);
+    return cw_mix(e->desc.seed, ++e->random_count);
 }
 
 /* -- error responses ------------------------------------------------------- */
@@ -158,11 +158,11 @@
         return;
     }
     int64_t now_ms = clock_ms();
-    bool suspected = cw_balance_suspected(pool->balance, now_ms, server->key);
+    bool was_suspected = cw_balance_suspected(pool->balance, now_ms, server->key);
     cw_balance_end(pool->balance, now_ms, &x->run, x->result);
     x->exchanges->desc.on_load(x->exchanges->desc.user_data, server, NULL);
     if (x->result == CW_TRY_BROKEN || x->result == CW_TRY_UNREACHABLE) {
-        server_log_life(server, now_ms, suspected, 0);
+        server_log_life(server, now_ms, was_suspected, 0);
         x->exchanges->desc.on_life(x->exchanges->desc.user_data, server);
     }
 }
@@ -273,7 +273,7 @@
         abort();
     }
     const cw_route_t* route = admission->route;
-    bool stream = route->kind == CW_ROUTE_STREAM;
+    bool is_stream = route->kind == CW_ROUTE_STREAM;
     x->exchanges = e;
     x->caller = caller;
     cw_copy(x->id, sizeof(x->id), id);
@@ -287,8 +287,8 @@
     x->priority = admission->priority;
     x->run.server = CW_BALANCE_NONE;
     x->fsm = cw_request_new(&(cw_request_desc_t){.repeatable = admission->repeatable,
-                                                 .resumable = stream && route->resume,
-                                                 .cancel_when_gone = stream,
+                                                 .resumable = is_stream && route->resume,
+                                                 .cancel_when_gone = is_stream,
                                                  .count_sent = true,
                                                  .max_attempts = route->attempts});
     x->work = (cw_work_t){.urgency = cw_urgency_level(admission->urgency),
@@ -316,10 +316,10 @@
 void exchanges_on_request(exchanges_t* e, caller_t* caller) {
     const cw_message_t* m = caller_message(caller);
     const char* id = cw_message_field(m, e->desc.dialect->fields.request_id);
-    char made[24];
-    if (!id || !id[0] || strlen(id) >= ID_MAX) {
-        snprintf(made, sizeof(made), "%016llx", (unsigned long long)next_random(e));
-        id = made;
+    char generated_id[24];
+    if (!id || !id[0] || strlen(id) >= REQUEST_ID_MAX) {
+        snprintf(generated_id, sizeof(generated_id), "%016llx", (unsigned long long)next_random(e));
+        id = generated_id;
     }
     if (!e->catalog) {
         e->stats.outcomes[EXCHANGE_REFUSED]++;
--- a/gateway/exchange_parts.h
+++ b/gateway/exchange_parts.h
@@ -15,13 +15,13 @@
 #define MS_PER_S 1000.0
 #define US_PER_MS 1000.0
 #define TRIED_SERVERS_MAX 8 /* servers that failed a request and are excluded from its retries */
-#define ID_MAX 128
+#define REQUEST_ID_MAX 128
 #define QUARANTINED_REASON "servers ended under it" /* sent to the caller of a quarantined request */
 
 typedef struct exchange_t {
     exchanges_t* exchanges;
     caller_t* caller; /* NULL: the caller has closed its connection, or its response is complete */
-    char id[ID_MAX];
+    char id[REQUEST_ID_MAX];
     cw_fingerprint_t fingerprint; /* identifies the request independently of its id */
     cw_catalog_t* catalog;
     const cw_route_t* route;
@@ -51,7 +51,7 @@
     /* all attempts */
     uint64_t tried[TRIED_SERVERS_MAX];
     uint32_t tried_count;
-    uint32_t attempt_count;
+    uint32_t attempt_count;  /* attempts whose request was sent */
     bool has_reserved_retry; /* the retry budget has already granted the next attempt */
     uint32_t retry_ms;       /* of a refused request: time until a slot may be free */
     cw_buffer_t head_fields; /* response head, stored until it is sent to the caller */
@@ -77,7 +77,7 @@
     exchange_t* list;
     exchange_t* queue; /* ordered by cw_turn_before */
     bool is_refusing;
-    uint64_t draws;
+    uint64_t random_count;
     uint32_t resume_count; /* times that the host resumed from suspend */
     int64_t setup_ms;
     exchanges_stats_t stats;
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -13,7 +13,7 @@
 #define LINGER_S 1.0 /* a connection being closed is read for this time, so that the response is not lost */
 #define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may pipeline before it is read no more */
 #define ACCEPT_BATCH 16           /* connections accepted in one iteration of the event loop */
-#define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for this time is taken for gone */
+#define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for this time counts as lost */
 #define IDLE_SLACK_MS 200         /* an idle connection is closed this long after the limit */
 
 typedef enum caller_state_t {
@@ -32,7 +32,7 @@
     bool must_close;
     bool is_finished; /* the last response was written completely */
     cw_framing_t framing;
-    bool is_head_request; /* the response has no body */
+    bool is_bodiless; /* the response has no body */
     ev_timer timer;
     void* data;
     caller_t* prev;
@@ -121,7 +121,7 @@
 /* -- responses ------------------------------------------------------------ */
 
 static bool has_no_body(const caller_t* c, unsigned status) {
-    return c->is_head_request || status / 100 == 1 || status == 204 || status == 304;
+    return c->is_bodiless || status / 100 == 1 || status == 204 || status == 304;
 }
 
 static void write_head(caller_t* c, unsigned status, const char* fields) {
@@ -151,7 +151,7 @@
 void caller_reply(caller_t* c, unsigned status, const char* fields, const void* body, size_t size) {
     write_head(c, status, fields);
     write_end_of_head(c, CW_FRAMING_LENGTH, size);
-    if (!c->is_head_request) {
+    if (!c->is_bodiless) {
         cw_stream_write(&c->stream, body, size);
     }
     end_response(c);
@@ -172,7 +172,7 @@
 }
 
 void caller_write(caller_t* c, const void* data, size_t size) {
-    if (c->is_head_request) {
+    if (c->is_bodiless) {
         return;
     }
     if (c->framing == CW_FRAMING_CHUNKED) {
@@ -197,7 +197,7 @@
         caller_free(c);
         return;
     }
-    if (c->framing == CW_FRAMING_CHUNKED && !c->is_head_request) {
+    if (c->framing == CW_FRAMING_CHUNKED && !c->is_bodiless) {
         cw_buffer_t out = {0};
         cw_message_add_last_chunk(&out);
         cw_stream_write(&c->stream, out.data, out.size);
@@ -228,7 +228,7 @@
 static void reject(caller_t* c, unsigned status, const char* fields) {
     timer_stop(c);
     c->must_close = true;
-    c->is_head_request = false;
+    c->is_bodiless = false;
     c->message.state = CW_MESSAGE_BROKEN; /* further bytes are not parsed as a request */
     c->front->stats.active++;
     caller_reply(c, status, fields, "", 0);
@@ -242,11 +242,11 @@
 static void on_head(void* owner) {
     caller_t* c = owner;
     front_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
-    c->is_head_request = strcmp(c->message.method, "HEAD") == 0;
+    c->is_bodiless = strcmp(c->message.method, "HEAD") == 0;
     if (c->message.framing != CW_FRAMING_NONE && c->message.length <= limits.body_bytes &&
         expects_continue(&c->message)) {
-        static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
-        cw_stream_write(&c->stream, go_on, sizeof(go_on) - 1);
+        static const char continue_line[] = "HTTP/1.1 100 Continue\r\n\r\n";
+        cw_stream_write(&c->stream, continue_line, sizeof(continue_line) - 1);
         cw_stream_flush(&c->stream);
     }
 }
@@ -267,17 +267,17 @@
     c->front->desc.on_request(c, c->front->desc.user_data);
 }
 
-/* Rejects a request that is malformed or exceeds a limit so far. Returns whether it did. */
-static bool reject_over_limits(caller_t* c) {
+/* Rejects the request if what has been read of it is malformed or exceeds a limit. Returns whether it did. */
+static bool reject_if_invalid(caller_t* c) {
     front_t* f = c->front;
     front_limits_t limits = f->desc.limits(f->desc.user_data);
-    bool in_head = c->message.state == CW_MESSAGE_HEAD;
+    bool is_in_head = c->message.state == CW_MESSAGE_HEAD;
     if (c->message.state == CW_MESSAGE_BROKEN) {
         f->stats.broken++;
         reject(c, 400, "");
-    } else if ((in_head && c->message.head_bytes > limits.head_bytes) || c->message.text.size > limits.head_bytes) {
+    } else if ((is_in_head && c->message.head_bytes > limits.head_bytes) || c->message.text.size > limits.head_bytes) {
         reject(c, 431, "");
-    } else if (!in_head && (c->message.length > limits.body_bytes || c->body.size > limits.body_bytes)) {
+    } else if (!is_in_head && (c->message.length > limits.body_bytes || c->body.size > limits.body_bytes)) {
         reject(c, 413, "");
     } else if (f->stats.body_bytes > f->desc.max_body_total) {
         cw_buffer_t fields = {0};
@@ -293,12 +293,12 @@
 
 /* Parses a request and buffers the bytes after it. May free the caller. */
 static void read_request(caller_t* c, const char* data, size_t size) {
-    bool idle = c->message.state == CW_MESSAGE_IDLE;
+    bool was_idle = c->message.state == CW_MESSAGE_IDLE;
     size_t used = cw_message_read(&c->message, data, size);
-    if (idle && c->message.state != CW_MESSAGE_IDLE) {
+    if (was_idle && c->message.state != CW_MESSAGE_IDLE) {
         timer_start(c, c->front->desc.limits(c->front->desc.user_data).head_ms / MS_PER_S);
     }
-    if (reject_over_limits(c)) {
+    if (reject_if_invalid(c)) {
         return;
     }
     if (c->message.state == CW_MESSAGE_COMPLETE) {
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -3,7 +3,7 @@
 /*
     Callers' connections: HTTP/1.1 over cw_stream_t, with one request at a time on each.
 
-    A request is handed to the owner after it has been read completely, within the limits of the current
+    A request is handed to the owner after it has been read completely, within the limits of the active
     configuration. The owner responds at once or in pieces. Each connection is read all the time, so that its end is
     noticed at once. Bytes that a caller pipelines are buffered, up to a bound.
 */
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -90,12 +90,12 @@
     }
     parts->max_parts = v->max_parts;
     if (!result->whole || c->status != 200) {
-        log_failure(v, server, result->whole ? "the answer is no list" : result->message);
+        log_failure(v, server, result->whole ? "the response status is not 200" : result->message);
     } else if (v->desc.dialect->read_inventory(cw_buffer_text(&c->body), c->body.size, &started_ms, add_part, parts,
                                                &err) != CW_OK) {
         log_failure(v, server, err.message);
     } else if (server && upstreams_check_incarnation(v->desc.upstreams, clock_ms(), server, started_ms)) {
-        log_failure(v, server, "another life of the server answered");
+        log_failure(v, server, "another incarnation of the server responded");
     } else if (server && !server->gone) {
         record_parts(v, server, parts);
     }
@@ -174,8 +174,8 @@
         v->engines_known_ms = has_engines(v) ? now_ms : 0;
         return;
     }
-    bool settled = !v->desc.is_settled || v->desc.is_settled(v->desc.user_data);
-    if (now_ms - v->engines_known_ms < v->desc.settle_ms || !settled) {
+    bool has_settled = !v->desc.is_settled || v->desc.is_settled(v->desc.user_data);
+    if (now_ms - v->engines_known_ms < v->desc.settle_ms || !has_settled) {
         return;
     }
     if (!v->is_listed) {
--- a/gateway/link.c
+++ b/gateway/link.c
@@ -10,7 +10,7 @@
 #define CONNECT_TIMEOUT_MAX_MS 1000.0
 #define CONNECT_TIMEOUT_FACTOR 10.0   /* timeout, as a multiple of the average time to connect */
 #define CONNECT_EWMA_WEIGHT 0.1       /* weight of a new sample in that average */
-#define PEER_TIMEOUT_MS 3000          /* a server that acknowledges nothing for this time is taken for gone */
+#define PEER_TIMEOUT_MS 3000          /* a server that acknowledges nothing for this time counts as lost */
 #define IDLE_TIMEOUT_DEFAULT_MS 15000 /* if the server does not send Keep-Alive: timeout */
 #define IDLE_MARGIN_MS 1000           /* idle connections are closed this long before the server would */
 #define ONCE_IDLE_SHARE 0.5           /* share of the idle timeout up to which at-most-once requests may use it */
@@ -85,8 +85,8 @@
 }
 
 static uint32_t read_keep_alive_ms(const cw_message_t* m) {
-    const char* keep = cw_message_field(m, "Keep-Alive");
-    const char* timeout = keep ? strstr(keep, "timeout=") : NULL;
+    const char* keep_alive_field = cw_message_field(m, "Keep-Alive");
+    const char* timeout = keep_alive_field ? strstr(keep_alive_field, "timeout=") : NULL;
     unsigned long s = timeout ? strtoul(timeout + strlen("timeout="), NULL, 10) : 0;
     return s && s < 86400 ? (uint32_t)(s * 1000) : 0;
 }
@@ -96,9 +96,9 @@
     uint32_t idle_timeout_ms = read_keep_alive_ms(&conn->response);
     conn->idle_timeout_ms = idle_timeout_ms ? idle_timeout_ms : conn->idle_timeout_ms;
     conn->must_close = conn->must_close || !conn->response.keep_alive || conn->response.framing == CW_FRAMING_CLOSE;
-    bool other = is_for_other_request(conn);
-    server_read_pushback(conn->server, &conn->response, other ? conn->opened_ms : conn->sent_ms);
-    conn->is_skipping = conn->response.status / 100 == 1 || other;
+    bool is_other = is_for_other_request(conn);
+    server_read_pushback(conn->server, &conn->response, is_other ? conn->opened_ms : conn->sent_ms);
+    conn->is_skipping = conn->response.status / 100 == 1 || is_other;
     if (!conn->is_skipping && conn->owner) {
         conn->handlers->on_head(conn->owner, &conn->response);
     } else if (conn->response.status / 100 != 1) {
@@ -243,8 +243,8 @@
     if (!connections) {
         return UINT32_MAX;
     }
-    uint32_t part = connections / (s->pool->upstreams->daemons ? s->pool->upstreams->daemons : 1);
-    return part > CONNS_MIN ? part : CONNS_MIN;
+    uint32_t share = connections / (s->pool->upstreams->daemons ? s->pool->upstreams->daemons : 1);
+    return share > CONNS_MIN ? share : CONNS_MIN;
 }
 
 static uint32_t idle_limit_ms(const upstream_conn_t* conn, bool once) {
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -155,9 +155,9 @@
 
 bool quarantine_release(quarantine_t* q, const char* fingerprint, const char* workspace) {
     cw_fingerprint_t request = {.workspace = strtoull(workspace, NULL, 16), .content = strtoull(fingerprint, NULL, 16)};
-    bool known = cw_quarantine_knows(q->table, &request);
+    bool is_known = cw_quarantine_knows(q->table, &request);
     quarantine_on_response(q, &request);
-    return known;
+    return is_known;
 }
 
 quarantine_stats_t quarantine_stats(const quarantine_t* q) {
--- a/gateway/seek.c
+++ b/gateway/seek.c
@@ -101,11 +101,11 @@
         x->route->kind == CW_ROUTE_STREAM
             ? dialect_read_timeout_ms(x->exchanges->desc.dialect, x->route->target_ms, x->route->gap_ms)
             : 0;
-    bool sooner = read_timeout_ms && last_received_ms + read_timeout_ms < x->deadline_ms;
-    return sooner ? last_received_ms + read_timeout_ms : x->deadline_ms;
+    bool gives_up_early = read_timeout_ms && last_received_ms + read_timeout_ms < x->deadline_ms;
+    return gives_up_early ? last_received_ms + read_timeout_ms : x->deadline_ms;
 }
 
-/* Only engines free slots within a request's time. Plain servers without a free slot are unreachable, and then a quick
+/* Only engines have slots that become free soon. Plain servers that can't be used are unreachable, and then a quick
    refusal serves the caller better than a wait. */
 static cw_turn_wait_t slot_wait(const exchange_t* x) {
     const cw_balance_t* b = x->pool->balance;
@@ -144,8 +144,8 @@
     const cw_left_out_t* left = &x->choice.left_out;
     uint32_t throttled = left->resting + left->limited;
     cw_turn_wait_t wait = x->is_queued ? x->wait : slot_wait(x);
-    bool in_time = opens_ms && clock_ms() + opens_ms < wait.until_ms;
-    return throttled && left->tried + throttled >= x->pool->ready && !in_time;
+    bool is_in_time = opens_ms && clock_ms() + opens_ms < wait.until_ms;
+    return throttled && left->tried + throttled >= x->pool->ready && !is_in_time;
 }
 
 /* Reserves a retry when the retry is decided, not when it is sent. Otherwise requests whose connections break together
@@ -233,20 +233,20 @@
     return y != NULL;
 }
 
-/* Tries one request of each kind (light, late, urgency). A late request may find no slot, because slots
-   are reserved for other requests, while a light one behind it finds one. When a request finds none, the others
-   of its kind would not either. */
+/* Tries one request of each kind (light, late, urgency). A late request may find no slot, because slots are reserved
+   for other requests, while a light one behind it finds one. When a request finds none, the others of its kind would
+   not either. */
 void exchanges_on_room(exchanges_t* e, pool_t* pool) {
     bool failed_kinds[2][2][CW_URGENCIES] = {{{false}}}; /* no slot found, by light, late, urgency */
     exchange_t* x = e->queue;
     while (x) {
-        bool* failed = &failed_kinds[x->work.light][x->work.late][x->work.urgency];
-        if (x->pool != pool || *failed) {
+        bool* has_failed = &failed_kinds[x->work.light][x->work.late][x->work.urgency];
+        if (x->pool != pool || *has_failed) {
             x = x->next_queued;
             continue;
         }
         exchange_assign_server(x); /* x may be freed now: is_waiting compares its address only */
-        *failed = is_waiting(e, x);
+        *has_failed = is_waiting(e, x);
         x = e->queue;
     }
 }
--- a/gateway/transfer.c
+++ b/gateway/transfer.c
@@ -56,13 +56,13 @@
     x->has_reserved_retry = false;
     e->stats.sends++;
     x->sent_ms = now_ms;
-    bool resuming = x->is_head_sent && x->events.last_id[0];
-    e->stats.resumed += resuming;
+    bool is_resuming = x->is_head_sent && x->events.last_id[0];
+    e->stats.resumed += is_resuming;
     request_head_t set = {.request_id = x->id,
                           .workspace = x->workspace ? x->workspace->name : NULL,
                           .server = x->server->published.id,
                           .fetch_from = x->fetch_from[0] ? x->fetch_from : NULL,
-                          .last_event = resuming ? x->events.last_id : NULL,
+                          .last_event = is_resuming ? x->events.last_id : NULL,
                           .deadline_ms = left_ms > 1 ? (uint32_t)left_ms : 1,
                           .priority = x->work.urgency,
                           .has_priority = x->pool->slots > 0,
@@ -102,15 +102,15 @@
 
 /* The server reports that it did not run the request. */
 static void handle_not_run(exchange_t* x, const cw_message_t* head) {
-    bool misdirected = head->status == x->exchanges->desc.dialect->misdirected_status;
-    if (misdirected) {
+    bool is_misdirected = head->status == x->exchanges->desc.dialect->misdirected_status;
+    if (is_misdirected) {
         cw_log(x->exchanges->desc.log, CW_EVENT_SERVER_LEAVES,
                "server=%s pool=%s reason=\"another server has its address\"", x->server_id, x->pool->name);
         upstreams_leaves(x->exchanges->desc.upstreams, clock_ms(), x->server);
     }
     x->retry_ms = cw_balance_opens_in_ms(x->pool->balance, clock_ms());
-    exchange_fail_attempt(x, CW_EV_REJECTED, misdirected ? CW_TRY_CANCELLED : CW_TRY_FULL,
-                          misdirected ? "another server has the address" : "the server has no room");
+    exchange_fail_attempt(x, CW_EV_REJECTED, is_misdirected ? CW_TRY_CANCELLED : CW_TRY_FULL,
+                          is_misdirected ? "another server has the address" : "the server has no room");
 }
 
 /* Stores the head until the first body byte. Until then another server can still give the complete response. */
@@ -161,8 +161,8 @@
 static void log_prefill_rate(const exchange_t* x, int64_t now_ms) {
     pool_t* pool = x->pool;
     double read_ms = cw_balance_read_rate(pool->balance);
-    double step = pool->logged_prefill_ms > 0 ? read_ms / pool->logged_prefill_ms : INFINITY;
-    if (!pool->slots || (step < PREFILL_RATE_LOG_FACTOR && step > 1 / PREFILL_RATE_LOG_FACTOR)) {
+    double rate_change = pool->logged_prefill_ms > 0 ? read_ms / pool->logged_prefill_ms : INFINITY;
+    if (!pool->slots || (rate_change < PREFILL_RATE_LOG_FACTOR && rate_change > 1 / PREFILL_RATE_LOG_FACTOR)) {
         return;
     }
     cw_log(x->exchanges->desc.log, CW_EVENT_PACE_LEARNED,
@@ -236,8 +236,8 @@
 /* Whether the server is presumed to have crashed while it ran the request. A leaving server may close connections with
    running requests, and a lost network path says nothing about the server. */
 static bool is_presumed_crash(const exchange_t* x, upstream_conn_failure_t failure) {
-    bool sent = x->fsm.state != CW_REQ_CONNECTING;
-    return sent && (failure == UPSTREAM_CONN_RESET || failure == UPSTREAM_CONN_CLOSED) && !x->server->left;
+    bool is_sent = x->fsm.state != CW_REQ_CONNECTING;
+    return is_sent && (failure == UPSTREAM_CONN_RESET || failure == UPSTREAM_CONN_CLOSED) && !x->server->left;
 }
 
 static void conn_on_broken(void* owner, upstream_conn_failure_t failure) {
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -435,9 +435,9 @@
 }
 
 void server_log_life(const server_t* server, int64_t now_ms, bool before, uint64_t host) {
-    bool suspected = cw_balance_suspected(server->pool->balance, now_ms, server->key);
-    if (suspected != before) {
-        cw_log(server->pool->upstreams->desc.log, suspected ? CW_EVENT_SERVER_SUSPECTED : CW_EVENT_SERVER_TRUSTED,
+    bool is_suspected = cw_balance_suspected(server->pool->balance, now_ms, server->key);
+    if (is_suspected != before) {
+        cw_log(server->pool->upstreams->desc.log, is_suspected ? CW_EVENT_SERVER_SUSPECTED : CW_EVENT_SERVER_TRUSTED,
                "server=%s pool=%s told_by=%016llx", server->published.id, server->pool->name, (unsigned long long)host);
     }
 }
@@ -550,7 +550,7 @@
     }
 }
 
-/* Closes idle connections. True: the server was missing from the list for too long and is gone from now on. */
+/* Closes idle connections. True: the server was missing from the list for too long and is removed now. */
 static bool server_tick(server_t* s, int64_t now_ms) {
     bool expired = !s->gone && !s->is_listed && now_ms >= s->expires_at_ms;
     s->gone = s->gone || expired;
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -42,10 +42,10 @@
     bool gone;       /* retired, or no longer listed: gets no new requests */
     bool closed;     /* its hall is closed: gets no new requests for now */
     bool is_listed;  /* the last list names it, leaving or not */
-    int64_t expires_at_ms; /* while it is not listed: it counts as gone then */
+    int64_t expires_at_ms; /* while it is not listed: it counts as removed then */
     bool is_probing;
     bool watched;                /* upstreams_tick checks it */
-    int64_t presumed_crash_ms;   /* presumed crash; data on an older connection would disprove it; 0: none */
+    int64_t presumed_crash_ms;   /* time of a presumed crash, which data on an older connection disproves; 0: none */
     uint32_t open;               /* number of connections */
     upstream_conn_t* idle_conns; /* most recently used first */
     double connect_ms;           /* moving average of the time to connect; 0: unknown */
@@ -55,7 +55,7 @@
 struct pool_t {
     char name[CW_NAME_MAX];
     char health[CW_NAME_MAX * 2]; /* path of the health check, "": none */
-    bool declared;                /* in the current configuration */
+    bool declared;                /* in the active configuration */
     upstreams_t* upstreams;
     cw_balance_t* balance;
     uint32_t connections; /* accepted by one server from all daemons; 0: no limit */
@@ -68,7 +68,7 @@
     server_t* servers;
     cw_subset_t subset;             /* the listed servers that are used */
     bool expired;                   /* a server has expired, so the list of usable servers must be updated */
-    uint32_t listed;                /* servers that are not gone and whose hall is not closed */
+    uint32_t listed;                /* servers that are not removed and whose hall is not closed */
     uint32_t ready;                 /* servers that may be chosen */
     uint32_t waiting[CW_URGENCIES]; /* this daemon's requests that wait for a slot, by urgency */
     pool_t* next;
--- a/gateway/upstream_parts.h
+++ b/gateway/upstream_parts.h
@@ -34,7 +34,7 @@
     pool_t* pools;
     cw_map_t by_key;    /* server key to index */
     cw_map_t by_name;   /* hash of the server id to the index of its current incarnation */
-    server_t** servers; /* by index, NULL: free; includes servers that are gone but still in use */
+    server_t** servers; /* by index, NULL: free; includes removed servers that are still in use */
     uint32_t capacity;  /* allocated indexes */
     uint32_t* free_indexes;
     uint32_t free_count;
@@ -61,8 +61,8 @@
 
 /* -- upstream.c ----------------------------------------------------------- */
 
-/* Has upstreams_tick check the server until it has no idle connection and is neither gone nor missing from the list, as
-   most servers of a large fleet are. */
+/* Has upstreams_tick check the server until it has no idle connection and is neither removed nor missing from the list,
+   as most servers of a large fleet are. */
 void server_watch(server_t* s);
 
 /* -- link.c --------------------------------------------------------------- */
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -127,8 +127,8 @@
     if (!rig_is_request_complete(c->in.data)) {
         return;
     }
-    ck_assert_msg(r->arrival_count < RIG_STEPS && r->next_step < r->step_count, "an arrival beyond the script: %s",
-                  c->in.data);
+    ck_assert_msg(r->arrival_count < RIG_STEPS && r->next_step < r->step_count,
+                  "request beyond the end of the script: %s", c->in.data);
     snprintf(r->arrivals[r->arrival_count], sizeof(r->arrivals[0]), "%s", c->in.data);
     r->arrival_ms[r->arrival_count] = clock_ms();
     r->arrival_server[r->arrival_count++] = c->server;
@@ -219,7 +219,7 @@
     (void)loop;
     (void)events;
     rig_t* r = w->data;
-    ck_abort_msg("nothing happened; arrivals %u, answer so far: %s", r->arrival_count, cw_buffer_text(&r->answer));
+    ck_abort_msg("timed out; arrivals %u, response so far: %s", r->arrival_count, cw_buffer_text(&r->answer));
 }
 
 static inline void rig_tick(struct ev_loop* loop, ev_timer* w, int events) {
