--- a/gateway/front.c
+++ b/gateway/front.c
@@ -11,7 +11,7 @@
 
 #define MS_PER_S 1000.0
 #define LINGER_S 1.0 /* a connection being closed is read for this time, so that the response is not lost */
-#define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may pipeline before it is read no more */
+#define PIPELINED_MAX_BYTES 65536 /* bytes that a caller may pipeline before reading from it pauses */
 #define ACCEPT_BATCH 16           /* connections accepted in one iteration of the event loop */
 #define PEER_TIMEOUT_MS 8000      /* a caller that acknowledges nothing for this time counts as lost */
 #define IDLE_SLACK_MS 200         /* an idle connection is closed this long after the limit */
@@ -44,7 +44,7 @@
     char address[CW_ADDR_TEXT];
     int fd;
     ev_io accept_io;
-    bool leaving;
+    bool is_draining;
     caller_t* callers;
     front_stats_t stats;
 };
@@ -126,7 +126,7 @@
 
 static void write_head(caller_t* c, unsigned status, const char* fields) {
     cw_buffer_t out = {0};
-    c->must_close = c->must_close || c->front->leaving || !c->message.keep_alive;
+    c->must_close = c->must_close || c->front->is_draining || !c->message.keep_alive;
     cw_message_add_text(&out, "HTTP/1.1 %u %s\r\n", status, cw_message_reason(status));
     cw_buffer_add(&out, fields, strlen(fields));
     if (c->must_close) {
@@ -429,7 +429,7 @@
 }
 
 void front_leave(front_t* f) {
-    f->leaving = true;
+    f->is_draining = true;
 }
 
 front_stats_t front_stats(const front_t* f) {
--- a/gateway/link.c
+++ b/gateway/link.c
@@ -46,19 +46,19 @@
     s->open--;
     u->conn_total--;
     conn->owner = NULL;
-    conn->closed = true;
-    conn->next_conn = u->closed;
-    u->closed = conn;
+    conn->is_closed = true;
+    conn->next_conn = u->closed_conns;
+    u->closed_conns = conn;
 }
 
 void upstream_conn_free_closed(upstreams_t* u) {
     upstream_conn_t* next = NULL;
-    for (upstream_conn_t* conn = u->closed; conn; conn = next) {
+    for (upstream_conn_t* conn = u->closed_conns; conn; conn = next) {
         next = conn->next_conn;
         cw_message_shutdown(&conn->response);
         free(conn);
     }
-    u->closed = NULL;
+    u->closed_conns = NULL;
 }
 
 void upstream_conn_close(upstream_conn_t* conn) {
@@ -131,9 +131,9 @@
 
 /* Parses responses until the data is consumed or the owner has released the connection. */
 static void read_responses(upstream_conn_t* conn, const char* data, size_t size) {
-    while (size && !conn->closed) {
+    while (size && !conn->is_closed) {
         size_t used = cw_message_read(&conn->response, data, size);
-        if (conn->closed) {
+        if (conn->is_closed) {
             return;
         }
         if (conn->response.state == CW_MESSAGE_BROKEN) {
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -47,7 +47,7 @@
 }
 
 /* From now on, data on a connection that was opened before the presumed crash proves the server alive. */
-static void watch_for_response(server_t* server, int64_t presumed_crash_ms) {
+static void watch_for_data(server_t* server, int64_t presumed_crash_ms) {
     server->presumed_crash_ms = presumed_crash_ms;
 }
 
@@ -69,7 +69,7 @@
 
 void quarantine_on_crash(quarantine_t* q, const cw_fingerprint_t* request, server_t* server) {
     cw_mark_t observation = {.kind = CW_MARK_ENDED, .request = *request, .life = server->key};
-    watch_for_response(server, clock_ms());
+    watch_for_data(server, clock_ms());
     publish_observation(q, &observation);
 }
 
@@ -91,7 +91,7 @@
     server_t* server =
         observation->kind == CW_MARK_ENDED ? upstreams_server(q->desc.upstreams, observation->life) : NULL;
     if (server) {
-        watch_for_response(server, clock_ms() - observation->age_ms);
+        watch_for_data(server, clock_ms() - observation->age_ms);
     }
 }
 
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -22,23 +22,23 @@
 
 void server_watch(server_t* s) {
     upstreams_t* u = s->pool->upstreams;
-    if (!s->watched) {
-        s->watched = true;
+    if (!s->is_watched) {
+        s->is_watched = true;
         u->watched[u->watched_count++] = s;
     }
 }
 
 static void server_free(upstreams_t* u, server_t* s) {
-    for (uint32_t i = 0; s->watched && i < u->watched_count; i++) {
+    for (uint32_t i = 0; s->is_watched && i < u->watched_count; i++) {
         if (u->watched[i] == s) {
             u->watched[i] = u->watched[--u->watched_count];
-            s->watched = false;
+            s->is_watched = false;
         }
     }
     uint32_t index = cw_map_get(&u->by_key, s->key);
     cw_map_remove(&u->by_key, s->key);
-    if (cw_map_get(&u->by_name, s->name) == index) {
-        cw_map_remove(&u->by_name, s->name);
+    if (cw_map_get(&u->by_name, s->id_hash) == index) {
+        cw_map_remove(&u->by_name, s->id_hash);
     }
     u->servers[index] = NULL;
     u->free_indexes[u->free_count++] = index;
@@ -111,7 +111,7 @@
 static uint32_t pool_count_listed(const pool_t* pool) {
     uint32_t count = 0;
     for (const server_t* s = pool->servers; s; s = s->next) {
-        count += !s->gone && !s->closed;
+        count += !s->gone && !s->is_hall_closed;
     }
     return count;
 }
@@ -126,7 +126,7 @@
     }
     uint32_t count = 0;
     for (server_t* s = pool->servers; s; s = s->next) {
-        if (!s->gone && !s->closed && cw_subset_has(&pool->subset, s->key)) {
+        if (!s->gone && !s->is_hall_closed && cw_subset_has(&pool->subset, s->key)) {
             specs[count++] = (cw_server_spec_t){.id = s->key,
                                                 .hall = cw_name_id(s->published.hall),
                                                 .slots = pool->slots ? pool->slots : s->published.slots,
@@ -205,11 +205,11 @@
     uint32_t index = u->free_indexes[--u->free_count];
     u->servers[index] = s;
     s->key = key;
-    s->name = cw_name_id(published->id);
+    s->id_hash = cw_name_id(published->id);
     s->published.started_ms = published->started_ms;
     s->is_leaving = s->left = s->gone = was_leaving(u, key);
     cw_map_put(&u->by_key, key, index);
-    cw_map_put(&u->by_name, s->name, index);
+    cw_map_put(&u->by_name, s->id_hash, index);
     s->pool = pool_get(u, published->pool);
     s->address = address;
     s->next = s->pool->servers;
@@ -264,14 +264,14 @@
         return server_new(u, published);
     }
     known->left = known->is_leaving; /* another writer's entry had retired it; the source lists it as alive */
-    cw_map_put(&u->by_name, known->name, cw_map_get(&u->by_key, known->key));
+    cw_map_put(&u->by_name, known->id_hash, cw_map_get(&u->by_key, known->key));
     return known;
 }
 
 /* Applies the list entry of a server. Returns whether the server is new or its availability changed. */
 static bool server_update(upstreams_t* u, const cw_server_t* published, const cw_closed_t* closed, int64_t at) {
     const pool_t* pool = upstreams_pool(u, published->pool);
-    if (u->is_configured && (!pool || !pool->declared)) {
+    if (u->is_configured && (!pool || !pool->is_declared)) {
         return false;
     }
     bool changed = false;
@@ -284,16 +284,16 @@
     if (!is_same_incarnation(s, published)) {
         return changed; /* the late entry of an earlier incarnation is ignored */
     }
-    bool was_available = !s->gone && !s->closed;
+    bool was_available = !s->gone && !s->is_hall_closed;
     int64_t started_ms = s->published.started_ms;
     s->published = *published;
     s->published.started_ms = published->started_ms ? published->started_ms : started_ms;
     s->listed_revision = at > s->listed_revision ? at : s->listed_revision;
-    s->closed = cw_closed_has(closed, published->hall);
+    s->is_hall_closed = cw_closed_has(closed, published->hall);
     s->is_leaving = s->is_leaving || published->leaving;
     s->left = s->left || s->is_leaving;
     s->gone = s->left;
-    return changed || (!s->gone && !s->closed) != was_available;
+    return changed || (!s->gone && !s->is_hall_closed) != was_available;
 }
 
 /* Before a list is applied: marks all servers as missing from it. */
@@ -374,13 +374,13 @@
 void upstreams_set_catalog(upstreams_t* u, const cw_catalog_t* catalog) {
     u->is_configured = true;
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
-        pool->declared = false;
+        pool->is_declared = false;
     }
     for (uint32_t i = 0; i < catalog->pool_count; i++) {
         const cw_catalog_pool_t* declared = &catalog->pools[i];
         pool_t* pool = pool_get(u, declared->name);
-        pool->declared = true;
-        cw_copy(pool->health, sizeof(pool->health), declared->health ? declared->health : "");
+        pool->is_declared = true;
+        cw_copy(pool->health_path, sizeof(pool->health_path), declared->health ? declared->health : "");
         pool->connections = declared->connections;
         pool->cold_per_s = declared->cold_per_s;
         pool->slots = declared->slots;
@@ -480,7 +480,7 @@
     char address[CW_ADDR_TEXT];
     cw_addr_format(&s->address, address);
     cw_buffer_t head = {0};
-    cw_message_add_text(&head, "GET %s HTTP/1.1\r\n", s->pool->health);
+    cw_message_add_text(&head, "GET %s HTTP/1.1\r\n", s->pool->health_path);
     cw_message_add_field(&head, "Host", address);
     cw_message_add_end(&head);
     upstream_conn_send(p->conn, "", false, &head, NULL, 0);
@@ -563,20 +563,20 @@
     for (uint32_t i = u->watched_count; i-- > 0;) {
         server_t* s = u->watched[i];
         pool_t* pool = s->pool;
-        pool->expired = server_tick(s, now_ms) || pool->expired;
+        pool->has_expired_servers = server_tick(s, now_ms) || pool->has_expired_servers;
         if (!s->idle_conns && !s->gone && s->is_listed) {
-            s->watched = false;
+            s->is_watched = false;
             u->watched[i] = u->watched[--u->watched_count];
         } else {
             server_free_if_unused(pool, s);
         }
     }
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
-        if (pool->expired) {
+        if (pool->has_expired_servers) {
             pool_update_servers(pool, now_ms);
-            pool->expired = false;
+            pool->has_expired_servers = false;
         }
-        uint64_t key = pool->health[0] ? cw_balance_probe(pool->balance, now_ms) : 0;
+        uint64_t key = pool->health_path[0] ? cw_balance_probe(pool->balance, now_ms) : 0;
         server_t* unreachable = upstreams_server(u, key);
         if (unreachable && !unreachable->is_probing && !unreachable->gone) {
             probe_start(unreachable);
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -30,8 +30,8 @@
 typedef struct upstream_conn_t upstream_conn_t;
 
 struct server_t {
-    uint64_t key;  /* of this incarnation: cw_server_life */
-    uint64_t name; /* hash of the published id, the same for all incarnations */
+    uint64_t key;     /* of this incarnation: cw_server_life */
+    uint64_t id_hash; /* hash of the published id, the same for all incarnations */
     cw_server_t published;
     int64_t listed_revision; /* source revision of the last list that named it; 0: unknown */
     struct sockaddr_in address;
@@ -40,11 +40,11 @@
     bool is_leaving; /* this incarnation announced, in the list or in a response, that it drains and stops; never reset
                       */
     bool gone;       /* retired, or no longer listed: gets no new requests */
-    bool closed;     /* its hall is closed: gets no new requests for now */
-    bool is_listed;  /* the last list names it, leaving or not */
+    bool is_hall_closed;   /* its hall is closed: gets no new requests for now */
+    bool is_listed;        /* the last list names it, leaving or not */
     int64_t expires_at_ms; /* while it is not listed: it counts as removed then */
     bool is_probing;
-    bool watched;                /* upstreams_tick checks it */
+    bool is_watched;             /* upstreams_tick checks it */
     int64_t presumed_crash_ms;   /* time of a presumed crash, which data on an older connection disproves; 0: none */
     uint32_t open;               /* number of connections */
     upstream_conn_t* idle_conns; /* most recently used first */
@@ -54,8 +54,8 @@
 
 struct pool_t {
     char name[CW_NAME_MAX];
-    char health[CW_NAME_MAX * 2]; /* path of the health check, "": none */
-    bool declared;                /* in the active configuration */
+    char health_path[CW_NAME_MAX * 2]; /* path of the health check, "": none */
+    bool is_declared;                  /* in the active configuration */
     upstreams_t* upstreams;
     cw_balance_t* balance;
     uint32_t connections; /* accepted by one server from all daemons; 0: no limit */
@@ -67,7 +67,7 @@
     cw_retry_window_t retries;
     server_t* servers;
     cw_subset_t subset;             /* the listed servers that are used */
-    bool expired;                   /* a server has expired, so the list of usable servers must be updated */
+    bool has_expired_servers;       /* a server has expired, so the list of usable servers must be updated */
     uint32_t listed;                /* servers that are not removed and whose hall is not closed */
     uint32_t ready;                 /* servers that may be chosen */
     uint32_t waiting[CW_URGENCIES]; /* this daemon's requests that wait for a slot, by urgency */
--- a/gateway/upstream_parts.h
+++ b/gateway/upstream_parts.h
@@ -21,7 +21,7 @@
     int64_t sent_ms;  /* when the request was sent; 0: none yet */
     bool is_skipping; /* the response being read belongs to an earlier request */
     bool must_close;  /* must not be reused */
-    bool closed;      /* freed by the next upstreams_tick, because its data may still be in use */
+    bool is_closed;   /* freed by the next upstreams_tick, because its data may still be in use */
     int64_t opened_ms;
     int64_t idle_since_ms;
     uint32_t idle_timeout_ms; /* time for which the server keeps an idle connection open */
@@ -45,7 +45,7 @@
     uint32_t watched_count;
     uint64_t leaving_keys[LEAVING_KEYS_MAX]; /* ring of the keys of leaving incarnations that were freed */
     uint32_t leaving_next;
-    upstream_conn_t* closed; /* list of connections to be freed */
+    upstream_conn_t* closed_conns; /* list of connections to be freed */
     uint32_t daemons;
     cw_fleet_t fleet; /* live daemons */
     uint32_t conn_total;
