--- a/gateway/link.c
+++ b/gateway/link.c
@@ -1,4 +1,4 @@
-/* Connections to one server, and the answers that come over them. */
+/* Connections to one server, and the responses that they receive. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,196 +6,196 @@
 #include "upstream_parts.h"
 
 #define MS_PER_S 1000.0
-#define CONNECT_MIN_MS 100.0 /* a connection gets at least so long to come up */
-#define CONNECT_MAX_MS 1000.0
-#define CONNECT_FACTOR 10.0   /* times the usual time */
-#define CONNECT_LEARN 0.1     /* weight of a new sample */
-#define SILENT_MS 3000        /* a server that acknowledges nothing for so long is gone */
-#define IDLE_DEFAULT_MS 15000 /* a connection whose server does not say how long it keeps it */
-#define IDLE_MARGIN_MS 1000   /* closed so long before the server would */
-#define ONCE_REST_SHARE 0.5   /* of that time: longer rested ones get no request that may not be sent twice */
-#define LINKS_MIN 2           /* connections to one server that every daemon may have */
-/* What comes over an older connection so long after a server was taken for ended proves that it lives: what it had sent
-   before may be under way, or be sent again by its machine, for less. */
-#define ALIVE_PROOF_MS 300
-
-/* -- links: life ---------------------------------------------------------- */
-
-/* The choice of a server prefers those with a connection at rest. */
-static void tell_idle(server_t* s) {
-    cw_balance_warm(s->pool->balance, s->key, s->idle != NULL);
-    if (s->idle) {
+#define CONNECT_TIMEOUT_MIN_MS 100.0 /* shortest timeout for connecting */
+#define CONNECT_TIMEOUT_MAX_MS 1000.0
+#define CONNECT_TIMEOUT_FACTOR 10.0   /* timeout, as a multiple of the average time to connect */
+#define CONNECT_EWMA_WEIGHT 0.1       /* weight of a new sample in that average */
+#define PEER_TIMEOUT_MS 3000          /* a server that acknowledges nothing for this time counts as lost */
+#define IDLE_TIMEOUT_DEFAULT_MS 15000 /* if the server does not send Keep-Alive: timeout */
+#define IDLE_MARGIN_MS 1000           /* idle connections are closed this long before the server would */
+#define ONCE_IDLE_SHARE 0.5           /* share of the idle timeout up to which at-most-once requests may use it */
+#define CONNS_MIN 2                   /* connections to one server that every daemon may open */
+/* Data on an older connection proves a server alive only if it arrives this long after the presumed crash. Data that
+   arrives earlier may have been in flight, or retransmitted by the server's kernel. */
+#define ALIVE_DELAY_MS 300
+
+/* -- lifetime of a connection --------------------------------------------- */
+
+/* Informs the balancer, which prefers servers with an idle connection. */
+static void update_idle(server_t* s) {
+    cw_balance_warm(s->pool->balance, s->key, s->idle_conns != NULL);
+    if (s->idle_conns) {
         server_watch(s);
     }
 }
 
-static void idle_remove(link_t* l) {
-    link_t** at = &l->server->idle;
-    while (*at && *at != l) {
-        at = &(*at)->next_idle;
+static void remove_idle(upstream_conn_t* conn) {
+    upstream_conn_t** at = &conn->server->idle_conns;
+    while (*at && *at != conn) {
+        at = &(*at)->next_conn;
     }
-    *at = *at ? l->next_idle : NULL;
-    tell_idle(l->server);
+    *at = *at ? conn->next_conn : NULL;
+    update_idle(conn->server);
 }
 
-static void link_free(link_t* l) {
-    server_t* s = l->server;
+static void conn_free(upstream_conn_t* conn) {
+    server_t* s = conn->server;
     upstreams_t* u = s->pool->upstreams;
-    cw_stream_close(&l->stream);
-    ev_timer_stop(u->desc.loop, &l->connect_timer);
+    cw_stream_close(&conn->stream);
+    ev_timer_stop(u->desc.loop, &conn->connect_timer);
     s->open--;
-    u->links--;
-    l->owner = NULL;
-    l->dead = true;
-    l->next_idle = u->dead;
-    u->dead = l;
+    u->conn_total--;
+    conn->owner = NULL;
+    conn->is_closed = true;
+    conn->next_conn = u->closed_conns;
+    u->closed_conns = conn;
 }
 
-void link_free_dead(upstreams_t* u) {
-    link_t* next = NULL;
-    for (link_t* l = u->dead; l; l = next) {
-        next = l->next_idle;
-        cw_message_shutdown(&l->answer);
-        free(l);
+void upstream_conn_free_closed(upstreams_t* u) {
+    upstream_conn_t* next = NULL;
+    for (upstream_conn_t* conn = u->closed_conns; conn; conn = next) {
+        next = conn->next_conn;
+        cw_message_shutdown(&conn->response);
+        free(conn);
     }
-    u->dead = NULL;
+    u->closed_conns = NULL;
 }
 
-void link_drop(link_t* l) {
-    if (!l->owner) {
-        idle_remove(l);
+void upstream_conn_close(upstream_conn_t* conn) {
+    if (!conn->owner) {
+        remove_idle(conn);
     }
-    link_free(l);
+    conn_free(conn);
 }
 
-static void link_break(link_t* l, link_failure_t failure) {
-    const link_handlers_t* handlers = l->handlers;
-    void* owner = l->owner;
-    link_drop(l);
+static void conn_break(upstream_conn_t* conn, upstream_conn_failure_t failure) {
+    const upstream_conn_handlers_t* handlers = conn->handlers;
+    void* owner = conn->owner;
+    upstream_conn_close(conn);
     if (owner) {
         handlers->on_broken(owner, failure);
     }
 }
 
-/* -- links: answers ------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
-static bool answers_other_request(const link_t* l) {
-    const char* id = cw_message_field(&l->answer, l->server->pool->upstreams->desc.dialect->fields.request_id);
-    return id && strcmp(id, l->request_id) != 0;
+static bool is_for_other_request(const upstream_conn_t* conn) {
+    const char* id = cw_message_field(&conn->response, conn->server->pool->upstreams->desc.dialect->fields.request_id);
+    return id && strcmp(id, conn->request_id) != 0;
 }
 
-static uint32_t keep_alive_ms(const cw_message_t* m) {
-    const char* keep = cw_message_field(m, "Keep-Alive");
-    const char* timeout = keep ? strstr(keep, "timeout=") : NULL;
+static uint32_t read_keep_alive_ms(const cw_message_t* m) {
+    const char* keep_alive_field = cw_message_field(m, "Keep-Alive");
+    const char* timeout = keep_alive_field ? strstr(keep_alive_field, "timeout=") : NULL;
     unsigned long s = timeout ? strtoul(timeout + strlen("timeout="), NULL, 10) : 0;
     return s && s < 86400 ? (uint32_t)(s * 1000) : 0;
 }
 
 static void on_head(void* owner) {
-    link_t* l = owner;
-    uint32_t keep_ms = keep_alive_ms(&l->answer);
-    l->keep_ms = keep_ms ? keep_ms : l->keep_ms;
-    l->unsound = l->unsound || !l->answer.keep_alive || l->answer.framing == CW_FRAMING_CLOSE;
-    bool other = answers_other_request(l);
-    server_hear(l->server, &l->answer, other ? l->begun_ms : l->sent_ms);
-    l->skipping = l->answer.status / 100 == 1 || other;
-    if (!l->skipping && l->owner) {
-        l->handlers->on_head(l->owner, &l->answer);
-    } else if (l->answer.status / 100 != 1) {
-        l->unsound = true;
+    upstream_conn_t* conn = owner;
+    uint32_t idle_timeout_ms = read_keep_alive_ms(&conn->response);
+    conn->idle_timeout_ms = idle_timeout_ms ? idle_timeout_ms : conn->idle_timeout_ms;
+    conn->must_close = conn->must_close || !conn->response.keep_alive || conn->response.framing == CW_FRAMING_CLOSE;
+    bool is_other = is_for_other_request(conn);
+    server_read_pushback(conn->server, &conn->response, is_other ? conn->opened_ms : conn->sent_ms);
+    conn->is_skipping = conn->response.status / 100 == 1 || is_other;
+    if (!conn->is_skipping && conn->owner) {
+        conn->handlers->on_head(conn->owner, &conn->response);
+    } else if (conn->response.status / 100 != 1) {
+        conn->must_close = true;
     }
 }
 
 static void on_body(void* owner, const char* data, size_t size) {
-    link_t* l = owner;
-    if (!l->skipping && l->owner) {
-        l->handlers->on_body(l->owner, data, size);
+    upstream_conn_t* conn = owner;
+    if (!conn->is_skipping && conn->owner) {
+        conn->handlers->on_body(conn->owner, data, size);
     }
 }
 
-static const cw_message_handlers_t answer_handlers = {.on_head = on_head, .on_body = on_body};
+static const cw_message_handlers_t response_handlers = {.on_head = on_head, .on_body = on_body};
 
-/* The answer's end: true when more answers are to be read. */
-static bool answer_ended(link_t* l, size_t left) {
-    if (l->skipping) {
-        l->skipping = false;
-        cw_message_reset(&l->answer);
+/* Handles the end of a response. True: another response is to be read. */
+static bool handle_response_end(upstream_conn_t* conn, size_t left) {
+    if (conn->is_skipping) {
+        conn->is_skipping = false;
+        cw_message_reset(&conn->response);
         return true;
     }
-    l->unsound = l->unsound || left > 0 || cw_stream_unsent(&l->stream) > 0;
-    l->handlers->on_complete(l->owner);
+    conn->must_close = conn->must_close || left > 0 || cw_stream_unsent(&conn->stream) > 0;
+    conn->handlers->on_complete(conn->owner);
     return false;
 }
 
-/* -- links: the socket ---------------------------------------------------- */
+/* -- the socket ----------------------------------------------------------- */
 
-/* Reads answers until the bytes are used up or the owner is done with the link. */
-static void read_answers(link_t* l, const char* data, size_t size) {
-    while (size && !l->dead) {
-        size_t used = cw_message_read(&l->answer, data, size);
-        if (l->dead) {
+/* Parses responses until the data is consumed or the owner has released the connection. */
+static void read_responses(upstream_conn_t* conn, const char* data, size_t size) {
+    while (size && !conn->is_closed) {
+        size_t used = cw_message_read(&conn->response, data, size);
+        if (conn->is_closed) {
             return;
         }
-        if (l->answer.state == CW_MESSAGE_BROKEN) {
-            link_break(l, LINK_GARBLED);
+        if (conn->response.state == CW_MESSAGE_BROKEN) {
+            conn_break(conn, UPSTREAM_CONN_MALFORMED);
             return;
         }
         data += used;
         size -= used;
-        if (l->answer.state == CW_MESSAGE_COMPLETE && !answer_ended(l, size)) {
+        if (conn->response.state == CW_MESSAGE_COMPLETE && !handle_response_end(conn, size)) {
             return;
         }
     }
 }
 
-/* Notices that a server goes on which was taken for ended. */
-static void hear(const link_t* l) {
-    server_t* s = l->server;
+/* Reports a server alive that was presumed crashed. */
+static void report_alive(const upstream_conn_t* conn) {
+    server_t* s = conn->server;
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
-    bool proof = l->begun_ms < s->ended_ms && clock_ms() - s->ended_ms >= ALIVE_PROOF_MS;
-    if (proof && desc->on_alive) {
-        s->ended_ms = 0;
+    bool proves_alive = conn->opened_ms < s->presumed_crash_ms && clock_ms() - s->presumed_crash_ms >= ALIVE_DELAY_MS;
+    if (proves_alive && desc->on_alive) {
+        s->presumed_crash_ms = 0;
         desc->on_alive(desc->user_data, s);
     }
 }
 
 static void on_data(void* owner, const char* data, size_t size) {
-    link_t* l = owner;
-    if (l->server->ended_ms) {
-        hear(l);
+    upstream_conn_t* conn = owner;
+    if (conn->server->presumed_crash_ms) {
+        report_alive(conn);
     }
-    if (!l->owner || !l->sent) {
-        link_break(l, LINK_GARBLED); /* bytes that nobody asked for */
+    if (!conn->owner || !conn->is_request_sent) {
+        conn_break(conn, UPSTREAM_CONN_MALFORMED); /* unsolicited data */
         return;
     }
-    read_answers(l, data, size);
+    read_responses(conn, data, size);
 }
 
 static void on_end(void* owner, cw_stream_end_t end) {
-    link_t* l = owner;
-    if (l->owner && end == CW_STREAM_FINISHED && l->sent && !l->skipping) {
-        cw_message_finish(&l->answer);
-        if (l->answer.state == CW_MESSAGE_COMPLETE) {
-            l->unsound = true;
-            l->handlers->on_complete(l->owner);
+    upstream_conn_t* conn = owner;
+    if (conn->owner && end == CW_STREAM_FINISHED && conn->is_request_sent && !conn->is_skipping) {
+        cw_message_finish(&conn->response);
+        if (conn->response.state == CW_MESSAGE_COMPLETE) {
+            conn->must_close = true;
+            conn->handlers->on_complete(conn->owner);
             return;
         }
     }
-    link_failure_t failure = end == CW_STREAM_REFUSED ? LINK_UNREACHABLE
-                             : end == CW_STREAM_RESET ? LINK_RESET
-                             : end == CW_STREAM_LOST  ? LINK_LOST
-                                                      : LINK_CLOSED;
-    link_break(l, failure);
+    upstream_conn_failure_t failure = end == CW_STREAM_REFUSED ? UPSTREAM_CONN_UNREACHABLE
+                                      : end == CW_STREAM_RESET ? UPSTREAM_CONN_RESET
+                                      : end == CW_STREAM_LOST  ? UPSTREAM_CONN_LOST
+                                                               : UPSTREAM_CONN_CLOSED;
+    conn_break(conn, failure);
 }
 
 static void on_open(void* owner) {
-    link_t* l = owner;
-    server_t* s = l->server;
-    double took_ms = (double)(clock_ms() - l->begun_ms);
-    s->connect_ms = s->connect_ms > 0 ? s->connect_ms + CONNECT_LEARN * (took_ms - s->connect_ms) : took_ms;
-    ev_timer_stop(s->pool->upstreams->desc.loop, &l->connect_timer);
-    cw_stream_watch_peer(&l->stream, SILENT_MS);
-    l->handlers->on_open(l->owner);
+    upstream_conn_t* conn = owner;
+    server_t* s = conn->server;
+    double took_ms = (double)(clock_ms() - conn->opened_ms);
+    s->connect_ms = s->connect_ms > 0 ? s->connect_ms + CONNECT_EWMA_WEIGHT * (took_ms - s->connect_ms) : took_ms;
+    ev_timer_stop(s->pool->upstreams->desc.loop, &conn->connect_timer);
+    cw_stream_watch_peer(&conn->stream, PEER_TIMEOUT_MS);
+    conn->handlers->on_open(conn->owner);
 }
 
 static const cw_stream_handlers_t stream_handlers = {.on_open = on_open, .on_data = on_data, .on_end = on_end};
@@ -203,121 +203,122 @@
 static void on_connect_timeout(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    link_break(w->data, LINK_UNREACHABLE);
+    conn_break(w->data, UPSTREAM_CONN_UNREACHABLE);
 }
 
 static double connect_limit_ms(const server_t* s) {
-    double limit = s->connect_ms * CONNECT_FACTOR;
-    limit = limit < CONNECT_MIN_MS ? CONNECT_MIN_MS : limit;
-    return limit > CONNECT_MAX_MS ? CONNECT_MAX_MS : limit;
+    double limit = s->connect_ms * CONNECT_TIMEOUT_FACTOR;
+    limit = limit < CONNECT_TIMEOUT_MIN_MS ? CONNECT_TIMEOUT_MIN_MS : limit;
+    return limit > CONNECT_TIMEOUT_MAX_MS ? CONNECT_TIMEOUT_MAX_MS : limit;
 }
 
-static link_t* link_new(server_t* s, const link_handlers_t* handlers, void* owner) {
+static upstream_conn_t* conn_new(server_t* s, const upstream_conn_handlers_t* handlers, void* owner) {
     upstreams_t* u = s->pool->upstreams;
-    link_t* l = calloc(1, sizeof(*l));
-    if (!l) {
+    upstream_conn_t* conn = calloc(1, sizeof(*conn));
+    if (!conn) {
         abort();
     }
-    l->server = s;
-    l->handlers = handlers;
-    l->owner = owner;
-    l->begun_ms = clock_ms();
-    l->keep_ms = IDLE_DEFAULT_MS;
-    if (cw_stream_connect(&l->stream, u->desc.loop, &s->address, &stream_handlers, l) != CW_OK) {
-        free(l);
+    conn->server = s;
+    conn->handlers = handlers;
+    conn->owner = owner;
+    conn->opened_ms = clock_ms();
+    conn->idle_timeout_ms = IDLE_TIMEOUT_DEFAULT_MS;
+    if (cw_stream_connect(&conn->stream, u->desc.loop, &s->address, &stream_handlers, conn) != CW_OK) {
+        free(conn);
         return NULL;
     }
-    cw_message_setup(&l->answer, CW_MESSAGE_RESPONSE, &answer_handlers, l);
-    ev_timer_init(&l->connect_timer, on_connect_timeout, connect_limit_ms(s) / MS_PER_S, 0.0);
-    l->connect_timer.data = l;
-    ev_timer_start(u->desc.loop, &l->connect_timer);
+    cw_message_setup(&conn->response, CW_MESSAGE_RESPONSE, &response_handlers, conn);
+    ev_timer_init(&conn->connect_timer, on_connect_timeout, connect_limit_ms(s) / MS_PER_S, 0.0);
+    conn->connect_timer.data = conn;
+    ev_timer_start(u->desc.loop, &conn->connect_timer);
     s->open++;
-    u->links++;
+    u->conn_total++;
     u->connects++;
-    return l;
+    return conn;
 }
 
-/* This daemon's part of the connections that a server takes. */
-static uint32_t link_limit(const server_t* s) {
+/* This daemon's share of the connections that the server accepts. */
+static uint32_t conn_limit(const server_t* s) {
     uint32_t connections = s->pool->connections;
     if (!connections) {
         return UINT32_MAX;
     }
-    uint32_t part = connections / (s->pool->upstreams->daemons ? s->pool->upstreams->daemons : 1);
-    return part > LINKS_MIN ? part : LINKS_MIN;
+    uint32_t share = connections / (s->pool->upstreams->daemons ? s->pool->upstreams->daemons : 1);
+    return share > CONNS_MIN ? share : CONNS_MIN;
 }
 
-static uint32_t rest_limit_ms(const link_t* l, bool once) {
+static uint32_t idle_limit_ms(const upstream_conn_t* conn, bool once) {
     if (once) {
-        return (uint32_t)(l->keep_ms * ONCE_REST_SHARE);
+        return (uint32_t)(conn->idle_timeout_ms * ONCE_IDLE_SHARE);
     }
-    return l->keep_ms > 2 * IDLE_MARGIN_MS ? l->keep_ms - IDLE_MARGIN_MS : l->keep_ms / 2;
+    return conn->idle_timeout_ms > 2 * IDLE_MARGIN_MS ? conn->idle_timeout_ms - IDLE_MARGIN_MS
+                                                      : conn->idle_timeout_ms / 2;
 }
 
-link_t* link_take(server_t* s, const link_handlers_t* handlers, void* owner, bool once) {
+upstream_conn_t* upstream_conn_acquire(server_t* s, const upstream_conn_handlers_t* handlers, void* owner, bool once) {
     upstreams_t* u = s->pool->upstreams;
-    link_t* l = s->idle;
-    if (l && clock_ms() - l->rested_ms <= rest_limit_ms(l, once)) {
-        s->idle = l->next_idle;
-        tell_idle(s);
-        l->handlers = handlers;
-        l->owner = owner;
-        l->sent = false;
-        return l;
+    upstream_conn_t* conn = s->idle_conns;
+    if (conn && clock_ms() - conn->idle_since_ms <= idle_limit_ms(conn, once)) {
+        s->idle_conns = conn->next_conn;
+        update_idle(s);
+        conn->handlers = handlers;
+        conn->owner = owner;
+        conn->is_request_sent = false;
+        return conn;
     }
-    if (l && s->open >= link_limit(s)) {
-        link_drop(l); /* too long at rest: its place is needed */
+    if (conn && s->open >= conn_limit(s)) {
+        upstream_conn_close(conn); /* idle for too long; it would count against the limit */
     }
-    if (s->open >= link_limit(s) || u->links >= u->desc.max_links) {
+    if (s->open >= conn_limit(s) || u->conn_total >= u->desc.max_links) {
         return NULL;
     }
-    return link_new(s, handlers, owner);
+    return conn_new(s, handlers, owner);
 }
 
-bool link_is_open(const link_t* l) {
-    return !l->stream.connecting;
+bool upstream_conn_is_open(const upstream_conn_t* conn) {
+    return !conn->stream.connecting;
 }
 
-void link_send(link_t* l, const char* request_id, bool bodiless, const cw_buffer_t* head, const void* body,
-               size_t size) {
-    cw_copy(l->request_id, sizeof(l->request_id), request_id);
-    cw_message_reset(&l->answer);
-    l->answer.bodiless = bodiless;
-    l->sent = true;
-    l->sent_ms = clock_ms();
-    cw_stream_write(&l->stream, head->data, head->size);
-    cw_stream_write(&l->stream, body, size);
-    cw_stream_flush(&l->stream);
+void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool bodiless, const cw_buffer_t* head,
+                        const void* body, size_t size) {
+    cw_copy(conn->request_id, sizeof(conn->request_id), request_id);
+    cw_message_reset(&conn->response);
+    conn->response.bodiless = bodiless;
+    conn->is_request_sent = true;
+    conn->sent_ms = clock_ms();
+    cw_stream_write(&conn->stream, head->data, head->size);
+    cw_stream_write(&conn->stream, body, size);
+    cw_stream_flush(&conn->stream);
 }
 
-void link_pause(link_t* l, bool paused) {
-    cw_stream_pause(&l->stream, paused);
+void upstream_conn_pause(upstream_conn_t* conn, bool paused) {
+    cw_stream_pause(&conn->stream, paused);
 }
 
-void link_release(link_t* l) {
-    if (l->unsound || l->server->gone || l->stream.fd < 0) {
-        link_drop(l);
+void upstream_conn_release(upstream_conn_t* conn) {
+    if (conn->must_close || conn->server->gone || conn->stream.fd < 0) {
+        upstream_conn_close(conn);
         return;
     }
-    cw_message_reset(&l->answer);
-    l->owner = NULL;
-    l->rested_ms = clock_ms();
-    l->next_idle = l->server->idle;
-    l->server->idle = l;
-    tell_idle(l->server);
+    cw_message_reset(&conn->response);
+    conn->owner = NULL;
+    conn->idle_since_ms = clock_ms();
+    conn->next_conn = conn->server->idle_conns;
+    conn->server->idle_conns = conn;
+    update_idle(conn->server);
 }
 
-/* -- at rest -------------------------------------------------------------- */
+/* -- idle connections ----------------------------------------------------- */
 
-void link_close_idle(server_t* s, int64_t now_ms, bool all) {
-    for (link_t** at = &s->idle; *at;) {
-        link_t* l = *at;
-        if (all || now_ms - l->rested_ms > rest_limit_ms(l, false)) {
-            *at = l->next_idle;
-            link_free(l);
+void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool all) {
+    for (upstream_conn_t** at = &s->idle_conns; *at;) {
+        upstream_conn_t* conn = *at;
+        if (all || now_ms - conn->idle_since_ms > idle_limit_ms(conn, false)) {
+            *at = conn->next_conn;
+            conn_free(conn);
         } else {
-            at = &l->next_idle;
+            at = &conn->next_conn;
         }
     }
-    tell_idle(s);
+    update_idle(s);
 }
