--- a/gateway/news.c
+++ b/gateway/news.c
@@ -11,20 +11,20 @@
 #include "news_parts.h"
 
 #define MS_PER_S 1000.0
-#define SLOW_FLUSH_MS 50 /* news of what ended waits so long */
-#define TRANSIT_MS 10    /* least time that a datagram is taken to be under way */
+#define END_FLUSH_DELAY_MS 50 /* before requests that ended are reported */
+#define TRANSIT_MIN_MS 10     /* lower bound of the transit time that is assumed for a datagram */
 
 static void flush(news_t* n);
 
 /* -- the queue ------------------------------------------------------------ */
 
-/* Sends the queued entries in as few datagrams as hold them; a message without any when the queue is empty. Returns
-   whether anything was sent. */
-static bool send_queue(news_t* n, bool far, void (*send)(news_t*, cw_load_message_t*)) {
+/* Sends the queued entries, only those for the other halls or all, in as few datagrams as hold them. An empty queue is
+   sent as one message without entries. Returns whether anything was sent. */
+static bool send_queue(news_t* n, bool to_other_halls, void (*send)(news_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
     bool sent = false;
     for (uint32_t i = 0; i < n->queue_count; i++) {
-        if (far && !n->queue[i].far) {
+        if (to_other_halls && !n->queue[i].to_other_halls) {
             continue;
         }
         message.entries[message.count++] = n->queue[i].entry;
@@ -41,7 +41,7 @@
     return sent;
 }
 
-static void pass_queue_on(news_t* n) {
+static void forward_queue(news_t* n) {
     send_queue(n, false, news_send_to_hall);
     if (send_queue(n, true, news_send_to_other_halls)) {
         n->sent_ms = clock_ms();
@@ -49,8 +49,8 @@
     n->queue_count = 0;
 }
 
-/* Adds what a newer entry of the same host says of the same server; false when the parts of both don't fit one. */
-static bool entry_merge(cw_load_entry_t* into, const cw_load_entry_t* from) {
+/* Merges a newer entry of the same host on the same server. Fails when the prompt parts of both don't fit one entry. */
+static bool merge_entry(cw_load_entry_t* into, const cw_load_entry_t* from) {
     if (into->part_count + from->part_count > CW_LOAD_PARTS) {
         return false;
     }
@@ -62,24 +62,24 @@
     return true;
 }
 
-static void queue_add(news_t* n, const cw_load_entry_t* entry, bool far) {
+static void queue_add(news_t* n, const cw_load_entry_t* entry, bool to_other_halls) {
     for (uint32_t i = n->queue_count; i-- > 0;) {
-        queued_t* q = &n->queue[i];
+        queued_entry_t* q = &n->queue[i];
         if (q->entry.server == entry->server && q->entry.host == entry->host) {
-            if (q->far == far && entry_merge(&q->entry, entry)) {
+            if (q->to_other_halls == to_other_halls && merge_entry(&q->entry, entry)) {
                 return;
             }
-            break; /* what is added after it is newer */
+            break; /* the new entry must follow this older one */
         }
     }
     if (n->queue_count == QUEUE_MAX) {
-        pass_queue_on(n);
+        forward_queue(n);
     }
-    n->queue[n->queue_count++] = (queued_t){.entry = *entry, .far = far};
+    n->queue[n->queue_count++] = (queued_entry_t){.entry = *entry, .to_other_halls = to_other_halls};
 }
-/* -- own load ------------------------------------------------------------- */
+/* -- load of this host ---------------------------------------------------- */
 
-static bool entry_of(const news_t* n, const dirty_t* dirty, int64_t now_ms, cw_load_entry_t* entry) {
+static bool make_entry(const news_t* n, const dirty_t* dirty, int64_t now_ms, cw_load_entry_t* entry) {
     const server_t* server = upstreams_server(n->desc.upstreams, dirty->server);
     uint32_t at = server ? cw_balance_find(server->pool->balance, server->key) : CW_BALANCE_NONE;
     if (at == CW_BALANCE_NONE) {
@@ -94,9 +94,9 @@
     return true;
 }
 
-static void own_add(news_t* n, cw_load_message_t* message, const dirty_t* dirty, int64_t now_ms) {
+static void add_own_entry(news_t* n, cw_load_message_t* message, const dirty_t* dirty, int64_t now_ms) {
     cw_load_entry_t entry;
-    if (!entry_of(n, dirty, now_ms, &entry)) {
+    if (!make_entry(n, dirty, now_ms, &entry)) {
         return;
     }
     if (n->is_relay) {
@@ -110,11 +110,11 @@
     }
 }
 
-/* It is time to say something, if only that this host lives and what it knows. Relays speak often, since the others
-   hear nobody else. */
-static bool is_quiet(const news_t* n, int64_t now_ms) {
-    bool speaks_for_hall = n->plan.gather_ms && n->is_relay;
-    return now_ms - n->sent_ms >= cw_load_quiet_ms(speaks_for_hall ? 0 : n->rank, n->live);
+/* Whether a datagram is due even if there is nothing to report: it shows that this host is alive and carries its source
+   state. Relays that batch use the interval of the first rank, since the hosts of their hall hear only from them. */
+static bool is_heartbeat_due(const news_t* n, int64_t now_ms) {
+    bool sends_for_hall = n->plan.gather_ms && n->is_relay;
+    return now_ms - n->sent_ms >= cw_load_quiet_ms(sends_for_hall ? 0 : n->rank, n->live);
 }
 
 static void flush(news_t* n) {
@@ -123,23 +123,23 @@
     news_read_members(n);
     ev_timer_stop(n->desc.loop, &n->flush_timer);
     ev_timer_stop(n->desc.loop, &n->direct_timer);
-    bool quiet = is_quiet(n, now_ms);
+    bool heartbeat_due = is_heartbeat_due(n, now_ms);
     for (uint32_t i = 0; i < n->dirty_count; i++) {
-        own_add(n, &message, &n->dirty[i], now_ms);
+        add_own_entry(n, &message, &n->dirty[i], now_ms);
     }
     n->dirty_count = 0;
     n->flushed_ms = now_ms;
-    if (!n->is_relay && (message.count || quiet)) {
+    if (!n->is_relay && (message.count || heartbeat_due)) {
         news_send_to_relay(n, &message);
         n->sent_ms = now_ms;
     }
-    if (n->queue_count || (n->is_relay && quiet)) {
-        pass_queue_on(n);
+    if (n->queue_count || (n->is_relay && heartbeat_due)) {
+        forward_queue(n);
     }
     news_tell_marks(n);
 }
 
-static void on_flush(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_flush_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     flush(w->data);
@@ -152,7 +152,7 @@
     }
 }
 
-static dirty_t* dirty_get(news_t* n, uint64_t server) {
+static dirty_t* get_dirty(news_t* n, uint64_t server) {
     for (uint32_t i = 0; i < n->dirty_count; i++) {
         if (n->dirty[i].server == server) {
             return &n->dirty[i];
@@ -166,10 +166,10 @@
     return d;
 }
 
-/* -- to home hosts -------------------------------------------------------- */
+/* -- reports to home hosts ------------------------------------------------ */
 
-/* Tells the engine's other home hosts what this one has there. */
-static void tell_homes(news_t* n, uint64_t server, int64_t now_ms) {
+/* Reports this host's load at the engine to the engine's other home hosts. */
+static void report_to_home_hosts(news_t* n, uint64_t server, int64_t now_ms) {
     uint64_t ids[HOSTS_MAX + 1];
     const peer_t* staying[HOSTS_MAX + 1];
     uint32_t homes[CW_HOME_HOSTS];
@@ -184,7 +184,7 @@
     }
     ids[hosts++] = n->desc.host;
     uint32_t count = cw_home_others(server, n->desc.host, ids, hosts, homes);
-    if (!count || !entry_of(n, &dirty, now_ms, &message.entries[0])) {
+    if (!count || !make_entry(n, &dirty, now_ms, &message.entries[0])) {
         return;
     }
     datagram_t d = news_datagram(n, &message, CW_LOAD_LAST);
@@ -193,46 +193,46 @@
     }
 }
 
-static void on_direct(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_direct_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     news_t* n = w->data;
     int64_t now_ms = clock_ms();
     news_read_members(n);
     for (uint32_t i = 0; i < n->direct_count; i++) {
-        tell_homes(n, n->direct[i], now_ms);
+        report_to_home_hosts(n, n->direct_servers[i], now_ms);
     }
     n->direct_count = 0;
 }
 
-/* In a large fleet what changes at an engine is told to its home hosts without waiting for relays. */
-static void tell_homes_soon(news_t* n, const server_t* server) {
+/* In a large fleet, a change of load at an engine is reported to its home hosts directly and not only by relays. */
+static void schedule_home_report(news_t* n, const server_t* server) {
     if (!n->plan.gather_ms || !server->pool->slots || n->direct_count == DIRTY_MAX) {
-        return; /* the relays' news tells it later */
+        return; /* reported by the relays, later */
     }
     for (uint32_t i = 0; i < n->direct_count; i++) {
-        if (n->direct[i] == server->key) {
+        if (n->direct_servers[i] == server->key) {
             return;
         }
     }
-    n->direct[n->direct_count++] = server->key;
+    n->direct_servers[n->direct_count++] = server->key;
     if (!ev_is_active(&n->direct_timer)) {
-        ev_timer_set(&n->direct_timer, FLUSH_MS / MS_PER_S, 0.0);
+        ev_timer_set(&n->direct_timer, FLUSH_DELAY_MS / MS_PER_S, 0.0);
         ev_timer_start(n->desc.loop, &n->direct_timer);
     }
 }
 
-/* -- own changes ---------------------------------------------------------- */
+/* -- changes at this host ------------------------------------------------- */
 
 static void flush_soon(news_t* n) {
-    news_flush_after(n, n->is_relay && n->plan.gather_ms ? n->plan.gather_ms : FLUSH_MS);
+    news_flush_after(n, n->is_relay && n->plan.gather_ms ? n->plan.gather_ms : FLUSH_DELAY_MS);
 }
 
 void news_on_load(news_t* n, const server_t* server, const cw_work_t* work) {
-    dirty_t* d = dirty_get(n, server->key);
-    tell_homes_soon(n, server);
+    dirty_t* d = get_dirty(n, server->key);
+    schedule_home_report(n, server);
     if (!work || !work->prompt_tokens) {
-        return; /* told with the next tick */
+        return; /* reported with a later tick */
     }
     for (uint32_t i = 0; i < work->part_count && d->part_count < CW_LOAD_PARTS; i++) {
         d->parts[d->part_count++] = work->parts[i];
@@ -241,7 +241,7 @@
 }
 
 void news_on_life(news_t* n, const server_t* server) {
-    dirty_get(n, server->key);
+    get_dirty(n, server->key);
     flush_soon(n);
 }
 
@@ -250,40 +250,40 @@
     int64_t now_ms = clock_ms();
     news_read_members(n);
     for (uint32_t i = 0; i < count; i += CW_LOAD_PARTS) {
-        dirty_t some = {.server = server->key};
-        some.part_count = count - i < CW_LOAD_PARTS ? count - i : CW_LOAD_PARTS;
-        memcpy(some.parts, &parts[i], some.part_count * sizeof(*parts));
-        own_add(n, &message, &some, now_ms);
+        dirty_t batch = {.server = server->key};
+        batch.part_count = count - i < CW_LOAD_PARTS ? count - i : CW_LOAD_PARTS;
+        memcpy(batch.parts, &parts[i], batch.part_count * sizeof(*parts));
+        add_own_entry(n, &message, &batch, now_ms);
     }
     if (message.count) {
         news_send_to_relay(n, &message);
     }
     if (n->queue_count) {
-        pass_queue_on(n);
+        forward_queue(n);
     }
 }
 
-/* Everything that this daemon has anywhere is told again. */
-static void repeat_all(news_t* n, int64_t now_ms) {
+/* Has the whole load of this daemon reported again. */
+static void mark_all_dirty(news_t* n, int64_t now_ms) {
     for (pool_t* pool = upstreams_pools(n->desc.upstreams); pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
             uint32_t at = cw_balance_find(pool->balance, s->key);
-            bool told = at != CW_BALANCE_NONE && (cw_balance_load(pool->balance, now_ms, at).running ||
-                                                  cw_balance_tells_limit(pool->balance, now_ms, s->key));
-            if (told) {
-                dirty_get(n, s->key);
+            bool is_reported = at != CW_BALANCE_NONE && (cw_balance_load(pool->balance, now_ms, at).running ||
+                                                         cw_balance_tells_limit(pool->balance, now_ms, s->key));
+            if (is_reported) {
+                get_dirty(n, s->key);
             }
         }
     }
     n->repeated_ms = now_ms;
 }
 
-/* -- datagrams in --------------------------------------------------------- */
+/* -- receiving ------------------------------------------------------------ */
 
-static void take_entry(news_t* n, const cw_load_entry_t* entry, int64_t now_ms) {
+static void apply_entry(news_t* n, const cw_load_entry_t* entry, int64_t now_ms) {
     server_t* server = upstreams_server(n->desc.upstreams, entry->server);
     if (!server) {
-        n->stats.unknown++; /* another life of a server, or one of a list that has not come yet */
+        n->stats.unknown++; /* another incarnation, or a server of a list that this host doesn't have yet */
         return;
     }
     cw_balance_t* balance = server->pool->balance;
@@ -304,15 +304,15 @@
     }
 }
 
-/* Other hosts' entries are taken over, and kept to be passed on where that is asked for. */
-static void take_message(news_t* n, const cw_load_message_t* message) {
+/* Applies the entries of other hosts, and queues those that this host is to forward. */
+static void apply_message(news_t* n, const cw_load_message_t* message) {
     int64_t now_ms = clock_ms();
     for (uint32_t i = 0; i < message->count; i++) {
         const cw_load_entry_t* entry = &message->entries[i];
         if (entry->host == n->desc.host) {
-            continue; /* a relay told the whole hall */
+            continue; /* sent back by a relay, which sends to its whole hall */
         }
-        take_entry(n, entry, now_ms);
+        apply_entry(n, entry, now_ms);
         if (message->scope != CW_LOAD_LAST) {
             queue_add(n, entry, message->scope == CW_LOAD_FOR_ALL);
             n->stats.passed_on++;
@@ -325,29 +325,30 @@
     if (n->plan.gather_ms) {
         news_flush_after(n, n->plan.gather_ms);
     } else {
-        pass_queue_on(n);
+        forward_queue(n);
     }
 }
 
-/* How long a datagram may have been under way that is read now: this process may have been late to read it. */
-static uint32_t waited_at_most_ms(const news_t* n, int64_t now_ms) {
-    int64_t since_tick_ms = n->tick_before_ms ? now_ms - n->tick_before_ms : 0;
-    return since_tick_ms > TRANSIT_MS ? (uint32_t)since_tick_ms : TRANSIT_MS;
+/* Upper bound of the age of a datagram that is read now. It may have waited in the socket for as long as this process
+   stalled. */
+static uint32_t max_delay_ms(const news_t* n, int64_t now_ms) {
+    int64_t since_tick_ms = n->previous_tick_ms ? now_ms - n->previous_tick_ms : 0;
+    return since_tick_ms > TRANSIT_MIN_MS ? (uint32_t)since_tick_ms : TRANSIT_MIN_MS;
 }
 
-/* Whether the host stands in another hall. */
-static bool is_far(const news_t* n, uint64_t host) {
+/* Whether the host is in another hall; a host that is not known counts as such. */
+static bool is_remote(const news_t* n, uint64_t host) {
     const cw_member_t* member = n->members ? cw_members_find(n->members, host) : NULL;
     return !member || strcmp(member->info.hall, n->desc.settings->hall) != 0;
 }
 
-static void on_load(struct ev_loop* loop, ev_io* w, int events) {
+static void on_datagrams(struct ev_loop* loop, ev_io* w, int events) {
     (void)loop;
     (void)events;
     news_t* n = w->data;
     uint8_t bytes[CW_LOAD_BYTES];
     cw_load_message_t message;
-    uint32_t waited_ms = waited_at_most_ms(n, clock_ms());
+    uint32_t delay_ms = max_delay_ms(n, clock_ms());
     struct sockaddr_in from;
     socklen_t from_size = sizeof(from);
     ssize_t size = 0;
@@ -360,14 +361,14 @@
         from.sin_port = htons(n->share_port);
         cw_addr_format(&from, share);
         n->stats.in++;
-        cw_knowledge_age(&message.knowledge, waited_ms);
-        n->desc.on_knowledge(n->desc.user_data, share, is_far(n, message.host), &message.knowledge);
-        news_take_marks(n, &message, waited_ms);
-        take_message(n, &message);
+        cw_knowledge_age(&message.knowledge, delay_ms);
+        n->desc.on_knowledge(n->desc.user_data, share, is_remote(n, message.host), &message.knowledge);
+        news_take_marks(n, &message, delay_ms);
+        apply_message(n, &message);
     }
 }
 
-/* -- for others ----------------------------------------------------------- */
+/* -- interface ------------------------------------------------------------ */
 
 void news_set_members(news_t* n, const cw_members_t* members, uint32_t live, uint32_t rank) {
     n->members = members;
@@ -382,15 +383,15 @@
 }
 
 void news_tick(news_t* n, int64_t now_ms) {
-    n->tick_before_ms = n->tick_ms;
+    n->previous_tick_ms = n->tick_ms;
     n->tick_ms = now_ms;
     if (now_ms - n->repeated_ms >= n->plan.repeat_ms) {
-        repeat_all(n, now_ms);
+        mark_all_dirty(n, now_ms);
     }
     news_repeat_marks(n, now_ms);
     news_tell_marks(n);
-    bool due = n->dirty_count && now_ms - n->flushed_ms >= SLOW_FLUSH_MS;
-    if (due || is_quiet(n, now_ms)) {
+    bool due = n->dirty_count && now_ms - n->flushed_ms >= END_FLUSH_DELAY_MS;
+    if (due || is_heartbeat_due(n, now_ms)) {
         flush(n);
     }
 }
@@ -423,9 +424,9 @@
         free(n);
         return NULL;
     }
-    ev_io_init(&n->load_io, on_load, n->fd, EV_READ);
-    ev_timer_init(&n->flush_timer, on_flush, FLUSH_MS / MS_PER_S, 0.0);
-    ev_timer_init(&n->direct_timer, on_direct, FLUSH_MS / MS_PER_S, 0.0);
+    ev_io_init(&n->load_io, on_datagrams, n->fd, EV_READ);
+    ev_timer_init(&n->flush_timer, on_flush_timer, FLUSH_DELAY_MS / MS_PER_S, 0.0);
+    ev_timer_init(&n->direct_timer, on_direct_timer, FLUSH_DELAY_MS / MS_PER_S, 0.0);
     n->load_io.data = n->flush_timer.data = n->direct_timer.data = n;
     ev_io_start(desc->loop, &n->load_io);
     return n;
--- a/gateway/news_parts.h
+++ b/gateway/news_parts.h
@@ -1,8 +1,8 @@
 #ifndef CW_GATEWAY_NEWS_PARTS_H
 #define CW_GATEWAY_NEWS_PARTS_H
 /*
-    What the parts of the news share: news_peers.c knows who is told and sends, news_marks.c tells marks of suspect
-    requests, news.c tells and takes load.
+    Shared by the source files of news.h: news_peers.c chooses the receivers and sends datagrams, news_marks.c sends and
+    receives the marks of suspect requests, news.c sends and receives load.
 */
 #include <netinet/in.h>
 
@@ -11,76 +11,76 @@
 #define HOSTS_MAX 1024
 #define DIRTY_MAX 256
 #define QUEUE_MAX 512
-#define MARKS_MAX (4 * CW_LOAD_MARKS) /* that wait to be told; more are told with the next round of all */
-#define FLUSH_MS 1                    /* news of what was sent waits so long, so that several share a datagram */
+#define MARK_QUEUE_MAX (4 * CW_LOAD_MARKS) /* a mark that doesn't fit goes out when all marks are repeated */
+#define FLUSH_DELAY_MS 1                   /* before requests that began are reported, so that some share a datagram */
 
-/* A server whose load here is to be told. */
+/* A server whose load at this host changed and is not reported yet. */
 typedef struct dirty_t {
     uint64_t server;
     uint32_t part_count;
     cw_work_part_t parts[CW_LOAD_PARTS];
 } dirty_t;
 
-/* An entry that waits to be told. */
-typedef struct queued_t {
+/* An entry that waits to be sent. */
+typedef struct queued_entry_t {
     cw_load_entry_t entry;
-    bool far; /* to the other halls too */
-} queued_t;
+    bool to_other_halls; /* as well as to the own hall */
+} queued_entry_t;
 
-/* A mark that waits to be told. */
-typedef struct told_mark_t {
+/* A mark that waits to be sent. */
+typedef struct pending_mark_t {
     cw_mark_t mark;
-    bool far;       /* to the other halls too */
-    int64_t due_ms; /* 0: at once */
-    int64_t at_ms;  /* when mark.age_ms was right */
-} told_mark_t;
+    bool to_other_halls; /* as well as to the own hall */
+    int64_t due_ms;      /* 0: at once */
+    int64_t stamped_ms;  /* time for which mark.age_ms is valid */
+} pending_mark_t;
 
-/* Another host that lives. */
+/* Another host that is alive. */
 typedef struct peer_t {
-    const cw_member_info_t* info; /* valid while the list of peers is made */
+    const cw_member_info_t* info; /* valid only while news_read_members runs */
     uint64_t id;
     bool leaving;
-    struct sockaddr_in load;
+    struct sockaddr_in load; /* its load address */
 } peer_t;
 
-/* The hosts of a hall: a part of the list of peers, relays first. */
-typedef struct hall_t {
+/* The hosts of a hall, as a range of the list of peers; relays come first. */
+typedef struct hall_range_t {
     uint32_t first, count;
-    uint32_t relays; /* of them */
-} hall_t;
+    uint32_t relays; /* hosts of the range that are relays */
+} hall_range_t;
 
 struct news_t {
     news_desc_t desc;
     uint64_t cluster;
     int fd;
     uint16_t load_port, share_port;
-    const cw_members_t* members; /* NULL: none known yet */
+    const cw_members_t* members; /* NULL: not known yet */
     bool members_changed;
     uint32_t live, rank;
     cw_relay_plan_t plan;
-    peer_t peers[HOSTS_MAX]; /* without this host; by hall */
-    uint64_t ids[HOSTS_MAX]; /* of the same */
+    peer_t peers[HOSTS_MAX]; /* without this host; sorted by hall, then by rank as a relay */
+    uint64_t ids[HOSTS_MAX]; /* of peers, in the same order */
     uint32_t peer_count;
-    hall_t own;              /* the others of the own hall */
-    hall_t halls[HOSTS_MAX]; /* the other halls */
-    uint32_t hall_count;
+    hall_range_t own_hall; /* without this host */
+    hall_range_t other_halls[HOSTS_MAX];
+    uint32_t other_hall_count;
     bool is_relay;
     ev_io load_io;
     ev_timer flush_timer, direct_timer;
-    uint64_t direct[DIRTY_MAX]; /* engines whose load here is to be told to their other home hosts */
+    uint64_t direct_servers[DIRTY_MAX]; /* engines whose load is to be reported to their other home hosts */
     uint32_t direct_count;
     dirty_t dirty[DIRTY_MAX];
     uint32_t dirty_count;
-    queued_t queue[QUEUE_MAX];
+    queued_entry_t queue[QUEUE_MAX];
     uint32_t queue_count;
-    told_mark_t marks[MARKS_MAX];
+    pending_mark_t marks[MARK_QUEUE_MAX];
     uint32_t mark_count;
-    uint32_t marks_at; /* next place of the round of all */
-    int64_t marks_ms;  /* of its last part */
+    uint32_t next_mark;        /* index at which the next repetition goes on */
+    int64_t marks_repeated_ms; /* time of the last repetition */
     int64_t flushed_ms, repeated_ms;
-    int64_t tick_ms, tick_before_ms; /* the last two ticks */
-    int64_t sent_ms;
-    uint64_t draws;
+    int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
+    int64_t sent_ms;                   /* of the last report or heartbeat */
+    uint64_t random_count;             /* random numbers drawn so far */
     news_stats_t stats;
 };
 
@@ -91,31 +91,31 @@
 
 /* -- news.c --------------------------------------------------------------- */
 
-/* What waits is told so much later, at the latest. */
+/* Schedules a flush of what is pending, unless one is scheduled already. */
 void news_flush_after(news_t* n, uint32_t ms);
 
 /* -- news_peers.c --------------------------------------------------------- */
 
-/* Makes the list of peers anew where members changed. */
+/* Rebuilds the list of peers if the membership changed. */
 void news_read_members(news_t* n);
-/* With what this daemon itself knows of the source, whoever's load it tells. */
+/* Encodes the message. It carries the source state of this daemon, also where its entries are other hosts'. */
 datagram_t news_datagram(news_t* n, cw_load_message_t* message, cw_load_scope_t scope);
 void news_send(news_t* n, const peer_t* peer, const datagram_t* d);
 void news_send_to_hall(news_t* n, cw_load_message_t* message);
-/* To one host of each other hall, which passes it on there: few bytes between halls. */
+/* Sends to one host of each other hall, which forwards to the rest of its hall: traffic between halls stays low. */
 void news_send_to_other_halls(news_t* n, cw_load_message_t* message);
-/* To a relay of the own hall, which passes it on to all. */
+/* Sends to a relay of the own hall, which forwards to all hosts. */
 void news_send_to_relay(news_t* n, cw_load_message_t* message);
 
 /* -- news_marks.c --------------------------------------------------------- */
 
 /* Sends the marks that are due. */
 void news_tell_marks(news_t* n);
-/* Marks of a datagram that has come; waited_ms: longest time for which it may have been under way. */
-void news_take_marks(news_t* n, const cw_load_message_t* message, uint32_t waited_ms);
-/* The first ranks tell all that counts again and again, a part at a time. */
+/* Handles the marks of a received datagram. delay_ms: upper bound of its age. */
+void news_take_marks(news_t* n, const cw_load_message_t* message, uint32_t delay_ms);
+/* On the hosts of the first ranks: queues the next part of all valid marks, once an interval. */
 void news_repeat_marks(news_t* n, int64_t now_ms);
-/* All that counts at once, for a host that has just come. */
+/* Sends all valid marks at once, for a host that just joined. */
 void news_tell_all_marks(news_t* n);
 
 #endif
--- a/gateway/news_peers.c
+++ b/gateway/news_peers.c
@@ -1,4 +1,4 @@
-/* Whom news is told, by hall and relay, and the datagrams that carry it. */
+/* The receivers of load reports, by hall and relay role, and the datagrams sent to them. */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -6,24 +6,24 @@
 #include "../io/address.h"
 #include "news_parts.h"
 
-/* -- who is told ---------------------------------------------------------- */
+/* -- receivers ------------------------------------------------------------ */
 
-static bool may_relay(const cw_member_info_t* info) {
+static bool can_relay(const cw_member_info_t* info) {
     return !info->leaving;
 }
 
-static bool goes_before(const cw_member_info_t* a, const cw_member_info_t* b) {
-    return may_relay(a) != may_relay(b) ? may_relay(a) : cw_relay_before(a, b);
+static bool precedes(const cw_member_info_t* a, const cw_member_info_t* b) {
+    return can_relay(a) != can_relay(b) ? can_relay(a) : cw_relay_before(a, b);
 }
 
 static int compare_peers(const void* left, const void* right) {
     const cw_member_info_t* a = ((const peer_t*)left)->info;
     const cw_member_info_t* b = ((const peer_t*)right)->info;
-    int halls = strcmp(a->hall, b->hall);
-    if (halls) {
-        return halls;
+    int hall_order = strcmp(a->hall, b->hall);
+    if (hall_order) {
+        return hall_order;
     }
-    return goes_before(a, b) ? -1 : goes_before(b, a);
+    return precedes(a, b) ? -1 : precedes(b, a);
 }
 
 static void add_peer(news_t* n, const cw_member_info_t* info) {
@@ -38,13 +38,13 @@
     n->peer_count++;
 }
 
-/* How many of the hall's hosts are relays; self: this host where it stands in the hall, else NULL. */
-static uint32_t count_relays(const news_t* n, const hall_t* hall, const cw_member_info_t* self) {
+/* Number of the hall's hosts that are relays. self: this host if it is in the hall, else NULL. */
+static uint32_t count_relays(const news_t* n, const hall_range_t* hall, const cw_member_info_t* self) {
     uint32_t links[HOSTS_MAX + 1];
     uint32_t count = 0;
     for (uint32_t i = 0; i < hall->count; i++) {
         const cw_member_info_t* info = n->peers[hall->first + i].info;
-        if (self && goes_before(self, info)) {
+        if (self && precedes(self, info)) {
             links[count++] = self->link_mbps;
             self = NULL;
         }
@@ -56,35 +56,35 @@
     return cw_relay_count(&n->plan, links, count);
 }
 
-/* Cuts the sorted peers into halls. */
-static void cut_halls(news_t* n, const char* own_hall) {
-    n->hall_count = 0;
-    n->own = (hall_t){0};
+/* Groups the sorted peers by hall. */
+static void group_by_hall(news_t* n, const char* own_hall_name) {
+    n->other_hall_count = 0;
+    n->own_hall = (hall_range_t){0};
     for (uint32_t i = 0; i < n->peer_count;) {
         const char* name = n->peers[i].info->hall;
-        hall_t hall = {.first = i};
+        hall_range_t hall = {.first = i};
         for (; i < n->peer_count && strcmp(n->peers[i].info->hall, name) == 0; i++) {
             n->ids[i] = n->peers[i].id;
             hall.count++;
         }
-        if (strcmp(name, own_hall) == 0) {
-            n->own = hall;
+        if (strcmp(name, own_hall_name) == 0) {
+            n->own_hall = hall;
         } else {
             hall.relays = count_relays(n, &hall, NULL);
-            n->halls[n->hall_count++] = hall;
+            n->other_halls[n->other_hall_count++] = hall;
         }
     }
 }
 
-/* Whether this host is one of its hall's relays, and how many of the others are. */
-static void place_self(news_t* n, const cw_member_info_t* self) {
-    uint32_t relays = count_relays(n, &n->own, self);
-    uint32_t before = 0;
-    for (uint32_t i = 0; i < n->own.count; i++) {
-        before += goes_before(n->peers[n->own.first + i].info, self);
+/* Finds out whether this host is a relay of its hall, and how many of the others are. */
+static void set_own_role(news_t* n, const cw_member_info_t* self) {
+    uint32_t relays = count_relays(n, &n->own_hall, self);
+    uint32_t preceding = 0;
+    for (uint32_t i = 0; i < n->own_hall.count; i++) {
+        preceding += precedes(n->peers[n->own_hall.first + i].info, self);
     }
-    n->is_relay = before < relays;
-    n->own.relays = relays - n->is_relay;
+    n->is_relay = preceding < relays;
+    n->own_hall.relays = relays - n->is_relay;
 }
 
 void news_read_members(news_t* n) {
@@ -102,17 +102,17 @@
     }
     qsort(n->peers, n->peer_count, sizeof(*n->peers), compare_peers);
     n->plan = cw_relay_plan(n->live);
-    cut_halls(n, self->hall);
-    place_self(n, self);
+    group_by_hall(n, self->hall);
+    set_own_role(n, self);
 }
 
-/* The host of the hall that is told for it. */
-static const peer_t* relay_of(news_t* n, const hall_t* hall) {
-    uint64_t random = cw_mix(n->desc.host, ++n->draws);
+/* The relay of the hall that receives this host's datagram. */
+static const peer_t* choose_relay(news_t* n, const hall_range_t* hall) {
+    uint64_t random = cw_mix(n->desc.host, ++n->random_count);
     uint32_t i = cw_relay_choose(&n->ids[hall->first], hall->relays, &n->plan, n->desc.host, random);
     return &n->peers[hall->first + i];
 }
-/* -- datagrams out -------------------------------------------------------- */
+/* -- sending -------------------------------------------------------------- */
 
 datagram_t news_datagram(news_t* n, cw_load_message_t* message, cw_load_scope_t scope) {
     datagram_t d;
@@ -133,23 +133,23 @@
 
 void news_send_to_hall(news_t* n, cw_load_message_t* message) {
     datagram_t d = news_datagram(n, message, CW_LOAD_LAST);
-    for (uint32_t i = 0; i < n->own.count; i++) {
-        news_send(n, &n->peers[n->own.first + i], &d);
+    for (uint32_t i = 0; i < n->own_hall.count; i++) {
+        news_send(n, &n->peers[n->own_hall.first + i], &d);
     }
 }
 
 void news_send_to_other_halls(news_t* n, cw_load_message_t* message) {
     datagram_t to_pass_on = news_datagram(n, message, CW_LOAD_FOR_HALL);
     datagram_t last = news_datagram(n, message, CW_LOAD_LAST);
-    for (uint32_t i = 0; i < n->hall_count; i++) {
-        const hall_t* hall = &n->halls[i];
-        news_send(n, relay_of(n, hall), hall->count == 1 ? &last : &to_pass_on);
+    for (uint32_t i = 0; i < n->other_hall_count; i++) {
+        const hall_range_t* hall = &n->other_halls[i];
+        news_send(n, choose_relay(n, hall), hall->count == 1 ? &last : &to_pass_on);
     }
 }
 
 void news_send_to_relay(news_t* n, cw_load_message_t* message) {
-    if (n->own.count) {
+    if (n->own_hall.count) {
         datagram_t d = news_datagram(n, message, CW_LOAD_FOR_ALL);
-        news_send(n, relay_of(n, &n->own), &d);
+        news_send(n, choose_relay(n, &n->own_hall), &d);
     }
 }
