--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -11,31 +11,32 @@
 #include "../io/peers.h"
 #include "clock.h"
 
-#define MISSING_MS 30000   /* a host that isn't heard of for longer is taken to be gone */
-#define FLEET_LOOK_MS 1000 /* how often that is looked at */
+#define UNREACHABLE_MAX_MS 30000      /* a host that is unreachable for longer counts as stopped */
+#define FLEET_UPDATE_INTERVAL_MS 1000 /* while hosts are unreachable */
 #define HOSTS_MAX 1024
-#define HALL_ENOUGH 2 /* hosts of a caller's hall that are enough to name only them */
-#define PROBE_MS 250  /* between two probes */
+#define HALL_ADDRESSES_MIN 2 /* with fewer in the caller's hall, hosts of all halls are returned */
+#define PROBE_INTERVAL_MS 250
 #define PROBE_TIMEOUT_MS 100
-#define SUSPECT_MS 700
-#define SETTLE_HOST_MS 10  /* of a fleet that starts: without a new host for so long for each that is known */
-#define SETTLE_MAX_MS 1000 /* and no longer than some rounds of gossip */
-#define RETRY_MS 250       /* between probes of seeds and dead hosts: a fleet that starts again finds itself soon */
+#define SUSPECT_TIMEOUT_MS 700
+#define CONVERGENCE_MS_PER_HOST 10 /* a starting fleet has converged after so long without a join, for each host */
+#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time: a few gossip rounds */
+#define RETRY_INTERVAL_MS                                                                                              \
+    250 /* between probes of seeds and dead hosts; short, so that a restarted fleet converges soon */
 
 struct mesh_t {
     mesh_desc_t desc;
     uint64_t host, cluster;
     cw_peers_t* peers;
     cw_members_t* members;
-    uint64_t members_seen;
-    uint64_t fleet[HOSTS_MAX]; /* ids of those that live and stay */
-    uint32_t daemons;          /* most that were known at once */
-    uint32_t rank;             /* of this host among those that live */
+    uint64_t seen_changes;         /* value of cw_members_changes that update_members handled last */
+    uint64_t fleet_ids[HOSTS_MAX]; /* hosts that are alive and not leaving */
+    uint32_t max_known;            /* most hosts that were known at once */
+    uint32_t rank;                 /* of this host among those that are alive */
     news_t* news;
-    uint32_t live;
-    uint32_t missing; /* hosts that may be cut off, when the fleet was told last */
-    int64_t fleet_ms; /* when that was */
-    int64_t grown_ms; /* when a host became known that was not */
+    uint32_t live;        /* hosts that are alive */
+    uint32_t unreachable; /* hosts that may be partitioned off, as of the last update_fleet */
+    int64_t fleet_updated_ms;
+    int64_t last_join_ms; /* when max_known last rose */
 };
 
 static uint16_t port_of(const char* address) {
@@ -43,8 +44,8 @@
     return cw_addr_parse(address, &addr, NULL) == CW_OK ? ntohs(addr.sin_port) : 0;
 }
 
-/* Address with another port. */
-static bool with_port(const char* address, uint16_t port, struct sockaddr_in* out) {
+/* Parses the address and replaces its port. */
+static bool parse_with_port(const char* address, uint16_t port, struct sockaddr_in* out) {
     if (cw_addr_parse(address, out, NULL) != CW_OK) {
         return false;
     }
@@ -54,7 +55,7 @@
 
 /* -- members -------------------------------------------------------------- */
 
-static bool is_live(const cw_member_t* member) {
+static bool is_alive(const cw_member_t* member) {
     return member->info.state == CW_MEMBER_ALIVE;
 }
 
@@ -65,69 +66,70 @@
     }
 }
 
-/* This host's place among those that live, in an order that all see alike. */
+/* Rank of this host among those that are alive. All hosts use the same order. */
 static uint32_t own_rank(const mesh_t* m) {
     uint32_t rank = 0;
     const cw_member_info_t* self = &cw_members_at(m->members, 0)->info;
     for (uint32_t i = 1; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        rank += is_live(member) && !member->info.leaving && cw_relay_before(&member->info, self);
+        rank += is_alive(member) && !member->info.leaving && cw_relay_before(&member->info, self);
     }
     return rank;
 }
 
-/* Whether a host that isn't heard of may be cut off and go on: it neither left as planned nor was its process seen to
-   be gone. */
-static bool is_missing(const cw_member_t* member, int64_t now_ms) {
-    return !is_live(member) && !member->info.leaving && !member->refused && now_ms - member->since_ms < MISSING_MS;
+/* Whether an unreachable host may be partitioned off and still running: it didn't leave as planned, and its machine
+   didn't refuse a connection, which would show that the process ended. */
+static bool may_be_partitioned(const cw_member_t* member, int64_t now_ms) {
+    return !is_alive(member) && !member->info.leaving && !member->refused &&
+           now_ms - member->since_ms < UNREACHABLE_MAX_MS;
 }
 
-/* Leaving hosts begin nothing new, so they are nobody's rivals. */
-static void tell_fleet(mesh_t* m, int64_t now_ms) {
+/* Passes the fleet to the upstreams. Hosts that are leaving send no new requests, so they are not part of it. */
+static void update_fleet(mesh_t* m, int64_t now_ms) {
     cw_relay_plan_t plan = cw_relay_plan(m->live);
-    cw_fleet_t fleet = {.ids = m->fleet, .reach_ms = plan.reach_ms, .direct_ms = plan.direct_ms};
+    cw_fleet_t fleet = {.ids = m->fleet_ids, .reach_ms = plan.reach_ms, .direct_ms = plan.direct_ms};
     for (uint32_t i = 0; i < cw_members_count(m->members) && fleet.count < HOSTS_MAX; i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        if (is_live(member) && !member->info.leaving) {
-            m->fleet[fleet.count++] = member->info.id;
+        if (is_alive(member) && !member->info.leaving) {
+            m->fleet_ids[fleet.count++] = member->info.id;
         }
-        fleet.missing += is_missing(member, now_ms);
+        fleet.missing += may_be_partitioned(member, now_ms);
     }
-    m->missing = fleet.missing;
-    m->fleet_ms = now_ms;
+    m->unreachable = fleet.missing;
+    m->fleet_updated_ms = now_ms;
     upstreams_set_fleet(m->desc.upstreams, &fleet);
 }
 
-static void tell_members(mesh_t* m) {
+static void update_members(mesh_t* m) {
     uint64_t changes = cw_members_changes(m->members);
-    if (changes == m->members_seen) {
+    if (changes == m->seen_changes) {
         return;
     }
-    m->members_seen = changes;
+    m->seen_changes = changes;
     uint32_t live = 0;
     uint32_t known = cw_members_count(m->members);
     for (uint32_t i = 0; i < known; i++) {
-        live += is_live(cw_members_at(m->members, i));
+        live += is_alive(cw_members_at(m->members, i));
     }
     if (live > m->live) {
         news_tell_all(m->news);
     }
     m->live = live;
-    if (known > m->daemons) {
-        m->daemons = known;
-        m->grown_ms = clock_ms();
+    if (known > m->max_known) {
+        m->max_known = known;
+        m->last_join_ms = clock_ms();
     }
     m->rank = own_rank(m);
     news_set_members(m->news, m->members, live, m->rank);
-    tell_fleet(m, clock_ms());
+    update_fleet(m, clock_ms());
     cw_log(m->desc.log, CW_EVENT_MEMBERS_CHANGED, "live=%u known=%u rank=%u", live, known, m->rank);
-    m->desc.on_members(m->desc.user_data, m->daemons, m->rank);
+    m->desc.on_members(m->desc.user_data, m->max_known, m->rank);
 }
 
 static void on_gossip(void* user, const cw_gossip_t* gossip) {
     mesh_t* m = user;
     cw_members_receive(m->members, clock_ms(), gossip);
-    tell_members(m);
+    update_members(m);
     send_gossip(m);
 }
 
@@ -142,7 +144,7 @@
     cw_log(m->desc.log, CW_EVENT_PEER_REFUSED, "step=%s peer=%s reason=\"%s\"", err->step, err->peer, err->message);
 }
 
-/* -- news ----------------------------------------------------------------- */
+/* -- load reports --------------------------------------------------------- */
 
 void mesh_on_load(mesh_t* m, const server_t* server, const cw_work_t* work) {
     news_on_load(m->news, server, work);
@@ -152,8 +154,8 @@
     news_on_life(m->news, server);
 }
 
-void mesh_on_mark(mesh_t* m, const cw_mark_t* mark) {
-    news_on_mark(m->news, mark);
+void mesh_on_mark(mesh_t* m, const cw_mark_t* observation) {
+    news_on_mark(m->news, observation);
 }
 
 void mesh_tell_kept(mesh_t* m, const server_t* server, const cw_work_part_t* parts, uint32_t count) {
@@ -161,22 +163,22 @@
 }
 
 bool mesh_is_settled(const mesh_t* m, int64_t now_ms) {
-    int64_t settle_ms = (int64_t)m->daemons * SETTLE_HOST_MS;
-    return now_ms - m->grown_ms >= (settle_ms < SETTLE_MAX_MS ? settle_ms : SETTLE_MAX_MS);
+    int64_t quiet_period_ms = (int64_t)m->max_known * CONVERGENCE_MS_PER_HOST;
+    return now_ms - m->last_join_ms >= (quiet_period_ms < CONVERGENCE_MAX_MS ? quiet_period_ms : CONVERGENCE_MAX_MS);
 }
 
 bool mesh_is_mine(const mesh_t* m, uint64_t key) {
     uint64_t own = cw_mix(m->host, key);
     for (uint32_t i = 0; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        if (is_live(member) && !member->info.leaving && cw_mix(member->info.id, key) > own) {
+        if (is_alive(member) && !member->info.leaving && cw_mix(member->info.id, key) > own) {
             return false;
         }
     }
     return true;
 }
 
-/* -- for others ----------------------------------------------------------- */
+/* -- interface ------------------------------------------------------------ */
 
 void mesh_announce(mesh_t* m, int64_t revision, uint32_t room) {
     cw_members_announce(m->members, revision, room);
@@ -190,19 +192,19 @@
 void mesh_tick(mesh_t* m, int64_t now_ms) {
     cw_members_tick(m->members, now_ms);
     send_gossip(m);
-    tell_members(m);
-    if (m->missing && now_ms - m->fleet_ms >= FLEET_LOOK_MS) {
-        tell_fleet(m, now_ms); /* some may be missing for too long by now */
+    update_members(m);
+    if (m->unreachable && now_ms - m->fleet_updated_ms >= FLEET_UPDATE_INTERVAL_MS) {
+        update_fleet(m, now_ms); /* hosts may have passed UNREACHABLE_MAX_MS */
     }
     news_tick(m->news, now_ms);
 }
 
-static uint32_t addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
+static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
     uint32_t count = 0;
     for (uint32_t i = 0; i < cw_members_count(m->members) && count < max; i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
         bool self = member->info.id == m->host;
-        if ((self && !with_self) || !is_live(member) || member->info.leaving ||
+        if ((self && !with_self) || !is_alive(member) || member->info.leaving ||
             (hall && strcmp(hall, member->info.hall) != 0)) {
             continue;
         }
@@ -212,8 +214,8 @@
 }
 
 uint32_t mesh_callers_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
-    uint32_t count = hall ? addresses(m, hall, with_self, out, max) : 0;
-    return count >= HALL_ENOUGH ? count : addresses(m, NULL, with_self, out, max);
+    uint32_t count = hall ? collect_addresses(m, hall, with_self, out, max) : 0;
+    return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, with_self, out, max);
 }
 
 mesh_stats_t mesh_stats(const mesh_t* m) {
@@ -230,7 +232,7 @@
     for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
         struct sockaddr_in addr;
         char address[CW_ADDR_TEXT];
-        if (!with_port(seed, s->seed_port ? (uint16_t)s->seed_port : port_of(seed), &addr)) {
+        if (!parse_with_port(seed, s->seed_port ? (uint16_t)s->seed_port : port_of(seed), &addr)) {
             continue;
         }
         cw_addr_format(&addr, address);
@@ -247,10 +249,10 @@
     uint64_t now_ms = (uint64_t)now.tv_sec * 1000 + (uint64_t)now.tv_usec / 1000;
     cw_members_desc_t desc = {.seed = cw_mix(m->host, now_ms),
                               .max_members = HOSTS_MAX,
-                              .period_ms = PROBE_MS,
+                              .period_ms = PROBE_INTERVAL_MS,
                               .timeout_ms = PROBE_TIMEOUT_MS,
-                              .suspect_ms = SUSPECT_MS,
-                              .retry_ms = RETRY_MS,
+                              .suspect_ms = SUSPECT_TIMEOUT_MS,
+                              .retry_ms = RETRY_INTERVAL_MS,
                               .self = {.id = m->host, .incarnation = now_ms}};
     desc.self.link_mbps = (uint32_t)s->link_mbps;
     cw_copy(desc.self.name, sizeof(desc.self.name), s->name);
@@ -269,7 +271,7 @@
     m->desc = *desc;
     m->host = cw_name_id(desc->settings->name);
     m->cluster = cw_name_id(desc->settings->cluster);
-    m->daemons = 1;
+    m->max_known = 1;
     m->news = news_setup(&(news_desc_t){.loop = desc->loop,
                                         .settings = desc->settings,
                                         .upstreams = desc->upstreams,
--- a/gateway/news.c
+++ b/gateway/news.c
@@ -166,13 +166,13 @@
     return d;
 }
 
-/* -- reports to home hosts ------------------------------------------------ */
+/* -- reports to owner hosts ------------------------------------------------ */
 
-/* Reports this host's load at the engine to the engine's other home hosts. */
-static void report_to_home_hosts(news_t* n, uint64_t server, int64_t now_ms) {
+/* Reports this host's load at the engine to the engine's other owner hosts. */
+static void report_to_owner_hosts(news_t* n, uint64_t server, int64_t now_ms) {
     uint64_t ids[HOSTS_MAX + 1];
     const peer_t* staying[HOSTS_MAX + 1];
-    uint32_t homes[CW_HOME_HOSTS];
+    uint32_t owners[CW_HOME_HOSTS];
     uint32_t hosts = 0;
     dirty_t dirty = {.server = server};
     cw_load_message_t message = {.count = 1};
@@ -183,13 +183,13 @@
         }
     }
     ids[hosts++] = n->desc.host;
-    uint32_t count = cw_home_others(server, n->desc.host, ids, hosts, homes);
+    uint32_t count = cw_home_others(server, n->desc.host, ids, hosts, owners);
     if (!count || !make_entry(n, &dirty, now_ms, &message.entries[0])) {
         return;
     }
     datagram_t d = news_datagram(n, &message, CW_LOAD_LAST);
     for (uint32_t i = 0; i < count; i++) {
-        news_send(n, staying[homes[i]], &d);
+        news_send(n, staying[owners[i]], &d);
     }
 }
 
@@ -200,13 +200,13 @@
     int64_t now_ms = clock_ms();
     news_read_members(n);
     for (uint32_t i = 0; i < n->direct_count; i++) {
-        report_to_home_hosts(n, n->direct_servers[i], now_ms);
+        report_to_owner_hosts(n, n->direct_servers[i], now_ms);
     }
     n->direct_count = 0;
 }
 
-/* In a large fleet, a change of load at an engine is reported to its home hosts directly and not only by relays. */
-static void schedule_home_report(news_t* n, const server_t* server) {
+/* In a large fleet, a change of load at an engine is reported to its owner hosts directly and not only by relays. */
+static void schedule_owner_report(news_t* n, const server_t* server) {
     if (!n->plan.gather_ms || !server->pool->slots || n->direct_count == DIRTY_MAX) {
         return; /* reported by the relays, later */
     }
@@ -230,7 +230,7 @@
 
 void news_on_load(news_t* n, const server_t* server, const cw_work_t* work) {
     dirty_t* d = get_dirty(n, server->key);
-    schedule_home_report(n, server);
+    schedule_owner_report(n, server);
     if (!work || !work->prompt_tokens) {
         return; /* reported with a later tick */
     }
--- a/gateway/news.h
+++ b/gateway/news.h
@@ -23,17 +23,17 @@
     /* A peer's source state came in. share: address at which the peer serves its documents; far: the peer is in another
        hall. */
     void (*on_knowledge)(void* user_data, const char* share, bool far, const cw_knowledge_t* knowledge);
-    /* A mark of another daemon came in; its age_ms is valid now. May be NULL. */
-    void (*on_mark)(void* user_data, const cw_mark_t* mark);
-    /* Writes up to max marks that are to be repeated, from index *at on, and returns their number. Sets *at to the next
-       index, 0 after the last mark. May be NULL. */
+    /* An observation of another daemon came in; its age_ms is valid now. May be NULL. */
+    void (*on_mark)(void* user_data, const cw_mark_t* observation);
+    /* Writes up to max observations that are to be repeated, from index *at on, and returns their number. Sets *at to
+       the next index, 0 after the last observation. May be NULL. */
     uint32_t (*marks)(void* user_data, uint32_t* at, cw_mark_t* out, uint32_t max);
     void* user_data;
 } news_desc_t;
 
 typedef struct news_stats_t {
     uint64_t out, in, refused; /* datagrams sent, accepted and rejected */
-    uint64_t passed_on;        /* entries and marks of other hosts that were forwarded */
+    uint64_t passed_on;        /* entries and observations of other hosts that were forwarded */
     uint64_t unknown;          /* entries on servers, or incarnations of servers, that are not known here */
 } news_stats_t;
 
@@ -42,16 +42,16 @@
 /* The membership changed: live hosts are alive, rank is the rank of this one among them. The members are read when the
    next datagram is sent, so they must stay valid until the next call. */
 void news_set_members(news_t* n, const cw_members_t* members, uint32_t live, uint32_t rank);
-/* A host joined: sends the marks now and the whole load with the next tick. */
+/* A host joined: sends the observations now and the whole load with the next tick. */
 void news_tell_all(news_t* n);
 /* The load of this host at the server changed. work: the request that was just sent there; NULL: a request ended. */
 void news_on_load(news_t* n, const server_t* server, const cw_work_t* work);
-/* The server's health or rate limit changed: reported at once. */
+/* The server's liveness or advertised rate changed: reported at once. */
 void news_on_life(news_t* n, const server_t* server);
-/* Reports that the server's prefix cache holds these prompt parts. */
+/* Reports that the server has cached these prompt parts. */
 void news_tell_kept(news_t* n, const server_t* server, const cw_work_part_t* parts, uint32_t count);
-/* This host made a mark: sent at once, and a second time a moment later. */
-void news_on_mark(news_t* n, const cw_mark_t* mark);
+/* This host made an observation: sent at once, and a second time a moment later. */
+void news_on_mark(news_t* n, const cw_mark_t* observation);
 void news_tick(news_t* n, int64_t now_ms);
 news_stats_t news_stats(const news_t* n);
 
--- a/gateway/news_parts.h
+++ b/gateway/news_parts.h
@@ -2,7 +2,7 @@
 #define CW_GATEWAY_NEWS_PARTS_H
 /*
     Shared by the source files of news.h: news_peers.c chooses the receivers and sends datagrams, news_marks.c sends and
-    receives the marks of suspect requests, news.c sends and receives load.
+    receives the observations about suspect requests, news.c sends and receives load.
 */
 #include <netinet/in.h>
 
@@ -11,8 +11,8 @@
 #define HOSTS_MAX 1024
 #define DIRTY_MAX 256
 #define QUEUE_MAX 512
-#define MARK_QUEUE_MAX (4 * CW_LOAD_MARKS) /* a mark that doesn't fit goes out when all marks are repeated */
-#define FLUSH_DELAY_MS 1                   /* before requests that began are reported, so that some share a datagram */
+#define OBSERVATION_QUEUE_MAX (4 * CW_LOAD_MARKS) /* the others go out with the next repetition */
+#define FLUSH_DELAY_MS 1 /* before requests that began are reported, so that some share a datagram */
 
 /* A server whose load at this host changed and is not reported yet. */
 typedef struct dirty_t {
@@ -27,13 +27,13 @@
     bool to_other_halls; /* as well as to the own hall */
 } queued_entry_t;
 
-/* A mark that waits to be sent. */
-typedef struct pending_mark_t {
-    cw_mark_t mark;
+/* An observation that waits to be sent. */
+typedef struct pending_observation_t {
+    cw_mark_t observation;
     bool to_other_halls; /* as well as to the own hall */
     int64_t due_ms;      /* 0: at once */
-    int64_t stamped_ms;  /* time for which mark.age_ms is valid */
-} pending_mark_t;
+    int64_t stamped_ms;  /* time for which observation.age_ms is valid */
+} pending_observation_t;
 
 /* Another host that is alive. */
 typedef struct peer_t {
@@ -67,16 +67,16 @@
     bool is_relay;
     ev_io load_io;
     ev_timer flush_timer, direct_timer;
-    uint64_t direct_servers[DIRTY_MAX]; /* engines whose load is to be reported to their other home hosts */
+    uint64_t direct_servers[DIRTY_MAX]; /* engines whose load is to be reported to their other owner hosts */
     uint32_t direct_count;
     dirty_t dirty[DIRTY_MAX];
     uint32_t dirty_count;
     queued_entry_t queue[QUEUE_MAX];
     uint32_t queue_count;
-    pending_mark_t marks[MARK_QUEUE_MAX];
-    uint32_t mark_count;
-    uint32_t next_mark;        /* index at which the next repetition goes on */
-    int64_t marks_repeated_ms; /* time of the last repetition */
+    pending_observation_t pending[OBSERVATION_QUEUE_MAX];
+    uint32_t pending_count;
+    uint32_t next_observation;        /* index at which the next repetition goes on */
+    int64_t observations_repeated_ms; /* time of the last repetition */
     int64_t flushed_ms, repeated_ms;
     int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
     int64_t sent_ms;                   /* of the last report or heartbeat */
@@ -109,13 +109,13 @@
 
 /* -- news_marks.c --------------------------------------------------------- */
 
-/* Sends the marks that are due. */
+/* Sends the observations that are due. */
 void news_tell_marks(news_t* n);
-/* Handles the marks of a received datagram. delay_ms: upper bound of its age. */
+/* Handles the observations of a received datagram. delay_ms: upper bound of its age. */
 void news_take_marks(news_t* n, const cw_load_message_t* message, uint32_t delay_ms);
-/* On the hosts of the first ranks: queues the next part of all valid marks, once an interval. */
+/* On the hosts of the first ranks: queues the next part of all valid observations, once an interval. */
 void news_repeat_marks(news_t* n, int64_t now_ms);
-/* Sends all valid marks at once, for a host that just joined. */
+/* Sends all valid observations at once, for a host that just joined. */
 void news_tell_all_marks(news_t* n);
 
 #endif
--- a/gateway/news_peers.c
+++ b/gateway/news_peers.c
@@ -139,11 +139,11 @@
 }
 
 void news_send_to_other_halls(news_t* n, cw_load_message_t* message) {
-    datagram_t to_pass_on = news_datagram(n, message, CW_LOAD_FOR_HALL);
+    datagram_t to_forward = news_datagram(n, message, CW_LOAD_FOR_HALL);
     datagram_t last = news_datagram(n, message, CW_LOAD_LAST);
     for (uint32_t i = 0; i < n->other_hall_count; i++) {
         const hall_range_t* hall = &n->other_halls[i];
-        news_send(n, choose_relay(n, hall), hall->count == 1 ? &last : &to_pass_on);
+        news_send(n, choose_relay(n, hall), hall->count == 1 ? &last : &to_forward);
     }
 }
 
