--- a/gateway/news_marks.c
+++ b/gateway/news_marks.c
@@ -7,7 +7,8 @@
    costs a server. 48 observations of 30 bytes a second from two hosts are 3 KB/s for each host that receives them. */
 #define OBSERVATION_REPEAT_INTERVAL_MS 1000
 #define OBSERVATION_REPEATER_RANKS 2
-#define OBSERVATION_BURST_DATAGRAMS 16  /* sent at once when a host joins; the other observations follow by repetition \
+#define OBSERVATION_BURST_DATAGRAMS                                                                                    \
+    16                                  /* sent at once when a host joins; the other observations follow by repetition \
                                          */
 #define OBSERVATION_RESEND_DELAY_MS 150 /* new ones are sent twice: one datagram in ten may be lost */
 #define STALL_MS 100 /* a longer delay means that this process stalled and datagrams waited in its socket */
@@ -24,12 +25,12 @@
     cw_load_message_t message = {0};
     int64_t now_ms = clock_ms();
     for (uint32_t i = 0; i < n->pending_count; i++) {
-        const pending_observation_t* pending = &n->pending[i];
-        if (pending->due_ms > now_ms || (to_other_halls && !pending->to_other_halls)) {
+        const pending_observation_t* item = &n->pending[i];
+        if (item->due_ms > now_ms || (to_other_halls && !item->to_other_halls)) {
             continue;
         }
-        message.marks[message.mark_count] = pending->observation;
-        message.marks[message.mark_count++].age_ms += (uint32_t)(now_ms - pending->stamped_ms);
+        message.marks[message.mark_count] = item->observation;
+        message.marks[message.mark_count++].age_ms += (uint32_t)(now_ms - item->stamped_ms);
         if (message.mark_count == CW_LOAD_MARKS) {
             send(n, &message);
             message.mark_count = 0;
--- a/gateway/sync_parts.h
+++ b/gateway/sync_parts.h
@@ -1,8 +1,8 @@
 #ifndef CW_GATEWAY_SYNC_PARTS_H
 #define CW_GATEWAY_SYNC_PARTS_H
 /*
-    What the parts of the sync share: sync.c puts in force what was read and says when it is read, sync_source.c reads
-   the source, sync_peers.c reads peers and gives them what this daemon has.
+    Shared by the source files of sync.h: sync.c applies documents and decides when to poll, sync_source.c polls the
+    source, sync_peers.c fetches from peers and serves them.
 */
 #include "../chalkway_changes.h"
 #include "../chalkway_life.h"
@@ -13,89 +13,91 @@
 #include "clock.h"
 #include "sync.h"
 
-#define CALL_MS 1000 /* a call to the source or a peer may take */
+#define CALL_TIMEOUT_MS 1000 /* of a call to the source or a peer */
 #define NEVER CW_READER_NEVER
 
-/* One kind of call to the source or a peer. */
+/* Calls of one kind to the source or to peers, one at a time. */
 typedef struct fetch_t {
     sync_t* sync;
     cw_client_t* client;
     cw_call_t* call; /* NULL: none under way */
     cw_buffer_t body;
-    int64_t next_ms;
-    uint32_t failures;                /* in a row */
-    char peer[CW_SERVER_ADDRESS_MAX]; /* who is asked */
-    bool of_source;                   /* not a peer */
-    char life[CW_NAME_MAX];           /* of the source, as its answer says, "" it does not */
-    void (*on_answer)(sync_t* s, unsigned status, const char* body, size_t size);
+    int64_t not_before_ms;               /* earliest time of the next call */
+    uint32_t failures;                   /* in a row */
+    char address[CW_SERVER_ADDRESS_MAX]; /* of the callee */
+    bool is_source;                      /* the callee is the source, not a peer */
+    char epoch[CW_NAME_MAX];             /* epoch of the source as named in the response, "" none */
+    void (*on_response)(sync_t* s, unsigned status, const char* body, size_t size);
     void (*on_failure)(sync_t* s, const char* why);
 } fetch_t;
 
 struct sync_t {
     sync_desc_t desc;
     cw_client_t* client;
-    cw_httpd_t* share;
+    cw_httpd_t* share_httpd;
     fetch_t catalog, servers, peer_catalog, peer_servers;
-    int64_t mark;       /* of the configuration read last from the source */
-    int64_t catalog_ms; /* when the configuration in force was last known to be the newest, NEVER: none */
-    cw_catalog_t* in_force;
-    char* text; /* native document in force */
+    int64_t catalog_version;      /* of the configuration that was last read from the source */
+    int64_t catalog_confirmed_ms; /* when the active configuration was last known to be current, NEVER: none */
+    cw_catalog_t* active_catalog;
+    char* active_text; /* its native document */
     cw_servers_t list;
-    cw_servers_t pages; /* being read: page by page, or the list in force with its changes */
-    bool by_changes;    /* the call under way asks for changes */
-    bool for_closed;    /* the call under way asks for the closed halls */
-    int64_t closed_ms;  /* when this daemon read them last, NEVER: not yet */
-    char page_after[CW_NAME_MAX * 2];
-    int64_t pages_ms;      /* when the first page, or the changes, were asked for, NEVER: nothing is being read */
-    int64_t changes_from;  /* revision from which they were asked for */
-    uint32_t page_count;   /* read so far */
-    uint32_t whole_pages;  /* of the whole list */
-    bool whole_known;      /* this daemon or a peer has read the whole list, and it isn't to be read again */
-    uint32_t changes_read; /* readings of changes since */
+    cw_servers_t incoming;  /* a list that is being read: the pages so far, or the active list with changes applied */
+    bool asks_for_changes;  /* the running call asks for changes */
+    bool asks_for_closed;   /* the running call asks for the closed halls */
+    int64_t closed_read_ms; /* when this daemon last read the closed halls, NEVER: not yet */
+    char page_after[CW_NAME_MAX * 2]; /* key after which the next page starts, "" for the first page */
+    int64_t incoming_started_ms; /* when the first page or the changes were requested, NEVER: nothing is being read */
+    int64_t changes_from;        /* revision since which changes were requested */
+    uint32_t page_count;         /* read so far */
+    uint32_t full_page_count;    /* of the last full list */
+    bool has_full_list; /* the active list came in full, to this daemon or a peer; false: read it in full again */
+    uint32_t delta_poll_count; /* polls for changes since the last full list */
     uint64_t list_id;
-    cw_changes_t changes;      /* that led to it */
-    bool whole_wanted;         /* from a peer: its changes did not lead to its list */
-    int64_t list_ms;           /* when the list in force was last known to be true at the source, NEVER: none */
-    cw_life_t life;            /* of the source */
-    bool restored;             /* no list of this life is in force yet */
-    cw_closed_t closed_before; /* known from the life before */
-    int64_t closed_until_ms;   /* they count so long */
-    int64_t life_told_ms;
+    cw_changes_t changes;        /* recent changes of the active list, to be served to peers */
+    bool needs_full_list;        /* from a peer, since its changes did not lead to its list */
+    int64_t list_confirmed_ms;   /* when the active list was last known to be current at the source, NEVER: no list */
+    cw_life_t epoch;             /* of the source */
+    bool awaits_epoch_list;      /* the active list is of an earlier epoch */
+    cw_closed_t previous_closed; /* halls that were closed in the epoch before */
+    int64_t previous_closed_until_ms; /* they stay closed until then */
+    int64_t epoch_logged_ms;          /* last log line on an invalid epoch */
     cw_pull_t catalog_pull, servers_pull;
-    cw_reader_t reader;
-    uint64_t draws;
-    bool lost;
+    cw_reader_t poller;
+    uint64_t random_count; /* random numbers drawn so far */
+    bool is_unavailable;   /* the last call to the source failed */
     sync_stats_t stats;
-    uint64_t refused_untold; /* entries since the last line on them */
-    int64_t refused_told_ms;
+    uint64_t unlogged_refusals; /* invalid entries since the last log line on them */
+    int64_t refusals_logged_ms;
 };
 
 /* -- sync.c ---------------------------------------------------------------- */
 
 void sync_fetch(fetch_t* f, const char* address, const char* path, uint32_t timeout_ms);
 void sync_fetch_cancel(fetch_t* f);
-/* The call succeeded: no pause is due. */
+/* The call succeeded: the next one needs no backoff. */
 void sync_fetch_ok(fetch_t* f);
 /* A random number. */
 uint64_t sync_draw(sync_t* s);
-/* Age of what was true then, as peers are told it. */
+/* Age of a document that was current at true_ms, in the form that is sent to peers. */
 uint32_t sync_age(int64_t true_ms, int64_t now_ms);
-/* Puts a native document in force unless it is older; takes over the text. */
+/* Makes a native document the active configuration, unless it is older. Takes ownership of the text. */
 void sync_adopt_catalog(sync_t* s, char* text, const char* from);
-/* Puts a list in force that was true at the time, unless it is older; takes it over. */
+/* Makes a list that was current at true_ms the active one, unless it is older. Takes ownership of the list. */
 void sync_adopt_servers(sync_t* s, cw_servers_t* list, int64_t true_ms);
+/* Logs a response that can't be used. */
 void sync_refuse_answer(sync_t* s, const char* from, const cw_error_t* err);
 
 /* -- sync_source.c --------------------------------------------------------- */
 
 void sync_read_catalog(sync_t* s);
-/* What changed, or the list page by page. */
+/* Requests the changes, or the next page of the full list. */
 void sync_read_servers(sync_t* s, int64_t now_ms);
+/* Requests the first page of the full list. */
 void sync_read_whole(sync_t* s);
-/* What is being read of the list is of no use. */
+/* Discards the list that is being read. */
 void sync_drop_pages(sync_t* s);
-/* An answer of the source says its life. */
-cw_life_verdict_t sync_hear_life(sync_t* s, const char* life);
+/* Checks the epoch that a response of the source names, and switches to it if it is newer. */
+cw_life_verdict_t sync_hear_life(sync_t* s, const char* epoch);
 void sync_on_catalog_answer(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_catalog_failure(sync_t* s, const char* why);
 void sync_on_servers_answer(sync_t* s, unsigned status, const char* body, size_t size);
@@ -103,10 +105,9 @@
 
 /* -- sync_peers.c ---------------------------------------------------------- */
 
-/* Fetches what peers offered, when it is time. */
+/* Fetches documents that peers offered, when the fetch is due. */
 void sync_pull_due(sync_t* s, int64_t now_ms);
-/* A peer holds what this host lacks at its start, is about to be asked or being asked, and none has failed to answer.
- */
+/* Shortly after the start: a peer offered the missing document, the fetch is pending or running, and none failed. */
 bool sync_is_offered(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms);
 void sync_on_peer_catalog(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_peer_catalog_failure(sync_t* s, const char* why);
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -1,4 +1,4 @@
-/* Peers: what they offer and hold newer, and what they get. */
+/* Documents fetched from peers, and documents served to them. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,36 +6,37 @@
 #include "../chalkway_packed.h"
 #include "sync_parts.h"
 
-#define LIST_CALL_MS 3000 /* a peer's whole list, which its link may carry to many at once */
+#define FULL_LIST_CALL_TIMEOUT_MS 3000 /* of a peer's full list, which its link may carry to many hosts at once */
 #define PEERS_FIRST_MS                                                                                                 \
-    5000 /* after its start a host that is offered what it lacks doesn't ask the source for so long */
+    5000 /* after its start, a host waits this long for documents that peers offer before it polls the source */
 
-/* After a failed call to a peer: another one is asked soon, whatever the rank. */
-static void back_off_peer(fetch_t* f) {
-    f->next_ms = clock_ms() + cw_reader_pause_ms(&(cw_reader_t){0}, ++f->failures, sync_draw(f->sync));
+/* Sets the retry backoff after a failed call to a peer: short and independent of the rank, since another peer is asked
+   next. */
+static void schedule_peer_retry(fetch_t* f) {
+    f->not_before_ms = clock_ms() + cw_reader_pause_ms(&(cw_reader_t){0}, ++f->failures, sync_draw(f->sync));
 }
 
 /* -- peers ---------------------------------------------------------------- */
 
 void sync_on_peer_catalog_failure(sync_t* s, const char* why) {
     (void)why;
-    back_off_peer(&s->peer_catalog);
+    schedule_peer_retry(&s->peer_catalog);
 }
 
 void sync_on_peer_catalog(sync_t* s, unsigned status, const char* body, size_t size) {
     sync_fetch_ok(&s->peer_catalog);
     if (status == 200 && size) {
-        sync_adopt_catalog(s, strndup(body, size), s->peer_catalog.peer);
+        sync_adopt_catalog(s, strndup(body, size), s->peer_catalog.address);
     }
 }
 
 void sync_on_peer_servers_failure(sync_t* s, const char* why) {
     (void)why;
-    back_off_peer(&s->peer_servers);
+    schedule_peer_retry(&s->peer_servers);
 }
 
-/* The list in force with a peer's changes. */
-static cw_status_t read_delta(sync_t* s, cw_servers_t* list, const char* body, size_t size, cw_error_t* err) {
+/* Reads a peer's changes and applies them to a copy of the active list. */
+static cw_status_t read_peer_delta(sync_t* s, cw_servers_t* list, const char* body, size_t size, cw_error_t* err) {
     cw_delta_t delta = {0};
     if (cw_delta_read(&delta, body, size, err) != CW_OK) {
         return CW_ERR_INVALID;
@@ -43,31 +44,31 @@
     cw_servers_copy(list, &s->list);
     cw_status_t status = CW_OK;
     if (!cw_delta_apply(list, &delta)) {
-        s->whole_wanted = true;
-        status =
-            cw_fail(err, CW_ERR_STALE, "servers", s->peer_servers.peer, "changes of another list than the own one");
+        s->needs_full_list = true;
+        status = cw_fail(err, CW_ERR_STALE, "servers", s->peer_servers.address,
+                         "changes of another list than the active one");
         cw_servers_free(list);
     }
     cw_delta_free(&delta);
     return status;
 }
 
-/* A peer's whole list counts as read here when the peer vouched for it: whoever reads on does so by changes. Pages that
-   are being read meanwhile would only repeat it. */
-static void adopt_peers_list(sync_t* s, cw_servers_t* list, cw_changes_t* changes, bool delta) {
+/* A newer full list of a peer counts as if it were read here in full, so the next poll asks for changes only. Pages of
+   the same list that are being read meanwhile are discarded. */
+static void apply_peer_list(sync_t* s, cw_servers_t* list, cw_changes_t* changes, bool delta) {
     int64_t true_ms = clock_ms() - list->age_ms;
-    bool newer = true_ms >= s->list_ms;
+    bool newer = true_ms >= s->list_confirmed_ms;
     sync_adopt_servers(s, list, true_ms);
     if (newer && !delta) {
-        s->whole_known = true;
+        s->has_full_list = true;
     }
-    if (newer && changes->since && changes->since < s->changes.since) { /* the peer remembers more of this list */
+    if (newer && changes->since && changes->since < s->changes.since) { /* the peer's changes reach back further */
         cw_changes_free(&s->changes);
         s->changes = *changes;
         *changes = (cw_changes_t){0};
     }
     cw_changes_free(changes);
-    if (newer && s->pages_ms != NEVER && !s->by_changes && true_ms >= s->pages_ms) {
+    if (newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && true_ms >= s->incoming_started_ms) {
         sync_fetch_cancel(&s->servers);
         sync_drop_pages(s);
         sync_fetch_ok(&s->servers);
@@ -82,34 +83,34 @@
     if (status != 200) {
         return;
     }
-    s->whole_wanted = false;
+    s->needs_full_list = false;
     bool delta = cw_delta_is(body, size);
-    cw_status_t read = delta                      ? read_delta(s, &list, body, size, &err)
+    cw_status_t read = delta                      ? read_peer_delta(s, &list, body, size, &err)
                        : cw_packed_is(body, size) ? cw_packed_read(&list, &changes, body, size, &err)
                                                   : cw_servers_read(&list, body, size, &err);
     if (read != CW_OK) {
-        sync_refuse_answer(s, s->peer_servers.peer, &err);
+        sync_refuse_answer(s, s->peer_servers.address, &err);
         return;
     }
-    adopt_peers_list(s, &list, &changes, delta);
+    apply_peer_list(s, &list, &changes, delta);
 }
 
-/* Notes that a peer has a newer document. */
-static void offered(sync_t* s, const fetch_t* f, cw_pull_t* pull, const char* peer, bool far, uint64_t version) {
+/* Notes that a peer offers a newer document. */
+static void note_offer(sync_t* s, const fetch_t* f, cw_pull_t* pull, const char* peer, bool far, uint64_t version) {
     int64_t now_ms = clock_ms();
-    if (f->call || now_ms < f->next_ms) {
+    if (f->call || now_ms < f->not_before_ms) {
         return;
     }
     cw_pull_told(pull, &(cw_pull_offer_t){.now_ms = now_ms,
                                           .version = version,
                                           .peer = peer,
                                           .far = far,
-                                          .daemons = s->reader.daemons,
+                                          .daemons = s->poller.daemons,
                                           .draw = sync_draw(s)});
 }
 
-/* Fetches from a peer when it is time. */
-static void pull(sync_t* s, fetch_t* f, cw_pull_t* wanted, const char* path, uint32_t timeout_ms, int64_t now_ms) {
+/* Starts the fetch from a peer when it is due. */
+static void run_pull(sync_t* s, fetch_t* f, cw_pull_t* wanted, const char* path, uint32_t timeout_ms, int64_t now_ms) {
     const char* peer = cw_pull_due(wanted, now_ms);
     if (peer) {
         s->stats.peer_calls++;
@@ -117,15 +118,14 @@
     }
 }
 
-/* A peer holds what this host lacks at its start, is about to be asked or being asked, and none has failed to answer.
- */
 bool sync_is_offered(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms) {
-    return (wanted->wanted || f->call) && !f->failures && now_ms - s->reader.started_ms < PEERS_FIRST_MS;
+    return (wanted->wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
 }
 
-/* Where a peer's list is read, or (true) what changed since the own one. */
+/* Writes the path at which a peer's list is read. Returns whether it asks only for the changes since the active list.
+ */
 static bool peer_servers_path(const sync_t* s, char* out, size_t size) {
-    bool changes = s->list_ms != NEVER && s->list.at && !s->whole_wanted;
+    bool changes = s->list_confirmed_ms != NEVER && s->list.at && !s->needs_full_list;
     if (changes) {
         snprintf(out, size, "/servers?packed=1&since=%lld", (long long)s->list.at);
     } else {
@@ -137,23 +137,25 @@
 void sync_pull_due(sync_t* s, int64_t now_ms) {
     char path[64];
     bool changes = peer_servers_path(s, path, sizeof(path));
-    pull(s, &s->peer_catalog, &s->catalog_pull, "/catalog", CALL_MS, now_ms);
-    pull(s, &s->peer_servers, &s->servers_pull, path, changes ? CALL_MS : LIST_CALL_MS, now_ms);
+    run_pull(s, &s->peer_catalog, &s->catalog_pull, "/catalog", CALL_TIMEOUT_MS, now_ms);
+    run_pull(s, &s->peer_servers, &s->servers_pull, path, changes ? CALL_TIMEOUT_MS : FULL_LIST_CALL_TIMEOUT_MS,
+             now_ms);
 }
 
 void sync_on_peer(sync_t* s, const char* share, bool far, const cw_knowledge_t* k) {
     int64_t now_ms = clock_ms();
-    int64_t catalog_ms = now_ms - k->revision_age_ms;
-    int64_t list_ms = now_ms - k->servers_age_ms;
+    int64_t catalog_confirmed_ms = now_ms - k->revision_age_ms;
+    int64_t list_confirmed_ms = now_ms - k->servers_age_ms;
     if ((int64_t)k->revision > sync_revision(s)) {
-        offered(s, &s->peer_catalog, &s->catalog_pull, share, far, k->revision);
-    } else if (k->revision && (int64_t)k->revision == sync_revision(s) && catalog_ms > s->catalog_ms) {
-        s->catalog_ms = catalog_ms;
+        note_offer(s, &s->peer_catalog, &s->catalog_pull, share, far, k->revision);
+    } else if (k->revision && (int64_t)k->revision == sync_revision(s) &&
+               catalog_confirmed_ms > s->catalog_confirmed_ms) {
+        s->catalog_confirmed_ms = catalog_confirmed_ms;
     }
     if (k->servers && k->servers == s->list_id) {
-        s->list_ms = list_ms > s->list_ms ? list_ms : s->list_ms;
-    } else if (k->servers && list_ms > s->list_ms) {
-        offered(s, &s->peer_servers, &s->servers_pull, share, far, k->servers);
+        s->list_confirmed_ms = list_confirmed_ms > s->list_confirmed_ms ? list_confirmed_ms : s->list_confirmed_ms;
+    } else if (k->servers && list_confirmed_ms > s->list_confirmed_ms) {
+        note_offer(s, &s->peer_servers, &s->servers_pull, share, far, k->servers);
     }
 }
 
@@ -161,18 +163,18 @@
     int64_t now_ms = clock_ms();
     return (cw_knowledge_t){.revision = (uint64_t)sync_revision(s),
                             .servers = s->list_id,
-                            .revision_age_ms = sync_age(s->catalog_ms, now_ms),
-                            .servers_age_ms = sync_age(s->list_ms, now_ms)};
+                            .revision_age_ms = sync_age(s->catalog_confirmed_ms, now_ms),
+                            .servers_age_ms = sync_age(s->list_confirmed_ms, now_ms)};
 }
 
-/* -- sharing -------------------------------------------------------------- */
+/* -- serving peers -------------------------------------------------------- */
 
-/* What a peer gets whose list is complete up to the revision (NULL: that has none), in the compact form where it reads
-   that. To be freed by free(). */
-static char* shared_servers(sync_t* s, const char* since, bool packed, size_t* size) {
+/* The response to a peer whose list is complete up to the revision since (NULL: it has none): changes, or else the full
+   list, packed if the peer reads that. To be freed by free(). */
+static char* encode_servers(sync_t* s, const char* since, bool packed, size_t* size) {
     cw_delta_t delta = {0};
     char* text = NULL;
-    s->list.age_ms = sync_age(s->list_ms, clock_ms());
+    s->list.age_ms = sync_age(s->list_confirmed_ms, clock_ms());
     if (since && cw_changes_since(&s->changes, &s->list, strtoll(since, NULL, 10), &delta)) {
         delta.age_ms = s->list.age_ms;
         text = cw_delta_text(&delta);
@@ -191,13 +193,13 @@
     static const cw_header_t json = {"Content-Type", "application/json"};
     static const cw_header_t msgpack = {"Content-Type", "application/msgpack"};
     const char* path = cw_exchange_path(x);
-    if (strcmp(path, "/catalog") == 0 && s->text) {
+    if (strcmp(path, "/catalog") == 0 && s->active_text) {
         const char* after = cw_exchange_arg(x, "after");
         bool newer = !after || strtoll(after, NULL, 10) < sync_revision(s);
-        cw_exchange_reply(x, 200, &json, 1, s->text, newer ? strlen(s->text) : 0);
-    } else if (strcmp(path, "/servers") == 0 && s->list_ms != NEVER) {
+        cw_exchange_reply(x, 200, &json, 1, s->active_text, newer ? strlen(s->active_text) : 0);
+    } else if (strcmp(path, "/servers") == 0 && s->list_confirmed_ms != NEVER) {
         size_t size = 0;
-        char* text = shared_servers(s, cw_exchange_arg(x, "since"), cw_exchange_arg(x, "packed") != NULL, &size);
+        char* text = encode_servers(s, cw_exchange_arg(x, "since"), cw_exchange_arg(x, "packed") != NULL, &size);
         cw_exchange_reply(x, 200, cw_packed_is(text, size) ? &msgpack : &json, 1, text, size);
         free(text);
     } else {
