--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -1,5 +1,6 @@
-/* The composition root: sets the parts up, joins them by callbacks, and stops them in order. Arrows run one way: front,
-   upstream, sync and mesh know nothing of each other; exchange knows front and upstream; this file knows all. */
+/* The composition root: sets up the modules, connects them by callbacks and shuts them down in order. Dependencies
+   point one way: front, upstream, sync and mesh don't depend on each other, exchange depends on front and upstream, and
+   this file on all of them. */
 #include "gateway.h"
 
 #include <signal.h>
@@ -25,23 +26,21 @@
 #include "wake.h"
 
 #define TICK_S 0.025
-#define LOG_BYTES 262144    /* lines that wait for a slow reader */
-#define DESCRIPTORS_KEPT 64 /* for the other addresses */
-#define BODY_MEMORY_SHARE 4 /* a quarter of the memory holds bodies */
-#define STOP_TAKE_SHARE                                                                                                \
-    0.375                     /* of the grace: requests are taken for so long after the signal, also while others run  \
-                               */
-#define STOP_QUIET_SHARE 0.25 /* and for so long in any case, since callers keep addresses */
-#define STOP_MARGIN_MS 500    /* the process ends so long before the grace is over, or at half of a shorter one */
-#define SETTINGS_LOOK_MS 1000 /* between two looks at the settings file, which may change without a signal */
-#define CLOSED_PARTS 5        /* readings that fit into the time in which a closed hall is to be known */
-#define PAUSE_MS 500          /* a longer gap between two ticks: the process stood still */
+#define LOG_BUFFER_BYTES 262144     /* log lines that a slow reader of standard output has not taken yet */
+#define DESCRIPTORS_RESERVED 64     /* for all but connections of callers and to servers */
+#define BODY_MEMORY_DIVISOR 4       /* a quarter of the memory may hold request bodies */
+#define STOP_MAX_ACCEPT_SHARE 0.375 /* of the grace period: requests are accepted until then while others run */
+#define STOP_MIN_ACCEPT_SHARE 0.25  /* and until then in any case, since callers keep using the address */
+#define STOP_MARGIN_MS 500 /* the process exits this long before the grace period ends, or at half of a short one */
+#define SETTINGS_CHECK_INTERVAL_MS 1000 /* of the settings file, which may change without a signal */
+#define CLOSED_POLLS 5                  /* polls within the time in which a closed hall must become known */
+#define STALL_MIN_MS 500                /* a longer gap between two ticks is logged: the process stalled */
 
 typedef struct gateway_t {
     struct ev_loop* loop;
     const char* settings_path;
-    struct stat settings_file; /* as it was when it was read */
-    int64_t settings_look_ms;
+    struct stat settings_file; /* when it was last read */
+    int64_t settings_checked_ms;
     gateway_settings_t settings;
     const dialect_t* dialect;
     cw_lines_t lines;
@@ -54,7 +53,7 @@
     mesh_t* mesh;
     inventory_t* inventory;
     directory_t* directory;
-    cw_catalog_t* catalog; /* in force, NULL: none yet */
+    cw_catalog_t* catalog; /* active one, NULL: none yet */
     ev_timer tick;
     wake_t wake;
     ev_signal on_term, on_int, on_hup;
@@ -62,7 +61,7 @@
     cw_stop_t stop;
 } gateway_t;
 
-/* -- joints --------------------------------------------------------------- */
+/* -- callbacks between modules -------------------------------------------- */
 
 static void write_line(const char* line, void* user) {
     gateway_t* g = user;
@@ -111,7 +110,7 @@
     quarantine_on_alive(((gateway_t*)user)->quarantine, server);
 }
 
-static void on_own_mark(void* user, const cw_mark_t* mark) {
+static void on_local_observation(void* user, const cw_mark_t* mark) {
     mesh_on_mark(((gateway_t*)user)->mesh, mark);
 }
 
@@ -157,7 +156,7 @@
     upstreams_set_catalog(g->upstreams, catalog);
     const cw_servers_t* list = g->sync ? sync_servers(g->sync) : NULL;
     if (list) {
-        on_servers(g, list, false); /* servers of pools that are new, or are no more */
+        on_servers(g, list, false); /* pools were added or removed */
     }
     exchanges_set_catalog(g->exchanges, catalog);
     announce(g);
@@ -259,10 +258,10 @@
     return quarantine_release(((gateway_t*)user)->quarantine, fingerprint, workspace);
 }
 
-/* -- time ----------------------------------------------------------------- */
+/* -- stop, resume, settings, tick ----------------------------------------- */
 
-/* A planned stop: callers are led away first, then nothing new is taken, then the process ends. The other events of
-   this turn are still handled after the loop was told to end. */
+/* A planned stop: callers are asked to use other hosts first, then new requests are refused, then the process exits.
+   After ev_break the loop still handles the remaining events of this iteration. */
 static void check_stop(gateway_t* g, int64_t now_ms) {
     cw_stop_phase_t phase = cw_stop_step(&g->stop, now_ms, exchanges_stats(g->exchanges).active);
     if (phase >= CW_STOP_REFUSING) {
@@ -273,8 +272,8 @@
     }
 }
 
-/* Before anything else is done: what is over meanwhile ends, and no connection at rest is trusted. Ages follow from the
-   clock by themselves. */
+/* Runs before any other event after a suspension: ends requests whose deadline passed, and stops using idle
+   connections. Ages need no correction, since the clock counts suspended time. */
 static void on_wake(void* user, int64_t suspended_ms) {
     gateway_t* g = user;
     cw_log(&g->log, CW_EVENT_WOKE, "gap_ms=%lld suspended_ms=%lld active=%u", (long long)suspended_ms,
@@ -284,10 +283,10 @@
     upstreams_on_wake(g->upstreams);
 }
 
-static void notice_pause(gateway_t* g, int64_t now_ms) {
+static void log_stall(gateway_t* g, int64_t now_ms) {
     int64_t gap_ms = g->tick_ms ? now_ms - g->tick_ms : 0;
     g->tick_ms = now_ms;
-    if (gap_ms > PAUSE_MS) {
+    if (gap_ms > STALL_MIN_MS) {
         cw_log(&g->log, CW_EVENT_WOKE, "gap_ms=%lld suspended_ms=0 active=%u", (long long)gap_ms,
                exchanges_stats(g->exchanges).active);
     }
@@ -303,30 +302,30 @@
     uint32_t grace_ms = g->settings.grace_ms;
     cw_stop_begin(
         &g->stop, clock_ms(),
-        &(cw_stop_desc_t){.quiet_ms = (uint32_t)(STOP_QUIET_SHARE * grace_ms),
-                          .take_ms = (uint32_t)(STOP_TAKE_SHARE * grace_ms),
+        &(cw_stop_desc_t){.quiet_ms = (uint32_t)(STOP_MIN_ACCEPT_SHARE * grace_ms),
+                          .take_ms = (uint32_t)(STOP_MAX_ACCEPT_SHARE * grace_ms),
                           .end_ms = grace_ms > 2 * STOP_MARGIN_MS ? grace_ms - STOP_MARGIN_MS : grace_ms / 2});
     cw_log(&g->log, CW_EVENT_STOPPING, "active=%u", exchanges_stats(g->exchanges).active);
     front_leave(g->front);
     mesh_leave(g->mesh);
 }
 
-/* Reads the settings again. What may change while the process runs is taken over: the log's level and form, and how
-   long callers keep a lookup answer. */
+/* Reads the settings again and applies those that may change while the process runs: the level and format of the log,
+   and how long callers may keep a lookup response. */
 static void reload(gateway_t* g) {
-    gateway_settings_t fresh;
+    gateway_settings_t reloaded;
     cw_settings_errors_t errors = {0};
     stat(g->settings_path, &g->settings_file);
-    if (gateway_settings_load(g->settings_path, &fresh, &errors) != CW_OK) {
+    if (gateway_settings_load(g->settings_path, &reloaded, &errors) != CW_OK) {
         for (uint32_t i = 0; i < errors.count; i++) {
             cw_log(&g->log, CW_EVENT_RELOAD_FAILED, "reason=\"%s\"", errors.lines[i]);
         }
         return;
     }
-    g->log.level = cw_log_level(fresh.log_level);
-    g->log.json = strcmp(fresh.log_format, "json") == 0;
-    g->settings.lookup_keep_ms = fresh.lookup_keep_ms;
-    directory_set_keep(g->directory, fresh.lookup_keep_ms);
+    g->log.level = cw_log_level(reloaded.log_level);
+    g->log.json = strcmp(reloaded.log_format, "json") == 0;
+    g->settings.lookup_keep_ms = reloaded.lookup_keep_ms;
+    directory_set_keep(g->directory, reloaded.lookup_keep_ms);
     cw_log(&g->log, CW_EVENT_RELOADED, "path=%s", g->settings_path);
 }
 
@@ -336,17 +335,17 @@
     reload(w->data);
 }
 
-/* Notices a settings file that changed without a signal. */
-static void look_at_settings(gateway_t* g, int64_t now_ms) {
-    struct stat now;
-    if (now_ms - g->settings_look_ms < SETTINGS_LOOK_MS) {
+/* Reloads a settings file that changed without a signal. */
+static void check_settings_file(gateway_t* g, int64_t now_ms) {
+    struct stat current;
+    if (now_ms - g->settings_checked_ms < SETTINGS_CHECK_INTERVAL_MS) {
         return;
     }
-    g->settings_look_ms = now_ms;
-    const struct stat* then = &g->settings_file;
-    if (stat(g->settings_path, &now) == 0 &&
-        (now.st_mtim.tv_sec != then->st_mtim.tv_sec || now.st_mtim.tv_nsec != then->st_mtim.tv_nsec ||
-         now.st_size != then->st_size || now.st_ino != then->st_ino)) {
+    g->settings_checked_ms = now_ms;
+    const struct stat* previous = &g->settings_file;
+    if (stat(g->settings_path, &current) == 0 &&
+        (current.st_mtim.tv_sec != previous->st_mtim.tv_sec || current.st_mtim.tv_nsec != previous->st_mtim.tv_nsec ||
+         current.st_size != previous->st_size || current.st_ino != previous->st_ino)) {
         reload(g);
     }
 }
@@ -356,8 +355,8 @@
     (void)events;
     gateway_t* g = w->data;
     int64_t now_ms = clock_ms();
-    notice_pause(g, now_ms);
-    look_at_settings(g, now_ms);
+    log_stall(g, now_ms);
+    check_settings_file(g, now_ms);
     announce(g);
     mesh_tick(g->mesh, now_ms);
     sync_tick(g->sync, now_ms);
@@ -377,10 +376,10 @@
 
 /* -- setup ---------------------------------------------------------------- */
 
-static bool setup_parts(gateway_t* g, const source_t* source, cw_error_t* err) {
+static bool setup_modules(gateway_t* g, const source_t* source, cw_error_t* err) {
     const gateway_settings_t* s = &g->settings;
     uint64_t host = cw_name_id(s->name);
-    uint32_t sockets = s->descriptors > 4 * DESCRIPTORS_KEPT ? s->descriptors - 200 - DESCRIPTORS_KEPT : 64;
+    uint32_t sockets = s->descriptors > 4 * DESCRIPTORS_RESERVED ? s->descriptors - 200 - DESCRIPTORS_RESERVED : 64;
     g->upstreams = upstreams_setup(&(upstreams_desc_t){.loop = g->loop,
                                                        .log = &g->log,
                                                        .dialect = g->dialect,
@@ -401,7 +400,7 @@
                                                           .upstreams = g->upstreams,
                                                           .entries = s->suspects,
                                                           .keep_ms = s->hold_ms,
-                                                          .on_mark = on_own_mark,
+                                                          .on_mark = on_local_observation,
                                                           .on_held = on_held,
                                                           .user_data = g});
     g->exchanges = exchanges_setup(&(exchanges_desc_t){.loop = g->loop,
@@ -433,7 +432,7 @@
                                                    .share = s->share,
                                                    .share_connections = sockets / 8,
                                                    .seed = cw_mix(host, (uint64_t)clock_ms()),
-                                                   .closed_ms = s->close_ms / CLOSED_PARTS,
+                                                   .closed_ms = s->close_ms / CLOSED_POLLS,
                                                    .read_ms = s->read_ms,
                                                    .late_ms = gateway_settings_late_ms(s),
                                                    .nobody_calls = s->first_start != 0,
@@ -467,7 +466,7 @@
                              : front_setup(&(front_desc_t){.loop = g->loop,
                                                            .address = s->callers,
                                                            .max_connections = sockets / 2,
-                                                           .max_body_total = s->memory_bytes / BODY_MEMORY_SHARE,
+                                                           .max_body_total = s->memory_bytes / BODY_MEMORY_DIVISOR,
                                                            .retry_after_field = g->dialect->fields.retry_after,
                                                            .limits = front_limits,
                                                            .on_request = on_request,
@@ -484,7 +483,7 @@
     ev_signal_start(g->loop, w);
 }
 
-/* Before anything else: a signal that comes while the parts are set up waits for the loop, and doesn't end the
+/* Comes before the setup of the modules: a signal during the setup is handled once the loop runs, and doesn't end the
    process. */
 static void watch_signals(gateway_t* g) {
     signal(SIGPIPE, SIG_IGN);
@@ -505,7 +504,7 @@
     cw_log(&g->log, CW_EVENT_STOPPED, "cut=%u", exchanges_stats(g->exchanges).active);
 }
 
-static void shutdown_parts(gateway_t* g) {
+static void shutdown_modules(gateway_t* g) {
     exchanges_shutdown(g->exchanges);
     quarantine_shutdown(g->quarantine);
     front_shutdown(g->front);
@@ -531,16 +530,16 @@
         }
         return EX_CONFIG;
     }
-    cw_lines_setup(&g.lines, g.loop, STDOUT_FILENO, LOG_BYTES);
+    cw_lines_setup(&g.lines, g.loop, STDOUT_FILENO, LOG_BUFFER_BYTES);
     g.log = (cw_log_t){.level = cw_log_level(g.settings.log_level),
                        .json = strcmp(g.settings.log_format, "json") == 0,
                        .write = write_line,
                        .user_data = &g};
-    if (!setup_parts(&g, source, &err)) {
+    if (!setup_modules(&g, source, &err)) {
         fprintf(stderr, "%s\n", cw_error_text(&err).text);
         return EX_UNAVAILABLE;
     }
     run(&g);
-    shutdown_parts(&g);
+    shutdown_modules(&g);
     return EX_OK;
 }
--- a/gateway/main.c
+++ b/gateway/main.c
@@ -1,4 +1,4 @@
-/* chalkway-gateway: routes requests by host and path in chalkway's own dialect. See docs/operators/gateway.md. */
+/* chalkway-gateway: routes requests by host and path, in chalkway's own dialect. See docs/operators/gateway.md. */
 #include <stdio.h>
 #include <sysexits.h>
 
--- a/gateway/native.c
+++ b/gateway/native.c
@@ -1,5 +1,5 @@
-/* Chalkway's own spelling, and its own source: any HTTP server, another gateway's share address too, that gives the
-   documents of chalkway_catalog.h and chalkway_servers.h. */
+/* Chalkway's own dialect and source. The source is any HTTP server that serves the documents of chalkway_catalog.h and
+   chalkway_servers.h, for example the share address of another gateway. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -42,16 +42,17 @@
     snprintf(out, size, "/servers");
 }
 
-/* An empty answer: nothing newer is there. */
+/* An empty body means that there is no newer configuration. */
 static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* news, cw_error_t* err) {
-    json_error_t problem;
+    json_error_t json_error;
     news->mark = mark;
     if (!size) {
         return CW_OK;
     }
-    json_t* document = json_loadb(body, size, 0, &problem);
+    json_t* document = json_loadb(body, size, 0, &json_error);
     if (!json_is_object(document)) {
-        cw_fail(err, CW_ERR_INVALID, "catalog", NULL, "no JSON object: %s", document ? "other" : problem.text);
+        cw_fail(err, CW_ERR_INVALID, "catalog", NULL, "not a JSON object: %s",
+                document ? "another type" : json_error.text);
         json_decref(document);
         return CW_ERR_INVALID;
     }
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -1,6 +1,6 @@
 #ifndef CW_GATEWAY_SETTINGS_H
 #define CW_GATEWAY_SETTINGS_H
-/* Settings of one gateway process, read from an INI file. The table in settings.c explains each. */
+/* Settings of a gateway process, read from an INI file. The table in settings.c describes each of them. */
 #include "../chalkway_settings.h"
 
 typedef struct gateway_settings_t {
@@ -22,8 +22,8 @@
     uint32_t seed_port;
     /* [source] */
     char source[CW_NAME_MAX];
-    uint32_t servers; /* 0 in the file: follows from the memory */
-    uint32_t read_ms; /* 0 in the file: follows from the two below */
+    uint32_t servers; /* 0 in the file: computed from the memory */
+    uint32_t read_ms; /* 0 in the file: computed from apply_ms and drain_ms */
     uint32_t apply_ms;
     uint32_t drain_ms;
     uint32_t close_ms;
@@ -45,11 +45,11 @@
     char log_format[CW_NAME_MAX];
 } gateway_settings_t;
 
-/* The table of all settings. */
+/* The table of all settings, and their number. */
 const cw_setting_info_t* gateway_settings_info(uint32_t* count);
-/* Reads and checks the file; all faults are in errors. */
+/* Reads and validates the file. Fails with every fault of the file in errors. */
 cw_status_t gateway_settings_load(const char* path, gateway_settings_t* settings, cw_settings_errors_t* errors);
-/* Age at which a host reads the source by itself, whatever its rank. */
+/* Age of the configuration or the list of servers at which even the host of the last rank polls the source. */
 uint32_t gateway_settings_late_ms(const gateway_settings_t* settings);
 
 #endif
--- a/gateway/wake.h
+++ b/gateway/wake.h
@@ -1,8 +1,9 @@
 #ifndef CW_GATEWAY_WAKE_H
 #define CW_GATEWAY_WAKE_H
 /*
-    Notices that the machine was suspended, in the first turn of the loop after it and before any event of that turn is
-    handled. The loop's own timers leave that time out: whoever has one must look at the clock again.
+    Detects that the machine was suspended, in the first iteration of the loop after it and before any other event of
+    that iteration. The timers of the loop don't count suspended time, so on_wake must check everything that has a
+    deadline against the clock.
 */
 #include <ev.h>
 #include <stdint.h>
@@ -12,7 +13,7 @@
     void (*on_wake)(void* user_data, int64_t suspended_ms);
     void* user_data;
     ev_check check;
-    int64_t seen_ms; /* suspended time that is known */
+    int64_t reported_ms; /* total suspended time when on_wake was last called */
 } wake_t;
 
 void wake_setup(wake_t* w, struct ev_loop* loop, void (*on_wake)(void* user_data, int64_t suspended_ms),
