--- a/chalkway_life.h
+++ b/chalkway_life.h
@@ -1,41 +1,41 @@
 #ifndef CHALKWAY_LIFE_H
 #define CHALKWAY_LIFE_H
 /*
-    chalkway_life.h -- which life of a source an answer comes from
+    chalkway_life.h -- epochs of a source that may be restored from a copy
 
     WHAT IT IS
-        A source that was lost and comes back from an older copy of itself
-        gives out its revisions again, for other changes. It says so by a
-        number in each answer that rises with each such life. Revisions may
-        be compared within one life only: what was asked by a revision of one
-        life and answered by the next says nothing, and an answer of a life
-        that is over is of no use.
+        A source that was lost and is restored from an older copy of itself
+        assigns the same revisions again, to other changes. Each restore
+        begins a new epoch: a number in every response of the source, which
+        rises by it. Revisions are only comparable within one epoch. So the
+        response of one epoch to a request with a revision of another one
+        proves nothing, and a response of an earlier epoch must be ignored.
 
     HOW TO USE IT
             cw_life_t life = {0};
             switch (cw_life_hear(&life, header)) { case CW_LIFE_NEWER: ... }
 
     WHAT IT DOES NOT DO
-        It reads no answers, and forgets nothing by itself.
+        It doesn't parse responses, and never returns to an earlier epoch.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-/* All zero: none was heard of. */
+/* Zero-initialized: no epoch is known yet. */
 typedef struct cw_life_t {
     int64_t number;
 } cw_life_t;
 
 typedef enum cw_life_verdict_t {
-    CW_LIFE_SAME = 0, /* or the first that was heard of, or the answer says none */
-    CW_LIFE_NEWER,    /* the answer begins a new life, which counts from now on */
-    CW_LIFE_OLDER,    /* the answer comes from a life that is over */
-    CW_LIFE_MALFORMED /* no whole number over 0: nothing changes */
+    CW_LIFE_SAME = 0, /* the current epoch, the first one that was seen, or the response names none */
+    CW_LIFE_NEWER,    /* the response is of a newer epoch, which is the current one from now on */
+    CW_LIFE_OLDER,    /* the response is of an earlier epoch */
+    CW_LIFE_MALFORMED /* not a positive integer: nothing changes */
 } cw_life_verdict_t;
 
-/* What an answer says of its life; text NULL: nothing. */
+/* Checks the epoch that a response names, and updates the current one. text NULL: the response names none. */
 cw_life_verdict_t cw_life_hear(cw_life_t* life, const char* text);
 
 #endif /* CHALKWAY_LIFE_H */
--- a/chalkway_pull.h
+++ b/chalkway_pull.h
@@ -4,22 +4,23 @@
     chalkway_pull.h -- when, and from which peer, a newer document is fetched
 
     WHAT IT IS
-        Many daemons hear within the same millisecond that one of them has
-        something newer. If all fetched it there at once, the last would wait
-        until that host's link had carried it to all others. So each waits a
-        random time, the longer the more daemons there are, and then asks one
-        of those that have told it by then, chosen at random: copies spread
-        from the first few holders to the rest. Peers of the own hall go
-        first, so that a document crosses to another hall a few times only.
+        Many daemons learn within the same millisecond that one of them has
+        a newer document. If all of them fetched it there at once, the last
+        one would wait until that host's link had carried all the other
+        copies. So each daemon waits a random time, which is longer in a
+        larger fleet, and then asks one of the peers that have offered the
+        document by then, chosen at random: copies spread from the first few
+        holders to the rest. Peers of the own hall are preferred, so that
+        only a few copies are sent between halls.
 
     HOW TO USE IT
             cw_pull_t pull = {0};
-            cw_pull_told(&pull, &(cw_pull_offer_t){...});     // with each peer's word
+            cw_pull_told(&pull, &(cw_pull_offer_t){...});     // for each offer of a peer
             const char* peer = cw_pull_due(&pull, now_ms);    // NULL: not yet
-            if (peer) { fetch from it }
+            if (peer) { fetch the document from it }
 
     WHAT IT DOES NOT DO
-        No sockets. What was fetched is judged by its reader.
+        No sockets. It doesn't check the document that was fetched.
 
     LICENCE
         MIT, see LICENSE.
@@ -27,33 +28,33 @@
 #include "chalkway_core.h"
 
 #define CW_PULL_PEER_MAX 48
-#define CW_PULL_STEP_MS 1.5  /* wait for each daemon that may ask the same peer */
-#define CW_PULL_MAX_MS 250.0 /* longest wait */
+#define CW_PULL_STEP_MS 1.5  /* longest delay, for each daemon that may ask the same peer */
+#define CW_PULL_MAX_MS 250.0 /* upper bound of the delay */
 
-/* A peer's word that it holds a document that is wanted here. */
+/* A peer has a newer document and offers it. */
 typedef struct cw_pull_offer_t {
     int64_t now_ms;
-    uint64_t version; /* of the document; another one than before starts the choice of a peer anew */
-    const char* peer; /* address at which it is read */
-    bool far;         /* in another hall: it is asked only where none of the own hall has told */
-    uint32_t daemons; /* that may fetch it too */
-    uint64_t draw;    /* random */
+    uint64_t version; /* of the document; a version that differs from the last offer's discards earlier offers */
+    const char* peer; /* address that serves the document */
+    bool far;         /* the peer is in another hall: it is asked only if no peer of the own hall made an offer */
+    uint32_t daemons; /* that may fetch the document too */
+    uint64_t draw;    /* random number */
 } cw_pull_offer_t;
 
 typedef struct cw_pull_t {
-    bool wanted;
+    bool wanted; /* a fetch is pending */
     uint64_t version;
-    uint32_t told; /* peers that offered this version */
-    int64_t due_ms;
-    bool far; /* the peer stands in another hall */
-    char peer[CW_PULL_PEER_MAX];
+    uint32_t told;               /* offers of this version among which the peer was chosen */
+    int64_t due_ms;              /* when the fetch is to start */
+    bool far;                    /* the peer is in another hall */
+    char peer[CW_PULL_PEER_MAX]; /* address of the chosen peer */
 } cw_pull_t;
 
-/* Notes an offer. The time at which the fetch is due is set by the first one. */
+/* Adds an offer. The first one sets the time at which the fetch is due. */
 void cw_pull_told(cw_pull_t* pull, const cw_pull_offer_t* offer);
-/* Peer to be asked now, NULL when none is; the fetch is no longer wanted then. */
+/* Returns the peer to fetch from now and ends the pending fetch; NULL: no fetch is due. */
 const char* cw_pull_due(cw_pull_t* pull, int64_t now_ms);
-/* The document has come by another way. */
+/* Ends the pending fetch: the document was received in another way. */
 void cw_pull_cancel(cw_pull_t* pull);
 
 #endif /* CHALKWAY_PULL_H */
--- a/gateway/native.c
+++ b/gateway/native.c
@@ -44,15 +44,15 @@
 
 /* An empty body means that there is no newer configuration. */
 static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* news, cw_error_t* err) {
-    json_error_t json_error;
+    json_error_t parse_error;
     news->mark = mark;
     if (!size) {
         return CW_OK;
     }
-    json_t* document = json_loadb(body, size, 0, &json_error);
+    json_t* document = json_loadb(body, size, 0, &parse_error);
     if (!json_is_object(document)) {
         cw_fail(err, CW_ERR_INVALID, "catalog", NULL, "not a JSON object: %s",
-                document ? "another type" : json_error.text);
+                document ? "another type" : parse_error.text);
         json_decref(document);
         return CW_ERR_INVALID;
     }
