--- a/tests/published.h
+++ b/tests/published.h
@@ -1,6 +1,6 @@
 #ifndef CW_TEST_PUBLISHED_H
 #define CW_TEST_PUBLISHED_H
-/* Entries of a server as the platform's store gives them, in base64. */
+/* Entries of a server as the platform's store returns them, in base64. */
 
 /* {"service":"p","address":"127.0.0.1:9","zone":"a","version":"v1","slots":1,"state":"draining","cold_remaining_ms":0,"seq":1}
  */
--- a/tests/test_edge.c
+++ b/tests/test_edge.c
@@ -1,4 +1,4 @@
-/* What a caller may not say: fields that only the gateway sets, and fields that it can't read. */
+/* Header fields that a caller must not set, and fields that the gateway can't parse. */
 #include <ctype.h>
 
 #include "../gateway/request_head.h"
@@ -12,25 +12,25 @@
 
 #define OK "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 2\r\n\r\nok"
 
-/* Fields of the platform with which the system tells a server what to do. */
-static const char* const system_fields[] = {"Hold",     "Pin-Ms",         "Kv-Backup",        "Kv-From",
-                                            "Kv-Fetch", "Expect-Version", "Request-Priority", "Expect-Instance",
-                                            "Tenant"};
+/* Fields of the platform by which the gateway instructs a server. */
+static const char* const reserved_fields[] = {"Hold",     "Pin-Ms",         "Kv-Backup",        "Kv-From",
+                                              "Kv-Fetch", "Expect-Version", "Request-Priority", "Expect-Instance",
+                                              "Tenant"};
 
-static void no_handler(void* owner) {
+static void ignore_head(void* owner) {
     (void)owner;
 }
 
-static void spell(char* out, const char* name, int spelling) {
+static void change_case(char* out, const char* name, int spelling) {
     for (; *name; name++) {
         *out++ = (char)(spelling == 1 ? tolower(*name) : spelling == 2 ? toupper(*name) : *name);
     }
     *out = 0;
 }
 
-/* The head that a server gets of a request in which a caller sends the field twice. */
-static void passed_on(cw_buffer_t* out, const char* field, const request_head_t* set) {
-    static const cw_message_handlers_t handlers = {.on_head = no_handler};
+/* Writes the head that is forwarded for a request in which the caller sent the field twice. */
+static void write_forwarded_head(cw_buffer_t* out, const char* field, const request_head_t* set) {
+    static const cw_message_handlers_t handlers = {.on_head = ignore_head};
     cw_message_t m;
     char text[512];
     int size = snprintf(text, sizeof(text),
@@ -44,31 +44,31 @@
     cw_message_shutdown(&m);
 }
 
-START_TEST(fields_that_the_system_sets_never_come_from_a_caller) {
+START_TEST(reserved_fields_of_a_caller_are_not_forwarded) {
     const request_head_t sets[] = {
         {.request_id = "q1", .server = "s1", .deadline_ms = 1000},
         {.request_id = "q1", .server = "s1", .deadline_ms = 1000, .last_event = "7"},
         {.request_id = "q1", .server = "s1", .deadline_ms = 1000, .fetch_from = "10.0.0.1:1", .has_priority = true}};
-    for (size_t i = 0; i < sizeof(system_fields) / sizeof(system_fields[0]) * 9; i++) {
+    for (size_t i = 0; i < sizeof(reserved_fields) / sizeof(reserved_fields[0]) * 9; i++) {
         char field[40];
         cw_buffer_t head = {0};
-        spell(field, system_fields[i / 9], (int)(i % 3));
-        passed_on(&head, field, &sets[i / 3 % 3]);
+        change_case(field, reserved_fields[i / 9], (int)(i % 3));
+        write_forwarded_head(&head, field, &sets[i / 3 % 3]);
         cw_buffer_add(&head, "", 1);
-        ck_assert_msg(!strstr(head.data, "forged"), "%s is passed on: %s", field, head.data);
+        ck_assert_msg(!strstr(head.data, "forged"), "%s is forwarded: %s", field, head.data);
         ck_assert(strstr(head.data, "X-Own: 1\r\n") && strstr(head.data, "Model: m\r\n"));
         cw_buffer_free(&head);
     }
 }
 END_TEST
 
-typedef struct bad_case_t {
+typedef struct invalid_case_t {
     const char* fields;
-    const char* why; /* a word of the answer's reason */
-} bad_case_t;
+    const char* field_name; /* named in the response */
+} invalid_case_t;
 
-START_TEST(fields_that_the_gateway_cannot_read_are_told) {
-    static const bad_case_t cases[] = {
+START_TEST(unreadable_fields_are_rejected_by_name) {
+    static const invalid_case_t cases[] = {
         {"Chalkway-Deadline-Ms: soon\r\n", "Chalkway-Deadline-Ms"},
         {"Chalkway-Deadline-Ms: -5\r\n", "Chalkway-Deadline-Ms"},
         {"Chalkway-Deadline-Ms: 100 000\r\n", "Chalkway-Deadline-Ms"},
@@ -94,14 +94,14 @@
                  cases[i].fields);
         const char* answer = rig_call(r, request);
         ck_assert_msg(strncmp(answer, "HTTP/1.1 400", 12) == 0, "%s: %s", cases[i].fields, answer);
-        ck_assert_msg(strstr(answer, cases[i].why) != NULL, "%s: %s", cases[i].fields, answer);
+        ck_assert_msg(strstr(answer, cases[i].field_name) != NULL, "%s: %s", cases[i].fields, answer);
         ck_assert_uint_eq(r->arrival_count, 0);
         rig_shutdown(r);
     }
 }
 END_TEST
 
-START_TEST(unusual_fields_that_can_be_read_are_passed_on_unchanged) {
+START_TEST(unusual_but_valid_fields_are_forwarded_unchanged) {
     static const char* const fields[] = {"Chalkway-Deadline-Ms: 2500.5\r\n", "Chalkway-Tokens: 1460\r\n",
                                          "Chalkway-Tokens: 1460,80\r\n", "Chalkway-Prompt-Parts: A1:4,0b:2\r\n",
                                          "Chalkway-Prompt-Parts: 00112233445566778899aabbccddeeff:4\r\n"};
@@ -119,7 +119,7 @@
 }
 END_TEST
 
-START_TEST(a_blank_in_a_field_name_ends_the_connection) {
+START_TEST(a_blank_in_a_field_name_is_rejected) {
     static const char* const fields[] = {"Chalkway-Server : s9\r\n", "Chalkway Server: s9\r\n",
                                          "Content-Length : 4\r\n"};
     for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]); i++) {
@@ -135,9 +135,9 @@
 }
 END_TEST
 
-/* Long names of parts are told apart, though they do not fit a number. */
-START_TEST(long_part_names_are_told_apart) {
-    static const cw_message_handlers_t handlers = {.on_head = no_handler};
+/* Part ids that are longer than 64 bits are distinguished. */
+START_TEST(long_part_ids_are_distinguished) {
+    static const cw_message_handlers_t handlers = {.on_head = ignore_head};
     static const char text[] = "GET /r/ HTTP/1.1\r\nPrefix-Hash: 00112233445566778899aa:4,00112233445566778899ab:4,"
                                "a1:4,00A1:4\r\n\r\n";
     cw_message_t m;
@@ -153,11 +153,11 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, fields_that_the_system_sets_never_come_from_a_caller);
-    tcase_add_test(t, fields_that_the_gateway_cannot_read_are_told);
-    tcase_add_test(t, unusual_fields_that_can_be_read_are_passed_on_unchanged);
-    tcase_add_test(t, a_blank_in_a_field_name_ends_the_connection);
-    tcase_add_test(t, long_part_names_are_told_apart);
+    tcase_add_test(t, reserved_fields_of_a_caller_are_not_forwarded);
+    tcase_add_test(t, unreadable_fields_are_rejected_by_name);
+    tcase_add_test(t, unusual_but_valid_fields_are_forwarded_unchanged);
+    tcase_add_test(t, a_blank_in_a_field_name_is_rejected);
+    tcase_add_test(t, long_part_ids_are_distinguished);
 }
 
 int main(void) {
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -1,5 +1,5 @@
-/* Real gateway processes on addresses of this test's own: they find each other, follow each other, stop as planned. The
-   source and a server run in the test's loop. */
+/* Gateway processes on loopback addresses that no other test uses: discovery, documents from peers, reloads and planned
+   stops. The source and a server run in the loop of the test. */
 #include <ev.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -14,7 +14,7 @@
 #include "test.h"
 
 #define HOSTS 3
-#define GIVE_UP_S 20.0
+#define TIMEOUT_S 20.0
 #define POLL_S 0.02
 
 typedef struct fleet_t {
@@ -22,14 +22,14 @@
     cw_client_t* client;
     cw_httpd_t* source;
     cw_httpd_t* server;
-    bool source_answers;
-    uint32_t served; /* requests that reached the server */
-    cw_exchange_t* held;
-    bool hold;     /* the server keeps the next request waiting */
-    char base[24]; /* "127.A.B", the addresses of this test */
+    bool is_source_available;
+    uint32_t served_count; /* requests that reached the server */
+    cw_exchange_t* held_exchange;
+    bool holds_next_request; /* the server does not answer the next request yet */
+    char base[24];           /* "127.A.B", the addresses of this test */
     pid_t pids[HOSTS];
     char dir[64];
-    /* a call of the test */
+    /* the test's current call */
     unsigned status;
     bool done;
     char body[4096];
@@ -38,7 +38,7 @@
 static void on_source(cw_exchange_t* x, void* user) {
     fleet_t* f = user;
     char body[1024];
-    if (!f->source_answers) {
+    if (!f->is_source_available) {
         cw_exchange_reply(x, 503, NULL, 0, "", 0);
         return;
     }
@@ -55,7 +55,7 @@
     cw_exchange_reply(x, 200, NULL, 0, body, strlen(body));
 }
 
-static void answer(cw_exchange_t* x) {
+static void respond(cw_exchange_t* x) {
     const char* id = cw_exchange_header(x, "Chalkway-Request-Id");
     const cw_header_t header = {"Chalkway-Request-Id", id ? id : ""};
     cw_exchange_reply(x, 200, &header, 1, "hello", 5);
@@ -63,16 +63,16 @@
 
 static void on_server(cw_exchange_t* x, void* user) {
     fleet_t* f = user;
-    f->served++;
-    if (f->hold) {
-        f->held = x;
-        f->hold = false;
+    f->served_count++;
+    if (f->holds_next_request) {
+        f->held_exchange = x;
+        f->holds_next_request = false;
         return;
     }
-    answer(x);
+    respond(x);
 }
 
-static cw_httpd_t* serve(fleet_t* f, void (*on_request)(cw_exchange_t*, void*)) {
+static cw_httpd_t* start_httpd(fleet_t* f, void (*on_request)(cw_exchange_t*, void*)) {
     cw_error_t err = {0};
     cw_httpd_t* httpd = cw_httpd_setup(
         &(cw_httpd_desc_t){.loop = f->loop, .address = "127.0.0.1:0", .on_request = on_request, .user_data = f}, &err);
@@ -80,7 +80,7 @@
     return httpd;
 }
 
-/* Settings of host number i; its addresses are its own, the ports those of all hosts. */
+/* Writes the settings of host i. Each host has its own address; the ports are the same for all hosts. */
 static void write_settings(const fleet_t* f, int i, const char* lookup_keep) {
     char path[128];
     snprintf(path, sizeof(path), "%s/host%d.ini", f->dir, i);
@@ -101,7 +101,7 @@
     fclose(file);
 }
 
-static void launch(fleet_t* f, int i, const char* path) {
+static void spawn(fleet_t* f, int i, const char* path) {
     f->pids[i] = fork();
     ck_assert_int_ge(f->pids[i], 0);
     if (f->pids[i] == 0) {
@@ -116,14 +116,14 @@
     }
 }
 
-static void start(fleet_t* f, int i) {
+static void start_host(fleet_t* f, int i) {
     char path[128];
     write_settings(f, i, "2s");
     snprintf(path, sizeof(path), "%s/host%d.ini", f->dir, i);
-    launch(f, i, path);
+    spawn(f, i, path);
 }
 
-static int stop(fleet_t* f, int i, int signal_number) {
+static int stop_host(fleet_t* f, int i, int signal_number) {
     int status = 0;
     kill(f->pids[i], signal_number);
     waitpid(f->pids[i], &status, 0);
@@ -146,7 +146,7 @@
     ev_break(f->loop, EVBREAK_ALL);
 }
 
-static void begin(fleet_t* f, int host, int port, const char* path) {
+static void begin_call(fleet_t* f, int host, int port, const char* path) {
     static const cw_header_t header = {"Host", "h.example"};
     char url[128];
     snprintf(url, sizeof(url), "http://%s.%d:%d%s", f->base, host + 1, port, path);
@@ -165,32 +165,32 @@
 }
 
 static unsigned call(fleet_t* f, int host, int port, const char* path) {
-    begin(f, host, port, path);
+    begin_call(f, host, port, path);
     while (!f->done) {
         ev_run(f->loop, 0);
     }
     return f->status;
 }
 
-static void nap(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_pause_end(struct ev_loop* loop, ev_timer* w, int events) {
     (void)w;
     (void)events;
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* Lets the loop run for a while. */
+/* Runs the loop for some seconds. */
 static void pause_for(fleet_t* f, double s) {
     ev_timer timer;
-    ev_timer_init(&timer, nap, s, 0.0);
+    ev_timer_init(&timer, on_pause_end, s, 0.0);
     ev_timer_start(f->loop, &timer);
     ev_run(f->loop, 0);
     ev_timer_stop(f->loop, &timer);
 }
 
-/* Asks again until the answer has the status and, where given, holds the one text and not the other. */
-static void until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* with,
-                  const char* without) {
-    ev_tstamp end = ev_time() + GIVE_UP_S;
+/* Repeats a call until the response has the status and, where given, contains the one text and not the other. */
+static void poll_until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* with,
+                       const char* without) {
+    ev_tstamp end = ev_time() + TIMEOUT_S;
     while (call(f, host, port, path) != status || (with && !strstr(f->body, with)) ||
            (without && strstr(f->body, without))) {
         ck_assert_msg(ev_time() < end, "host %d %s: status %u, %s", host, path, f->status, f->body);
@@ -202,11 +202,11 @@
     fleet_t* f = calloc(1, sizeof(*f));
     f->loop = ev_loop_new(0);
     f->client = cw_client_setup(f->loop, 4);
-    f->source_answers = true;
-    f->source = serve(f, on_source);
-    f->server = serve(f, on_server);
-    /* All hosts share their ports, so the kernel can't pick them: a network of loopback for each process does instead.
-     */
+    f->is_source_available = true;
+    f->source = start_httpd(f, on_source);
+    f->server = start_httpd(f, on_server);
+    /* The kernel can't pick the ports, since they are the same for all hosts: each test process has its own loopback
+     * net. */
     snprintf(f->base, sizeof(f->base), "127.%d.%d", 1 + getpid() / 250 % 250, getpid() % 250);
     snprintf(f->dir, sizeof(f->dir), "/tmp/chalkway-gateway-XXXXXX");
     ck_assert_ptr_nonnull(mkdtemp(f->dir));
@@ -217,7 +217,7 @@
     for (int i = 0; i < HOSTS; i++) {
         char path[128];
         if (f->pids[i]) {
-            stop(f, i, SIGKILL);
+            stop_host(f, i, SIGKILL);
         }
         snprintf(path, sizeof(path), "%s/host%d.ini", f->dir, i);
         unlink(path);
@@ -230,107 +230,106 @@
     free(f);
 }
 
-START_TEST(hosts_find_each_other_and_a_killed_one_is_no_longer_named) {
+START_TEST(hosts_discover_each_other_and_drop_a_killed_one_from_lookups) {
     fleet_t* f = fleet_setup();
     char second[40];
     snprintf(second, sizeof(second), "%s.2:7100", f->base);
-    start(f, 0);
-    start(f, 1);
-    until(f, 0, 7101, "/readyz", 200, NULL, NULL);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, second, NULL);
+    start_host(f, 0);
+    start_host(f, 1);
+    poll_until(f, 0, 7101, "/readyz", 200, NULL, NULL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, second, NULL);
     ck_assert_uint_eq(call(f, 0, 7100, "/x"), 200);
     ck_assert_str_eq(f->body, "hello");
-    until(f, 0, 7103, "/metrics", 200, "chalkway_requests_total{route=\"r\",outcome=\"served\"} 1\n", NULL);
-    stop(f, 1, SIGKILL);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, NULL, second);
-    start(f, 1); /* and named again when it is back */
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, second, NULL);
+    poll_until(f, 0, 7103, "/metrics", 200, "chalkway_requests_total{route=\"r\",outcome=\"served\"} 1\n", NULL);
+    stop_host(f, 1, SIGKILL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, NULL, second);
+    start_host(f, 1); /* returned again after its restart */
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, second, NULL);
     fleet_shutdown(f);
 }
 END_TEST
 
-START_TEST(a_host_that_the_source_turns_away_follows_another) {
+START_TEST(a_host_without_source_uses_its_peer) {
     fleet_t* f = fleet_setup();
-    start(f, 0);
-    until(f, 0, 7101, "/readyz", 200, NULL, NULL);
-    f->source_answers = false;
-    start(f, 2);
-    until(f, 2, 7101, "/readyz", 200, NULL, NULL);
+    start_host(f, 0);
+    poll_until(f, 0, 7101, "/readyz", 200, NULL, NULL);
+    f->is_source_available = false;
+    start_host(f, 2);
+    poll_until(f, 2, 7101, "/readyz", 200, NULL, NULL);
     ck_assert_uint_eq(call(f, 2, 7100, "/x"), 200);
-    until(f, 2, 7103, "/metrics", 200, "chalkway_revision 4\n", NULL);
+    poll_until(f, 2, 7103, "/metrics", 200, "chalkway_revision 4\n", NULL);
     fleet_shutdown(f);
 }
 END_TEST
 
-/* The file changes without a signal, then with faults, which change nothing, then with a signal. */
-START_TEST(changed_settings_are_taken_over) {
+/* The file changes without a signal, then to an invalid one, which is ignored, then with a signal. */
+START_TEST(changed_settings_are_applied) {
     fleet_t* f = fleet_setup();
-    start(f, 0);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, "2.0", NULL);
+    start_host(f, 0);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, "2.0", NULL);
     write_settings(f, 0, "7s");
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
     write_settings(f, 0, "soon");
     kill(f->pids[0], SIGHUP);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
     write_settings(f, 0, "9s");
     kill(f->pids[0], SIGHUP);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, "9.0", NULL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, "9.0", NULL);
     fleet_shutdown(f);
 }
 END_TEST
 
-/* The settings of host 0 come through a pipe, so that the test knows when the process has begun to read them. Returns
-   the pipe's other end, opened then. */
+/* Starts host 0 with its settings in a named pipe, and waits until the process opens it. Returns the write end. */
 static int start_reading_settings(fleet_t* f, char* path, size_t size) {
     snprintf(path, size, "%s/host0.ini", f->dir);
     ck_assert_int_eq(mkfifo(path, 0600), 0);
-    launch(f, 0, path);
+    spawn(f, 0, path);
     int fd = -1;
-    ev_tstamp end = ev_time() + GIVE_UP_S;
-    while ((fd = open(path, O_WRONLY | O_NONBLOCK)) < 0) { /* until somebody reads */
+    ev_tstamp end = ev_time() + TIMEOUT_S;
+    while ((fd = open(path, O_WRONLY | O_NONBLOCK)) < 0) { /* until the process opened it */
         ck_assert(ev_time() < end);
         ev_sleep(POLL_S / 10);
     }
     return fd;
 }
 
-/* SIGHUP, more than once, while the process is being set up. */
-START_TEST(signals_during_the_start_wait_for_it) {
+/* Guards against signals that end a process during its setup: SIGHUP comes more than once. */
+START_TEST(signals_during_the_start_are_handled_after_it) {
     fleet_t* f = fleet_setup();
     char path[128];
     char text[2048];
     int fd = start_reading_settings(f, path, sizeof(path));
     kill(f->pids[0], SIGHUP);
     kill(f->pids[0], SIGHUP);
-    unlink(path); /* the process has it open; what it reads later is a plain file */
+    unlink(path); /* the process keeps the pipe open, and later reads a regular file */
     write_settings(f, 0, "7s");
     FILE* file = fopen(path, "r");
     size_t length = fread(text, 1, sizeof(text), file);
     fclose(file);
     ck_assert_int_eq(write(fd, text, length), (ssize_t)length);
     close(fd);
-    until(f, 0, 7101, "/readyz", 200, NULL, NULL);
-    until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
+    poll_until(f, 0, 7101, "/readyz", 200, NULL, NULL);
+    poll_until(f, 0, 7102, "/v1/lookup?hall=a", 200, "7.0", NULL);
     ck_assert_int_eq(waitpid(f->pids[0], NULL, WNOHANG), 0);
     fleet_shutdown(f);
 }
 END_TEST
 
-/* A host is told to stop while a request runs, with the source there or away. */
-static void stop_during_a_request(bool source_answers) {
+/* A host is told to stop while a request runs, with the source available or not. */
+static void stop_during_a_request(bool is_source_available) {
     fleet_t* f = fleet_setup();
-    start(f, 0);
-    until(f, 0, 7101, "/readyz", 200, NULL, NULL);
-    f->source_answers = source_answers;
-    f->hold = true;
-    begin(f, 0, 7100, "/long");
-    while (!f->held) {
+    start_host(f, 0);
+    poll_until(f, 0, 7101, "/readyz", 200, NULL, NULL);
+    f->is_source_available = is_source_available;
+    f->holds_next_request = true;
+    begin_call(f, 0, 7100, "/long");
+    while (!f->held_exchange) {
         ev_run(f->loop, EVRUN_ONCE);
     }
     kill(f->pids[0], SIGTERM);
     pause_for(f, 0.3);
     ck_assert(!f->done);
-    answer(f->held);
+    respond(f->held_exchange);
     while (!f->done) {
         ev_run(f->loop, 0);
     }
@@ -339,21 +338,21 @@
     ck_assert_int_eq(waitpid(f->pids[0], &status, 0), f->pids[0]);
     f->pids[0] = 0;
     ck_assert(WIFEXITED(status) && WEXITSTATUS(status) == 0);
-    ck_assert_uint_eq(f->served, 1); /* sent once */
+    ck_assert_uint_eq(f->served_count, 1); /* sent once */
     fleet_shutdown(f);
 }
 
-START_TEST(a_planned_stop_finishes_what_runs) {
+START_TEST(a_planned_stop_completes_running_requests) {
     stop_during_a_request(true);
 }
 END_TEST
 
-START_TEST(a_planned_stop_finishes_what_runs_while_the_source_is_away) {
+START_TEST(a_planned_stop_completes_running_requests_without_source) {
     stop_during_a_request(false);
 }
 END_TEST
 
-START_TEST(a_settings_file_with_faults_ends_the_start_with_all_of_them) {
+START_TEST(an_invalid_settings_file_is_rejected_with_all_its_faults) {
     char text[4096] = "";
     char command[512];
     const char* build = getenv("CHALKWAY_BUILD");
@@ -375,13 +374,13 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, hosts_find_each_other_and_a_killed_one_is_no_longer_named);
-    tcase_add_test(t, a_host_that_the_source_turns_away_follows_another);
-    tcase_add_test(t, changed_settings_are_taken_over);
-    tcase_add_test(t, signals_during_the_start_wait_for_it);
-    tcase_add_test(t, a_planned_stop_finishes_what_runs);
-    tcase_add_test(t, a_planned_stop_finishes_what_runs_while_the_source_is_away);
-    tcase_add_test(t, a_settings_file_with_faults_ends_the_start_with_all_of_them);
+    tcase_add_test(t, hosts_discover_each_other_and_drop_a_killed_one_from_lookups);
+    tcase_add_test(t, a_host_without_source_uses_its_peer);
+    tcase_add_test(t, changed_settings_are_applied);
+    tcase_add_test(t, signals_during_the_start_are_handled_after_it);
+    tcase_add_test(t, a_planned_stop_completes_running_requests);
+    tcase_add_test(t, a_planned_stop_completes_running_requests_without_source);
+    tcase_add_test(t, an_invalid_settings_file_is_rejected_with_all_its_faults);
 }
 
 int main(void) {
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -1,4 +1,5 @@
-/* Several meshes in one process, on addresses of this test's own: news of load reaches every host of every hall. */
+/* Several meshes in one process, on loopback addresses that no other test uses: membership, load reports, source states
+   and observations reach every host of every hall. */
 #include <ev.h>
 #include <stdio.h>
 #include <string.h>
@@ -9,26 +10,26 @@
 #include "test.h"
 
 #define HOSTS 6
-#define HALL_A 2 /* the first hosts are in hall a, the others in hall b */
+#define HALL_A_HOSTS 2 /* the first hosts are in hall a, the others in hall b */
 #define TICK_S 0.01
-#define GIVE_UP_S 20.0
+#define TIMEOUT_S 20.0
 
 typedef struct host_t {
     gateway_settings_t settings;
     upstreams_t* upstreams;
     mesh_t* mesh;
-    cw_knowledge_t knows; /* told to the others */
-    uint32_t youngest_ms; /* age of the newest that it was told */
-    uint32_t marks;       /* that it heard */
-    cw_mark_t repeated;   /* told again as all that counts, life 0: nothing */
+    cw_knowledge_t own_state; /* sent to the others */
+    uint32_t min_age_ms;      /* lowest servers_age_ms received */
+    uint32_t marks;           /* observations received */
+    cw_mark_t repeated;       /* observation that this host repeats, life 0: none */
 } host_t;
 
 typedef struct fleet_t {
     struct ev_loop* loop;
     cw_log_t log;
     host_t hosts[HOSTS];
-    ev_timer tick, give_up;
-    bool (*until)(struct fleet_t* fleet);
+    ev_timer tick, timeout;
+    bool (*condition)(struct fleet_t* fleet);
 } fleet_t;
 
 static void ignore_line(const char* line, void* user) {
@@ -37,14 +38,14 @@
 }
 
 static cw_knowledge_t knowledge(void* user) {
-    return ((host_t*)user)->knows;
+    return ((host_t*)user)->own_state;
 }
 
 static void on_knowledge(void* user, const char* share, bool far, const cw_knowledge_t* known) {
     (void)far;
     host_t* host = user;
     (void)share;
-    host->youngest_ms = known->servers_age_ms < host->youngest_ms ? known->servers_age_ms : host->youngest_ms;
+    host->min_age_ms = known->servers_age_ms < host->min_age_ms ? known->servers_age_ms : host->min_age_ms;
 }
 
 static void on_members(void* user, uint32_t daemons, uint32_t rank) {
@@ -78,23 +79,23 @@
     for (int i = 0; i < HOSTS; i++) {
         mesh_tick(fleet->hosts[i].mesh, clock_ms());
     }
-    if (fleet->until(fleet)) {
+    if (fleet->condition(fleet)) {
         ev_break(loop, EVBREAK_ALL);
     }
 }
 
-static void on_give_up(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_timeout(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     (void)w;
-    ck_abort_msg("it did not come");
+    ck_abort_msg("timed out");
 }
 
-static void run_until(fleet_t* fleet, bool (*until)(fleet_t* fleet)) {
-    fleet->until = until;
-    ev_timer_stop(fleet->loop, &fleet->give_up);
-    ev_timer_set(&fleet->give_up, GIVE_UP_S, 0.0);
-    ev_timer_start(fleet->loop, &fleet->give_up);
+static void run_until(fleet_t* fleet, bool (*condition)(fleet_t* fleet)) {
+    fleet->condition = condition;
+    ev_timer_stop(fleet->loop, &fleet->timeout);
+    ev_timer_set(&fleet->timeout, TIMEOUT_S, 0.0);
+    ev_timer_start(fleet->loop, &fleet->timeout);
     ev_run(fleet->loop, 0);
 }
 
@@ -129,15 +130,15 @@
         char base[32];
         snprintf(base, sizeof(base), "127.%d.%d.%d", 100 + getpid() / 250 % 100, 1 + getpid() % 250, i + 1);
         snprintf(host->settings.name, sizeof(host->settings.name), "h%d", i);
-        snprintf(host->settings.hall, sizeof(host->settings.hall), "%s", i < HALL_A ? "a" : "b");
+        snprintf(host->settings.hall, sizeof(host->settings.hall), "%s", i < HALL_A_HOSTS ? "a" : "b");
         snprintf(host->settings.cluster, sizeof(host->settings.cluster), "c");
         snprintf(host->settings.callers, sizeof(host->settings.callers), "%s:7200", base);
         snprintf(host->settings.peer, sizeof(host->settings.peer), "%s:7204", base);
         snprintf(host->settings.load, sizeof(host->settings.load), "%s:7205", base);
         snprintf(host->settings.share, sizeof(host->settings.share), "%s:7206", base);
         snprintf(host->settings.seeds, sizeof(host->settings.seeds), "%s", fleet->hosts[0].settings.peer);
-        host->youngest_ms = UINT32_MAX;
-        host->knows = (cw_knowledge_t){.revision = 1, .servers = 1, .servers_age_ms = 1000};
+        host->min_age_ms = UINT32_MAX;
+        host->own_state = (cw_knowledge_t){.revision = 1, .servers = 1, .servers_age_ms = 1000};
         set_upstreams(fleet, host, (uint64_t)i + 1);
         host->mesh = mesh_setup(&(mesh_desc_t){.loop = fleet->loop,
                                                .log = &fleet->log,
@@ -153,7 +154,7 @@
         ck_assert_msg(host->mesh != NULL, "%s", cw_error_text(&err).text);
     }
     ev_timer_init(&fleet->tick, on_tick, TICK_S, TICK_S);
-    ev_timer_init(&fleet->give_up, on_give_up, GIVE_UP_S, 0.0);
+    ev_timer_init(&fleet->timeout, on_timeout, TIMEOUT_S, 0.0);
     fleet->tick.data = fleet;
     ev_timer_start(fleet->loop, &fleet->tick);
     return fleet;
@@ -165,12 +166,12 @@
         upstreams_shutdown(fleet->hosts[i].upstreams);
     }
     ev_timer_stop(fleet->loop, &fleet->tick);
-    ev_timer_stop(fleet->loop, &fleet->give_up);
+    ev_timer_stop(fleet->loop, &fleet->timeout);
     ev_loop_destroy(fleet->loop);
     free(fleet);
 }
 
-static bool all_live(fleet_t* fleet) {
+static bool all_are_alive(fleet_t* fleet) {
     for (int i = 0; i < HOSTS; i++) {
         if (mesh_stats(fleet->hosts[i].mesh).live != HOSTS) {
             return false;
@@ -183,8 +184,8 @@
     return upstreams_pool(host->upstreams, "p")->balance;
 }
 
-/* Every host counts the one run of the first host, and knows the part of its prompt to be kept. */
-static bool all_know_the_run(fleet_t* fleet) {
+/* Every host counts the request that the first host runs, and the part of its prompt as cached. */
+static bool all_know_the_load(fleet_t* fleet) {
     cw_work_t same = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 5, .tokens = 800}}};
     for (int i = 0; i < HOSTS; i++) {
         cw_choice_t c = cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &same, NULL, 0);
@@ -195,46 +196,46 @@
     return true;
 }
 
-static bool all_were_told(fleet_t* fleet) {
+static bool all_received_source_states(fleet_t* fleet) {
     for (int i = 0; i < HOSTS; i++) {
-        if (fleet->hosts[i].youngest_ms == UINT32_MAX) {
+        if (fleet->hosts[i].min_age_ms == UINT32_MAX) {
             return false;
         }
     }
     return true;
 }
 
-START_TEST(news_reaches_every_host_of_every_hall) {
+START_TEST(load_reports_reach_every_host_of_every_hall) {
     fleet_t* fleet = fleet_setup();
-    run_until(fleet, all_live);
+    run_until(fleet, all_are_alive);
     uint64_t passed_on = 0;
     cw_work_t work = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 5, .tokens = 800}}};
     cw_run_t run = cw_balance_begin(balance(&fleet->hosts[0]), clock_ms(), 0, &work);
     server_t* server = upstreams_server(fleet->hosts[0].upstreams, run.id);
     ck_assert_ptr_nonnull(server);
     mesh_on_load(fleet->hosts[0].mesh, server, &work);
-    run_until(fleet, all_know_the_run);
-    for (int i = HALL_A; i < HOSTS; i++) {
+    run_until(fleet, all_know_the_load);
+    for (int i = HALL_A_HOSTS; i < HOSTS; i++) {
         passed_on += mesh_stats(fleet->hosts[i].mesh).news.passed_on;
     }
-    ck_assert_uint_gt(passed_on, 0); /* by a host of the other hall */
+    ck_assert_uint_gt(passed_on, 0); /* by hosts of the other hall */
     fleet_shutdown(fleet);
 }
 END_TEST
 
-/* What a host says of the source is taken as older than it says: it was under way. */
-START_TEST(what_is_told_of_the_source_is_older_when_it_is_heard) {
+/* Guards against ages that stay young: the transit time is added to the ages of a received source state. */
+START_TEST(a_received_source_state_includes_the_transit_time) {
     fleet_t* fleet = fleet_setup();
-    run_until(fleet, all_were_told);
+    run_until(fleet, all_received_source_states);
     for (int i = 0; i < HOSTS; i++) {
-        ck_assert_uint_gt(fleet->hosts[i].youngest_ms, 1000);
+        ck_assert_uint_gt(fleet->hosts[i].min_age_ms, 1000);
     }
     fleet_shutdown(fleet);
 }
 END_TEST
 
-/* Parts that one host heard of an engine's list, more than fit one datagram. */
-static bool all_know_the_parts(fleet_t* fleet) {
+/* Whether all hosts know the first and the last of more parts than fit one datagram. */
+static bool all_know_the_cached_parts(fleet_t* fleet) {
     cw_work_t first = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 1, .tokens = 800}}};
     cw_work_t last = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 150, .tokens = 800}}};
     for (int i = 1; i < HOSTS; i++) {
@@ -246,30 +247,30 @@
     return true;
 }
 
-START_TEST(what_an_engine_keeps_is_told_to_every_host) {
+START_TEST(cached_parts_are_reported_to_every_host) {
     fleet_t* fleet = fleet_setup();
     cw_work_part_t parts[150];
-    run_until(fleet, all_live);
+    run_until(fleet, all_are_alive);
     for (uint32_t i = 0; i < 150; i++) {
         parts[i] = (cw_work_part_t){.id = i + 1};
     }
     pool_t* pool = upstreams_pool(fleet->hosts[0].upstreams, "p");
     mesh_tell_kept(fleet->hosts[0].mesh, pool->servers, parts, 150);
-    run_until(fleet, all_know_the_parts);
+    run_until(fleet, all_know_the_cached_parts);
     fleet_shutdown(fleet);
 }
 END_TEST
 
-START_TEST(each_key_falls_to_one_host) {
+START_TEST(each_key_has_one_owner) {
     fleet_t* fleet = fleet_setup();
     uint32_t keys[HOSTS] = {0};
-    run_until(fleet, all_live);
+    run_until(fleet, all_are_alive);
     for (uint64_t key = 1; key <= 200; key++) {
         uint32_t hosts = 0;
         for (int i = 0; i < HOSTS; i++) {
-            bool mine = mesh_is_mine(fleet->hosts[i].mesh, cw_mix(key, 7));
-            hosts += mine;
-            keys[i] += mine;
+            bool owned = mesh_is_mine(fleet->hosts[i].mesh, cw_mix(key, 7));
+            hosts += owned;
+            keys[i] += owned;
         }
         ck_assert_uint_eq(hosts, 1);
     }
@@ -280,7 +281,7 @@
 }
 END_TEST
 
-static bool all_heard_the_mark(fleet_t* fleet) {
+static bool all_received_the_observation(fleet_t* fleet) {
     for (int i = 0; i < HOSTS; i++) {
         if (i != HOSTS - 1 && !fleet->hosts[i].marks) {
             return false;
@@ -289,31 +290,31 @@
     return true;
 }
 
-/* A server ended under a request: every host of every hall hears it, by the host that saw it or, where that news was
-   lost, by those that tell all marks again. */
-START_TEST(a_mark_reaches_every_host_of_every_hall) {
+/* A server crashed while it ran a request. Every host of every hall gets the observation from the host that made it,
+   or, if those datagrams were lost, from the hosts that repeat all observations. */
+START_TEST(an_observation_reaches_every_host_of_every_hall) {
     static const cw_mark_t mark = {.kind = CW_MARK_ENDED, .request = {.content = 7}, .life = 101};
-    for (int again = 0; again < 2; again++) {
+    for (int is_repetition = 0; is_repetition < 2; is_repetition++) {
         fleet_t* fleet = fleet_setup();
-        run_until(fleet, all_live);
-        for (int i = 0; i < HOSTS && again; i++) {
+        run_until(fleet, all_are_alive);
+        for (int i = 0; i < HOSTS && is_repetition; i++) {
             fleet->hosts[i].repeated = mark;
         }
-        if (!again) {
+        if (!is_repetition) {
             mesh_on_mark(fleet->hosts[HOSTS - 1].mesh, &mark);
         }
-        run_until(fleet, all_heard_the_mark);
+        run_until(fleet, all_received_the_observation);
         fleet_shutdown(fleet);
     }
 }
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, a_mark_reaches_every_host_of_every_hall);
-    tcase_add_test(t, what_an_engine_keeps_is_told_to_every_host);
-    tcase_add_test(t, each_key_falls_to_one_host);
-    tcase_add_test(t, news_reaches_every_host_of_every_hall);
-    tcase_add_test(t, what_is_told_of_the_source_is_older_when_it_is_heard);
+    tcase_add_test(t, an_observation_reaches_every_host_of_every_hall);
+    tcase_add_test(t, cached_parts_are_reported_to_every_host);
+    tcase_add_test(t, each_key_has_one_owner);
+    tcase_add_test(t, load_reports_reach_every_host_of_every_hall);
+    tcase_add_test(t, a_received_source_state_includes_the_transit_time);
 }
 
 int main(void) {
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -57,8 +57,7 @@
 
 #define DAEMONS 84
 #define COPY_MS 10                                          /* for which a copy occupies the link of its sender */
-#define SINGLE_HOLDER_MS ((int64_t)(DAEMONS - 1) * COPY_MS) /* until the last one has it, if all ask the first holder  \
-                                                             */
+#define SINGLE_HOLDER_MS ((int64_t)(DAEMONS - 1) * COPY_MS) /* if all ask the first holder */
 
 /* Simulates the spread of a document. All daemons get an offer of its only holder at 0, and offers of further holders
    as these receive it. Returns when the last daemon has it. */
@@ -169,8 +168,8 @@
     uint32_t small_calls = calls_during_outage(8, 10000);
     uint32_t large_calls = calls_during_outage(FLEET_HOSTS, 10000);
     ck_assert_uint_gt(small_calls, SMALL_FLEET_CALLS_MIN); /* each host of a small fleet calls about once a second */
-    ck_assert_uint_lt(large_calls,
-                      (uint64_t)5 * small_calls); /* ten times the hosts make less than five times the calls */
+    /* ten times the hosts make less than five times the calls */
+    ck_assert_uint_lt(large_calls, (uint64_t)5 * small_calls);
     cw_reader_t first = {.read_ms = 400};
     for (uint64_t draw = 0; draw < 1000; draw++) {
         ck_assert_uint_le(cw_reader_pause_ms(&first, 20, draw), 1000);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,4 +1,4 @@
-/* What the platform's store publishes, and what becomes of it: configurations, lists of servers, changes, nonsense. */
+/* The platform adapter: parsing of configurations, lists of servers, changes, closed halls and invalid documents. */
 #include <sodium.h>
 #include <stdio.h>
 #include <string.h>
@@ -44,7 +44,7 @@
 }
 END_TEST
 
-START_TEST(a_wrong_configuration_is_refused_with_its_reason) {
+START_TEST(an_invalid_configuration_is_rejected_with_its_reason) {
     char* text = NULL;
     cw_error_t err = {0};
     ck_assert_int_eq(platform_catalog_text("[1", 2, &text, &err), CW_ERR_INVALID);
@@ -63,7 +63,7 @@
     sodium_bin2base64(out, size, (const unsigned char*)text, strlen(text), sodium_base64_VARIANT_ORIGINAL);
 }
 
-START_TEST(the_stores_answers_are_read_and_nonsense_is_told) {
+START_TEST(responses_with_the_configuration_are_parsed_and_invalid_ones_rejected) {
     char value[4096];
     char body[8192];
     source_news_t news = {0};
@@ -77,17 +77,17 @@
     news = (source_news_t){0};
     ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 412, &news, &err), CW_OK);
     ck_assert_ptr_null(news.catalog); /* the same as before */
-    static const char* const nonsense[] = {"", "{", "[]", "{\"value\":7}", "{\"value\":\"!!\",\"revision\":3}"};
-    for (size_t i = 0; i < sizeof(nonsense) / sizeof(nonsense[0]); i++) {
+    static const char* const invalid[] = {"", "{", "[]", "{\"value\":7}", "{\"value\":\"!!\",\"revision\":3}"};
+    for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
         news = (source_news_t){0};
-        ck_assert_int_ne(platform_source.read_catalog(nonsense[i], strlen(nonsense[i]), 1, &news, &err), CW_OK);
+        ck_assert_int_ne(platform_source.read_catalog(invalid[i], strlen(invalid[i]), 1, &news, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
         ck_assert_ptr_null(news.catalog);
     }
 }
 END_TEST
 
-START_TEST(the_list_of_servers_is_read_and_odd_entries_are_left_out) {
+START_TEST(the_list_of_servers_is_parsed_without_invalid_entries) {
     static const char* const entries[] = {
         "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"zone\":\"z\",\"version\":\"v1\",\"slots\":48,\"state\":"
         "\"ready\","
@@ -122,8 +122,8 @@
 }
 END_TEST
 
-/* Two servers of which one drains, one goes and a third comes; the other items are none of them. */
-START_TEST(events_of_the_store_change_the_list) {
+/* Of two servers one starts to drain and one is removed, and a third one is added. The other items are not servers'. */
+START_TEST(events_are_applied_to_the_list) {
     cw_servers_t list = {.at = 7};
     cw_error_t err = {0};
     cw_server_t stays = {.id = "i-1", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 1};
@@ -139,26 +139,26 @@
         "{\"tls_key\":\"servers/i-3\",\"revision\":10,\"gone\":true},"
         "{\"tls_key\":\"servers/\",\"value\":\"" DRAINING "\"},{\"tls_key\":\"op/x\"},7],\"at\":12}";
     ck_assert_int_eq(platform_source.read_changes(body, strlen(body), &list, &err), CW_OK);
-    ck_assert_int_eq(list.at, 10); /* of the newest event: there may be more before 12 */
+    ck_assert_int_eq(list.at, 10); /* of the newest event: there may be more events up to 12 */
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[0].id, "i-0");
     ck_assert_str_eq(list.items[1].id, "i-1");
     ck_assert(list.items[1].leaving);
-    static const char* const nonsense[] = {
+    static const char* const invalid[] = {
         "", "[]", "{}", "{\"events\":7,\"at\":13}", "{\"events\":[],\"at\":9}", "{\"events\":[]}"};
-    for (size_t i = 0; i < sizeof(nonsense) / sizeof(nonsense[0]); i++) {
-        ck_assert_int_ne(platform_source.read_changes(nonsense[i], strlen(nonsense[i]), &list, &err), CW_OK);
+    for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
+        ck_assert_int_ne(platform_source.read_changes(invalid[i], strlen(invalid[i]), &list, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
         ck_assert_int_eq(list.at, 10);
     }
     static const char empty[] = "{\"events\":[],\"at\":15}";
     ck_assert_int_eq(platform_source.read_changes(empty, strlen(empty), &list, &err), CW_OK);
-    ck_assert_int_eq(list.at, 10); /* an answer without events moves nothing on */
+    ck_assert_int_eq(list.at, 10); /* a response without events leaves the revision */
     cw_servers_free(&list);
 }
 END_TEST
 
-START_TEST(zones_to_be_emptied_are_closed_halls) {
+START_TEST(zones_to_be_evacuated_are_closed_halls) {
     cw_closed_t closed = {0};
     cw_error_t err = {0};
     char path[128];
@@ -170,17 +170,17 @@
     ck_assert_int_eq(closed.at, 31);
     ck_assert_uint_eq(closed.count, 1);
     ck_assert(cw_closed_has(&closed, "b") && !cw_closed_has(&closed, "a"));
-    static const char* const nonsense[] = {"", "[]", "{}", "{\"items\":7}"};
-    for (size_t i = 0; i < sizeof(nonsense) / sizeof(nonsense[0]); i++) {
+    static const char* const invalid[] = {"", "[]", "{}", "{\"items\":7}"};
+    for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
         closed = (cw_closed_t){0};
-        ck_assert_int_ne(platform_source.read_closed(nonsense[i], strlen(nonsense[i]), &closed, &err), CW_OK);
+        ck_assert_int_ne(platform_source.read_closed(invalid[i], strlen(invalid[i]), &closed, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
     }
 }
 END_TEST
 
-/* Pages of one list are read one after the other: what changed meanwhile is asked for from the first one's revision. */
-START_TEST(a_list_in_pages_is_as_old_as_its_first_page) {
+/* Pages are read one after the other, so changes made meanwhile must be read since the revision of the first page. */
+START_TEST(a_list_in_pages_has_the_revision_of_its_first_page) {
     cw_servers_t list = {0};
     source_news_t news = {0};
     static const char first[] = "{\"items\":[],\"more\":true,\"at\":40}";
@@ -194,12 +194,12 @@
 
 static void add(TCase* t) {
     tcase_add_test(t, a_published_configuration_becomes_a_catalog);
-    tcase_add_test(t, a_wrong_configuration_is_refused_with_its_reason);
-    tcase_add_test(t, the_stores_answers_are_read_and_nonsense_is_told);
-    tcase_add_test(t, the_list_of_servers_is_read_and_odd_entries_are_left_out);
-    tcase_add_test(t, events_of_the_store_change_the_list);
-    tcase_add_test(t, zones_to_be_emptied_are_closed_halls);
-    tcase_add_test(t, a_list_in_pages_is_as_old_as_its_first_page);
+    tcase_add_test(t, an_invalid_configuration_is_rejected_with_its_reason);
+    tcase_add_test(t, responses_with_the_configuration_are_parsed_and_invalid_ones_rejected);
+    tcase_add_test(t, the_list_of_servers_is_parsed_without_invalid_entries);
+    tcase_add_test(t, events_are_applied_to_the_list);
+    tcase_add_test(t, zones_to_be_evacuated_are_closed_halls);
+    tcase_add_test(t, a_list_in_pages_has_the_revision_of_its_first_page);
 }
 
 int main(void) {
--- a/tests/test_restart.c
+++ b/tests/test_restart.c
@@ -1,4 +1,4 @@
-/* Servers that start again under the id that they had: nothing that was believed of one life counts for the next. */
+/* Servers that restart under their id: state that was learned of one incarnation must not apply to the next one. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -20,12 +20,13 @@
     "POST " path " HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: q1\r\nChalkway-Tokens: 4000,10\r\n"             \
     "Chalkway-Prompt-Parts: a1:4000\r\nContent-Length: 0\r\n\r\n"
 
-#define FIRST 1767744000000
-#define SECOND (FIRST + 9000)
-#define THIRD (FIRST + 12000)
+#define FIRST_START_MS 1767744000000
+#define SECOND_START_MS (FIRST_START_MS + 9000)
+#define THIRD_START_MS (FIRST_START_MS + 12000)
 
-/* Server s0 of the rig as listed with a start, at a revision of the source (0: not known). Returns how many changed. */
-static uint32_t list_start(rig_t* r, int64_t started_ms, int64_t at) {
+/* Lists server s0 of the rig with a start time, at a revision of the source (0: not known). Returns how many servers
+   changed. */
+static uint32_t list_server(rig_t* r, int64_t started_ms, int64_t at) {
     cw_servers_t list = {.at = at};
     rig_list(r, &list, 1, 0);
     list.items[0].started_ms = started_ms;
@@ -34,27 +35,27 @@
     return changes;
 }
 
-static uint64_t life(int64_t started_ms) {
+static uint64_t incarnation_id(int64_t started_ms) {
     cw_server_t s = {.id = "s0", .started_ms = started_ms};
     return cw_server_life(&s);
 }
 
-/* Whether the life may be chosen. */
-static bool used(const rig_t* r, int64_t started_ms) {
-    const server_t* s = upstreams_server(r->upstreams, life(started_ms));
+/* Whether the incarnation may be chosen. */
+static bool is_usable(const rig_t* r, int64_t started_ms) {
+    const server_t* s = upstreams_server(r->upstreams, incarnation_id(started_ms));
     return s && !s->gone;
 }
 
-static cw_choice_t choice(const rig_t* r) {
+static cw_choice_t choose(const rig_t* r) {
     cw_work_t work = {
         .prompt_tokens = 4000, .target_ms = 1000, .part_count = 1, .parts = {{request_part_id("a1"), 4000}}};
     return cw_balance_choose(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), &work, NULL, 0);
 }
 
-/* All that can be believed of a server: that it is full, far behind, suspected, away, and keeps parts of prompts. */
-static void believe_much(rig_t* r, int64_t started_ms) {
+/* Reports the server as full, with a long backlog, suspected, unreachable, and with cached prompt parts. */
+static void report_bad_state(rig_t* r, int64_t started_ms) {
     cw_balance_t* b = upstreams_pool(r->upstreams, "p")->balance;
-    uint64_t key = life(started_ms);
+    uint64_t key = incarnation_id(started_ms);
     cw_load_t load = {.running = 8, .streaming = 2, .gap_ms = 100, .deepest = 9000, .tokens = 90000, .pace_us = 90000};
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
         load.backlog_ms[i] = 4000;
@@ -66,116 +67,117 @@
     cw_balance_away(b, clock_ms(), key, true);
 }
 
-static void expect_new(const rig_t* r, int64_t started_ms) {
-    cw_choice_t c = choice(r);
-    ck_assert_uint_eq(c.id, life(started_ms));
+static void expect_clean_state(const rig_t* r, int64_t started_ms) {
+    cw_choice_t c = choose(r);
+    ck_assert_uint_eq(c.id, incarnation_id(started_ms));
     ck_assert_uint_eq(c.running + c.kept + c.streaming, 0);
     ck_assert_double_eq(c.wait_ms, 0);
-    ck_assert(!cw_balance_suspected(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), life(started_ms)));
+    ck_assert(
+        !cw_balance_suspected(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), incarnation_id(started_ms)));
 }
 
-START_TEST(a_server_that_started_again_is_a_new_one) {
+START_TEST(a_restarted_server_is_a_new_incarnation) {
     rig_t* r = rig_setup(ROUTES, 0);
-    ck_assert_uint_eq(list_start(r, FIRST, 10), 1);
-    believe_much(r, FIRST);
-    ck_assert_uint_eq(choice(r).server, CW_BALANCE_NONE);
-    ck_assert_uint_eq(list_start(r, SECOND, 11), 1);
-    ck_assert(used(r, SECOND) && !used(r, FIRST));
-    expect_new(r, SECOND);
-    believe_much(r, FIRST); /* told late, of the life that is over */
-    expect_new(r, SECOND);
-    ck_assert_uint_eq(list_start(r, SECOND, 12), 0);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 10), 1);
+    report_bad_state(r, FIRST_START_MS);
+    ck_assert_uint_eq(choose(r).server, CW_BALANCE_NONE);
+    ck_assert_uint_eq(list_server(r, SECOND_START_MS, 11), 1);
+    ck_assert(is_usable(r, SECOND_START_MS) && !is_usable(r, FIRST_START_MS));
+    expect_clean_state(r, SECOND_START_MS);
+    report_bad_state(r, FIRST_START_MS); /* a late report on the old incarnation */
+    expect_clean_state(r, SECOND_START_MS);
+    ck_assert_uint_eq(list_server(r, SECOND_START_MS, 12), 0);
     rig_shutdown(r);
 }
 END_TEST
 
-START_TEST(two_starts_between_two_readings_are_one_change) {
+START_TEST(two_restarts_between_two_polls_are_one_change) {
     rig_t* r = rig_setup(ROUTES, 0);
-    list_start(r, FIRST, 10);
-    believe_much(r, FIRST);
-    ck_assert_uint_eq(list_start(r, THIRD, 20), 1);
-    expect_new(r, THIRD);
-    ck_assert(!used(r, FIRST) && !used(r, SECOND));
+    list_server(r, FIRST_START_MS, 10);
+    report_bad_state(r, FIRST_START_MS);
+    ck_assert_uint_eq(list_server(r, THIRD_START_MS, 20), 1);
+    expect_clean_state(r, THIRD_START_MS);
+    ck_assert(!is_usable(r, FIRST_START_MS) && !is_usable(r, SECOND_START_MS));
     rig_shutdown(r);
 }
 END_TEST
 
-/* By a peer's list, or a read that was held up: of an older revision, or of one that isn't known. */
-START_TEST(an_earlier_start_that_is_told_late_changes_nothing) {
+/* The list comes from a peer or by a delayed poll, with an older revision or an unknown one. */
+START_TEST(an_older_list_with_an_earlier_start_changes_nothing) {
     rig_t* r = rig_setup(ROUTES, 0);
-    list_start(r, SECOND, 20);
-    cw_balance_kept(upstreams_pool(r->upstreams, "p")->balance, life(SECOND),
+    list_server(r, SECOND_START_MS, 20);
+    cw_balance_kept(upstreams_pool(r->upstreams, "p")->balance, incarnation_id(SECOND_START_MS),
                     &(cw_work_part_t){request_part_id("a1"), 4000});
-    ck_assert_uint_eq(list_start(r, FIRST, 10), 0);
-    ck_assert_uint_eq(list_start(r, FIRST, 0), 0);
-    ck_assert_uint_eq(list_start(r, FIRST, 20), 0);
-    ck_assert(used(r, SECOND) && !used(r, FIRST));
-    ck_assert_uint_eq(choice(r).kept, 4000);
-    ck_assert_uint_eq(list_start(r, 0, 21), 0); /* who knows of no starts says nothing of them */
-    ck_assert_uint_eq(choice(r).kept, 4000);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 10), 0);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 0), 0);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 20), 0);
+    ck_assert(is_usable(r, SECOND_START_MS) && !is_usable(r, FIRST_START_MS));
+    ck_assert_uint_eq(choose(r).kept, 4000);
+    ck_assert_uint_eq(list_server(r, 0, 21), 0); /* a list without start times */
+    ck_assert_uint_eq(choose(r).kept, 4000);
     rig_shutdown(r);
 }
 END_TEST
 
-/* The server's clock was set back between two starts: what the source listed later is what lives. */
-START_TEST(a_smaller_start_of_a_later_revision_is_the_present_life) {
+/* The server's clock was set back between two starts: the start that the source listed last is current. */
+START_TEST(an_earlier_start_of_a_later_revision_is_the_current_incarnation) {
     rig_t* r = rig_setup(ROUTES, 0);
-    list_start(r, SECOND, 20);
-    believe_much(r, SECOND);
-    ck_assert_uint_eq(list_start(r, FIRST, 21), 1);
-    expect_new(r, FIRST);
-    ck_assert(!used(r, SECOND));
+    list_server(r, SECOND_START_MS, 20);
+    report_bad_state(r, SECOND_START_MS);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 21), 1);
+    expect_clean_state(r, FIRST_START_MS);
+    ck_assert(!is_usable(r, SECOND_START_MS));
     rig_shutdown(r);
 }
 END_TEST
 
-/* An entry with another start came in between, and was wrong: the life that the source lists again goes on, with what
-   is under way there. */
-START_TEST(a_life_that_is_listed_again_goes_on) {
+/* A list with another, wrong start came in between. The incarnation that the source lists again keeps its running
+   requests. */
+START_TEST(an_incarnation_that_is_listed_again_keeps_its_state) {
     rig_t* r = rig_setup(ROUTES, 0);
-    list_start(r, FIRST, 10);
+    list_server(r, FIRST_START_MS, 10);
     cw_work_t work = {.prompt_tokens = 4000, .target_ms = 1000};
-    cw_run_t run = cw_balance_begin(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), choice(r).server, &work);
-    list_start(r, SECOND, 11);
-    ck_assert(used(r, SECOND) && !used(r, FIRST));
-    ck_assert_uint_eq(list_start(r, FIRST, 12), 1);
-    ck_assert(used(r, FIRST) && !used(r, SECOND));
-    ck_assert_uint_eq(choice(r).running, 1);
-    ck_assert_uint_eq(list_start(r, FIRST, 13), 0);
+    cw_run_t run = cw_balance_begin(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), choose(r).server, &work);
+    list_server(r, SECOND_START_MS, 11);
+    ck_assert(is_usable(r, SECOND_START_MS) && !is_usable(r, FIRST_START_MS));
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 12), 1);
+    ck_assert(is_usable(r, FIRST_START_MS) && !is_usable(r, SECOND_START_MS));
+    ck_assert_uint_eq(choose(r).running, 1);
+    ck_assert_uint_eq(list_server(r, FIRST_START_MS, 13), 0);
     cw_balance_end(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), &run, CW_TRY_SERVED);
     rig_shutdown(r);
 }
 END_TEST
 
-/* The connection breaks after the list told of the new life, and before: neither harms the new one. */
-START_TEST(a_break_of_the_old_life_is_no_failure_of_the_new_one) {
-    for (uint32_t before = 0; before < 2; before++) {
+/* A connection that breaks before or after the new incarnation was listed must not count as its failure. */
+START_TEST(a_broken_connection_of_the_old_incarnation_is_no_failure_of_the_new_one) {
+    for (uint32_t is_before_list = 0; is_before_list < 2; is_before_list++) {
         rig_t* r = rig_setup(ROUTES, 0);
-        list_start(r, FIRST, 10);
+        list_server(r, FIRST_START_MS, 10);
         cw_balance_t* b = upstreams_pool(r->upstreams, "p")->balance;
         cw_work_t work = {.prompt_tokens = 4000, .target_ms = 1000};
         cw_run_t runs[3];
         for (uint32_t i = 0; i < 3; i++) {
-            runs[i] = cw_balance_begin(b, clock_ms(), choice(r).server, &work);
+            runs[i] = cw_balance_begin(b, clock_ms(), choose(r).server, &work);
         }
-        if (!before) {
-            list_start(r, SECOND, 11);
-            ck_assert_uint_eq(choice(r).running, 0);
+        if (!is_before_list) {
+            list_server(r, SECOND_START_MS, 11);
+            ck_assert_uint_eq(choose(r).running, 0);
         }
         for (uint32_t i = 0; i < 3; i++) {
             cw_balance_end(b, clock_ms(), &runs[i], i ? CW_TRY_BROKEN : CW_TRY_UNREACHABLE);
         }
-        list_start(r, SECOND, 11);
-        expect_new(r, SECOND);
+        list_server(r, SECOND_START_MS, 11);
+        expect_clean_state(r, SECOND_START_MS);
         rig_shutdown(r);
     }
 }
 END_TEST
 
-/* What may have run at the old life is never sent to the new one; what was not sent at all may be. */
-START_TEST(a_call_that_may_have_run_is_not_run_again_by_the_new_life) {
+/* A request that may have run at the old incarnation must not be sent to the new one. */
+START_TEST(a_call_that_may_have_run_is_not_retried_at_the_new_incarnation) {
     rig_t* r = rig_setup(ROUTES, 0);
-    list_start(r, FIRST, 10);
+    list_server(r, FIRST_START_MS, 10);
     rig_script(
         r,
         (rig_step_t[]){{RIG_ANSWER_RESET, ""},
@@ -185,14 +187,14 @@
     while (!r->arrival_count) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    list_start(r, SECOND, 11); /* while it is under way */
+    list_server(r, SECOND_START_MS, 11); /* while the request runs */
     r->stop_on_answer = true;
     if (!rig_answer_whole(cw_buffer_text(&r->answer))) {
         rig_run(r);
     }
     ck_assert(strncmp(cw_buffer_text(&r->answer), "HTTP/1.1 502", 12) == 0);
     ck_assert_uint_eq(r->arrival_count, 1);
-    const char* answer = rig_call(r, CALL("/once/")); /* the next one goes to the new life */
+    const char* answer = rig_call(r, CALL("/once/")); /* a new request uses the new incarnation */
     ck_assert(strncmp(answer, "HTTP/1.1 200", 12) == 0);
     rig_shutdown(r);
 }
@@ -210,17 +212,18 @@
     *(uint32_t*)user += count;
 }
 
-/* Which parts the old life kept was asked, and the new one answers: it says so, and nothing is learned of the old. */
-START_TEST(an_inventory_that_another_life_answers_ends_the_old_one) {
-    static const int64_t answered[] = {FIRST, SECOND};
+/* The inventory of the old incarnation is requested, and the new one responds with its own start time: the parts are
+   not taken as cached at the old one, which is retired. */
+START_TEST(an_inventory_of_another_incarnation_retires_the_old_one) {
+    static const int64_t answered_starts[] = {FIRST_START_MS, SECOND_START_MS};
     for (uint32_t i = 0; i < 2; i++) {
         char body[256];
         char text[512];
         uint32_t learned = 0;
         rig_t* r = rig_setup(ROUTES, 0);
-        list_start(r, FIRST, 10);
+        list_server(r, FIRST_START_MS, 10);
         int size = snprintf(body, sizeof(body), "{\"born\":%lld,\"epoch\":1,\"held\":[[\"\",\"a1\",4000,\"m\"]]}",
-                            (long long)answered[i]);
+                            (long long)answered_starts[i]);
         snprintf(text, sizeof(text), "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body);
         rig_script(r, (rig_step_t[]){{RIG_ANSWER_CLOSE, text}}, 1);
         inventory_t* v = inventory_setup(&(inventory_desc_t){.loop = r->loop,
@@ -238,17 +241,17 @@
             ev_run(r->loop, EVRUN_ONCE);
         }
         ck_assert_uint_eq(learned, i == 0);
-        ck_assert(used(r, FIRST) == (i == 0));
-        list_start(r, SECOND, 11);
-        expect_new(r, SECOND);
+        ck_assert(is_usable(r, FIRST_START_MS) == (i == 0));
+        list_server(r, SECOND_START_MS, 11);
+        expect_clean_state(r, SECOND_START_MS);
         inventory_shutdown(v);
         rig_shutdown(r);
     }
 }
 END_TEST
 
-/* Another writer may name any pool: a server of one that nobody declared is left out until somebody does. */
-START_TEST(a_server_of_an_undeclared_pool_is_left_out) {
+/* An entry may name any pool. A server of a pool that is not configured is ignored until the pool is added. */
+START_TEST(a_server_of_an_undeclared_pool_is_ignored) {
     static const char more[] =
         "{\"revision\":2,\"pools\":[{\"name\":\"p\"},{\"name\":\"late\"}],\"routes\":[{\"name\":\"r\",\"host\":"
         "\"h.example\",\"prefix\":\"/r/\",\"kind\":\"once\",\"timeout_ms\":5000,\"target_ms\":1000,\"attempts\":1,"
@@ -267,8 +270,8 @@
 }
 END_TEST
 
-/* Servers of one source all tell their start: an entry without, beside others that have one, is another writer's. */
-START_TEST(entries_without_a_start_are_dropped_where_others_have_one) {
+/* Either all servers of a source write their start time or none does. An entry without one among others is invalid. */
+START_TEST(entries_without_a_start_are_refused_if_others_have_one) {
     cw_servers_t list = {0};
     for (uint32_t i = 0; i < 4; i++) {
         cw_server_t s = {.address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 4};
@@ -276,8 +279,8 @@
         cw_servers_add(&list, &s);
     }
     cw_servers_drop_unstarted(&list);
-    ck_assert_uint_eq(list.count, 4); /* a source that tells none */
-    list.items[0].started_ms = list.items[3].started_ms = FIRST;
+    ck_assert_uint_eq(list.count, 4); /* no entry has a start time */
+    list.items[0].started_ms = list.items[3].started_ms = FIRST_START_MS;
     cw_servers_drop_unstarted(&list);
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[1].id, "s3");
@@ -286,17 +289,18 @@
 }
 END_TEST
 
-/* A start is handed on among hosts, and makes another list of it. */
-START_TEST(a_start_is_part_of_what_a_list_says) {
+/* The start time is kept when a list is passed between hosts, and changes the id of the list. */
+START_TEST(a_start_is_part_of_the_list_id) {
     cw_servers_t list = {.at = 3};
     cw_servers_t back = {0};
-    cw_server_t s = {.id = "s0", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 4, .started_ms = FIRST};
+    cw_server_t s = {
+        .id = "s0", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 4, .started_ms = FIRST_START_MS};
     cw_servers_add(&list, &s);
     char* text = cw_servers_text(&list);
     ck_assert_int_eq(cw_servers_read(&back, text, strlen(text), NULL), CW_OK);
     ck_assert(cw_servers_equal(&list, &back));
     ck_assert_uint_eq(cw_servers_id(&list), cw_servers_id(&back));
-    back.items[0].started_ms = SECOND;
+    back.items[0].started_ms = SECOND_START_MS;
     ck_assert(!cw_servers_equal(&list, &back));
     ck_assert_uint_ne(cw_servers_id(&list), cw_servers_id(&back));
     free(text);
@@ -306,17 +310,17 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, a_server_that_started_again_is_a_new_one);
-    tcase_add_test(t, two_starts_between_two_readings_are_one_change);
-    tcase_add_test(t, an_earlier_start_that_is_told_late_changes_nothing);
-    tcase_add_test(t, a_smaller_start_of_a_later_revision_is_the_present_life);
-    tcase_add_test(t, a_life_that_is_listed_again_goes_on);
-    tcase_add_test(t, a_break_of_the_old_life_is_no_failure_of_the_new_one);
-    tcase_add_test(t, a_call_that_may_have_run_is_not_run_again_by_the_new_life);
-    tcase_add_test(t, an_inventory_that_another_life_answers_ends_the_old_one);
-    tcase_add_test(t, a_server_of_an_undeclared_pool_is_left_out);
-    tcase_add_test(t, entries_without_a_start_are_dropped_where_others_have_one);
-    tcase_add_test(t, a_start_is_part_of_what_a_list_says);
+    tcase_add_test(t, a_restarted_server_is_a_new_incarnation);
+    tcase_add_test(t, two_restarts_between_two_polls_are_one_change);
+    tcase_add_test(t, an_older_list_with_an_earlier_start_changes_nothing);
+    tcase_add_test(t, an_earlier_start_of_a_later_revision_is_the_current_incarnation);
+    tcase_add_test(t, an_incarnation_that_is_listed_again_keeps_its_state);
+    tcase_add_test(t, a_broken_connection_of_the_old_incarnation_is_no_failure_of_the_new_one);
+    tcase_add_test(t, a_call_that_may_have_run_is_not_retried_at_the_new_incarnation);
+    tcase_add_test(t, an_inventory_of_another_incarnation_retires_the_old_one);
+    tcase_add_test(t, a_server_of_an_undeclared_pool_is_ignored);
+    tcase_add_test(t, entries_without_a_start_are_refused_if_others_have_one);
+    tcase_add_test(t, a_start_is_part_of_the_list_id);
 }
 
 int main(void) {
--- a/tests/test_suspended.c
+++ b/tests/test_suspended.c
@@ -1,10 +1,10 @@
 /*
     A host whose machine was suspended for seconds.
 
-    Pattern: the monotonic clock, and with it every timer of the loop, leaves the suspended time out, while deadlines,
-    ages and windows go on. Brought about here by the clock that tests may shift (io/clock.h); the lengths are those of
-   a nap, of the time that news and lists may be old, and of longer than any request is held. Each must be noticed in
-   the first turn of the loop, before anything else is done.
+    The monotonic clock, and with it every timer of the loop, doesn't count suspended time, while deadlines, ages and
+    time windows do. The tests simulate a suspension by shifting the clock (io/clock.h): for 1 s, for 4 s, after which
+    load reports and lists are outdated, and for 30 s, longer than any request may run. It must be detected in the first
+    iteration of the loop, before any other event is handled.
 */
 #include "../gateway/wake.h"
 #include "rig.h"
@@ -19,44 +19,44 @@
 #define HEAD " HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: q1\r\nContent-Length: 0\r\n\r\n"
 #define OK(body, length) "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: " length "\r\n\r\n" body
 
-typedef struct sleeper_t {
+typedef struct suspension_t {
     rig_t* rig;
     wake_t wake;
-    ev_timer nap;
-    int64_t for_ms;
-    bool slept, woke;
-    uint32_t active; /* requests that were left then */
-    bool answers;    /* the first server answers as the machine wakes */
-} sleeper_t;
+    ev_timer suspend_timer;
+    int64_t duration_ms;
+    bool was_suspended, was_resumed;
+    uint32_t active_requests; /* requests that remained after it */
+    bool sends_response;      /* the first server responds when the machine resumes */
+} suspension_t;
 
 static void on_wake(void* user, int64_t suspended_ms) {
-    sleeper_t* s = user;
-    ck_assert_int_ge(suspended_ms, s->for_ms);
+    suspension_t* s = user;
+    ck_assert_int_ge(suspended_ms, s->duration_ms);
     exchanges_on_wake(s->rig->exchanges);
     upstreams_on_wake(s->rig->upstreams);
-    s->woke = true;
-    s->active = exchanges_stats(s->rig->exchanges).active;
+    s->was_resumed = true;
+    s->active_requests = exchanges_stats(s->rig->exchanges).active;
 }
 
-static void on_nap(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_suspend_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    sleeper_t* s = w->data;
-    cw_clock_suspend(s->for_ms);
-    s->slept = true;
-    if (s->answers) {
+    suspension_t* s = w->data;
+    cw_clock_suspend(s->duration_ms);
+    s->was_suspended = true;
+    if (s->sends_response) {
         static const char text[] = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: q1\r\nContent-Length: 4\r\n\r\nlate";
         cw_stream_write(&s->rig->conns[0].stream, text, sizeof(text) - 1);
         cw_stream_flush(&s->rig->conns[0].stream);
     }
 }
 
-static void sleeper_setup(sleeper_t* s, rig_t* r, int64_t for_ms) {
-    *s = (sleeper_t){.rig = r, .for_ms = for_ms};
+static void suspension_setup(suspension_t* s, rig_t* r, int64_t duration_ms) {
+    *s = (suspension_t){.rig = r, .duration_ms = duration_ms};
     wake_setup(&s->wake, r->loop, on_wake, s);
-    ev_timer_init(&s->nap, on_nap, 0.05, 0.0);
-    s->nap.data = s;
-    ev_timer_start(r->loop, &s->nap);
+    ev_timer_init(&s->suspend_timer, on_suspend_timer, 0.05, 0.0);
+    s->suspend_timer.data = s;
+    ev_timer_start(r->loop, &s->suspend_timer);
 }
 
 static void expect_status(const char* answer, const char* status) {
@@ -64,17 +64,17 @@
                   status, answer);
 }
 
-/* It is with a server as the machine sleeps, for longer than it may be held. */
-START_TEST(a_deadline_that_passed_meanwhile_ends_the_request_at_once) {
+/* A request runs at a server while the machine is suspended past its deadline. */
+START_TEST(a_request_whose_deadline_passed_ends_at_once) {
     static const char* const texts[] = {"POST /again/x" HEAD, "POST /once/x" HEAD};
     for (int i = 0; i < 2; i++) {
         rig_t* r = rig_setup(ROUTES, 2);
-        sleeper_t s;
+        suspension_t s;
         rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
-        sleeper_setup(&s, r, 30000);
+        suspension_setup(&s, r, 30000);
         expect_status(rig_call(r, texts[i]), "504");
-        ck_assert(s.woke);
-        ck_assert_uint_eq(s.active, i); /* one that may not be repeated is left to itself for a while */
+        ck_assert(s.was_resumed);
+        ck_assert_uint_eq(s.active_requests, i); /* one that may not be retried stays at the server for a while */
         ck_assert_uint_eq(r->arrival_count, 1);
         wake_shutdown(&s.wake);
         rig_shutdown(r);
@@ -82,35 +82,35 @@
 }
 END_TEST
 
-/* No server is ready: it waits for one, which its pool may find after the wait is over. */
-START_TEST(a_wait_that_is_over_meanwhile_is_given_up) {
+/* No server is ready, so the request is queued. The pool might have a server only after the request's wait limit. */
+START_TEST(a_queued_request_whose_wait_limit_passed_is_refused) {
     rig_t* r = rig_setup(ROUTES, 1);
-    sleeper_t s;
+    suspension_t s;
     rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
     pool_t* pool = upstreams_pool(r->upstreams, "p");
     cw_balance_away(pool->balance, clock_ms(), cw_name_id("s0"), true);
     for (server_t* server = pool->servers; server; server = server->next) {
         cw_balance_away(pool->balance, clock_ms(), server->key, true);
     }
-    sleeper_setup(&s, r, 4000);
+    suspension_setup(&s, r, 4000);
     expect_status(rig_call(r, "POST /once/x" HEAD), "503");
-    ck_assert(s.woke && !s.active);
+    ck_assert(s.was_resumed && !s.active_requests);
     ck_assert_uint_eq(r->arrival_count, 0);
     wake_shutdown(&s.wake);
     rig_shutdown(r);
 }
 END_TEST
 
-/* A request is answered over a connection that is kept, the machine sleeps for a second, and one comes that may not be
-   repeated: it goes over a new connection, since the kept one may be dead without a sign. */
-START_TEST(kept_connections_are_not_trusted_after_it) {
+/* A request was answered over a connection that stays open, the machine is suspended for a second, and a request comes
+   that may not be retried. It must use a new connection: the open one may be dead without this host having noticed. */
+START_TEST(idle_connections_are_not_reused_after_a_suspension) {
     rig_t* r = rig_setup(ROUTES, 1);
-    sleeper_t s;
+    suspension_t s;
     rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("one", "3")}, {RIG_ANSWER, OK("two", "3")}}, 2);
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
     ck_assert_uint_eq(r->conn_count, 1);
-    sleeper_setup(&s, r, 1000);
-    while (!s.slept) {
+    suspension_setup(&s, r, 1000);
+    while (!s.was_suspended) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
@@ -120,13 +120,13 @@
 }
 END_TEST
 
-/* The machine sleeps for less than the request has left, and the answer is there as it wakes: it is delivered. */
-START_TEST(a_request_with_time_left_goes_on) {
+/* The machine is suspended for less than the request's remaining time, and the response is there when it resumes. */
+START_TEST(a_request_with_time_left_continues) {
     rig_t* r = rig_setup(ROUTES, 1);
-    sleeper_t s;
+    suspension_t s;
     rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
-    sleeper_setup(&s, r, 1000);
-    s.answers = true;
+    suspension_setup(&s, r, 1000);
+    s.sends_response = true;
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
     wake_shutdown(&s.wake);
     rig_shutdown(r);
@@ -134,10 +134,10 @@
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, a_deadline_that_passed_meanwhile_ends_the_request_at_once);
-    tcase_add_test(t, a_wait_that_is_over_meanwhile_is_given_up);
-    tcase_add_test(t, kept_connections_are_not_trusted_after_it);
-    tcase_add_test(t, a_request_with_time_left_goes_on);
+    tcase_add_test(t, a_request_whose_deadline_passed_ends_at_once);
+    tcase_add_test(t, a_queued_request_whose_wait_limit_passed_is_refused);
+    tcase_add_test(t, idle_connections_are_not_reused_after_a_suspension);
+    tcase_add_test(t, a_request_with_time_left_continues);
 }
 
 int main(void) {
