--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -19,8 +19,8 @@
     upstreams_t* upstreams;
     /* Returns the source state of this daemon, which goes out with every datagram of load reports. */
     cw_knowledge_t (*knowledge)(void* user_data);
-    /* A peer's source state came in. share: address at which the peer serves its documents; far: the peer is in another
-       hall. */
+    /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
+       another hall. */
     void (*on_knowledge)(void* user_data, const char* share, bool far, const cw_knowledge_t* knowledge);
     /* The membership changed. daemons: most daemons that were known at once; rank: of this one among those that are
        alive, 0 first. */
--- a/gateway/news.c
+++ b/gateway/news.c
@@ -77,6 +77,7 @@
     }
     n->queue[n->queue_count++] = (queued_entry_t){.entry = *entry, .to_other_halls = to_other_halls};
 }
+
 /* -- load of this host ---------------------------------------------------- */
 
 static bool make_entry(const news_t* n, const dirty_t* dirty, int64_t now_ms, cw_load_entry_t* entry) {
@@ -166,7 +167,7 @@
     return d;
 }
 
-/* -- reports to owner hosts ------------------------------------------------ */
+/* -- reports to owner hosts ----------------------------------------------- */
 
 /* Reports this host's load at the engine to the engine's other owner hosts. */
 static void report_to_owner_hosts(news_t* n, uint64_t server, int64_t now_ms) {
--- a/gateway/news.h
+++ b/gateway/news.h
@@ -20,10 +20,10 @@
     uint64_t host; /* id of this host */
     /* Returns the source state of this daemon, which goes out with every datagram. */
     cw_knowledge_t (*knowledge)(void* user_data);
-    /* A peer's source state came in. share: address at which the peer serves its documents; far: the peer is in another
-       hall. */
+    /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
+       another hall. */
     void (*on_knowledge)(void* user_data, const char* share, bool far, const cw_knowledge_t* knowledge);
-    /* An observation of another daemon came in; its age_ms is valid now. May be NULL. */
+    /* An observation was received from another daemon; its age_ms is valid now. May be NULL. */
     void (*on_mark)(void* user_data, const cw_mark_t* observation);
     /* Writes up to max observations that are to be repeated, from index *at on, and returns their number. Sets *at to
        the next index, 0 after the last observation. May be NULL. */
--- a/gateway/news_peers.c
+++ b/gateway/news_peers.c
@@ -112,6 +112,7 @@
     uint32_t i = cw_relay_choose(&n->ids[hall->first], hall->relays, &n->plan, n->desc.host, random);
     return &n->peers[hall->first + i];
 }
+
 /* -- sending -------------------------------------------------------------- */
 
 datagram_t news_datagram(news_t* n, cw_load_message_t* message, cw_load_scope_t scope) {
--- a/gateway/sync.h
+++ b/gateway/sync.h
@@ -63,8 +63,8 @@
 int64_t sync_revision(const sync_t* s);
 /* The source state of this daemon, to be sent to the peers. */
 cw_knowledge_t sync_knowledge(const sync_t* s);
-/* A peer's source state came in: ages are adjusted, and newer documents will be fetched from peers. share: address at
-   which the peer serves its documents; far: the peer is in another hall. */
+/* A peer's source state was received: ages are adjusted, and newer documents will be fetched from peers. share: address
+   at which the peer serves its documents; far: the peer is in another hall. */
 void sync_on_peer(sync_t* s, const char* share, bool far, const cw_knowledge_t* knowledge);
 /* rank: of this daemon among those that are alive, 0 first; daemons: most that were known at once. */
 void sync_set_rank(sync_t* s, uint32_t rank, uint32_t daemons);
