--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -20,8 +20,8 @@
 #define SUSPECT_TIMEOUT_MS 700
 #define CONVERGENCE_MS_PER_HOST 10 /* a starting fleet has converged after so long without a join, for each host */
 #define CONVERGENCE_MAX_MS 1000    /* upper bound of that time: a few gossip rounds */
-#define RETRY_INTERVAL_MS                                                                                              \
-    250 /* between probes of seeds and dead hosts; short, so that a restarted fleet converges soon */
+/* Between probes of seeds and dead hosts; short, so that a restarted fleet converges soon. */
+#define RETRY_INTERVAL_MS 250
 
 struct mesh_t {
     mesh_desc_t desc;
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -8,12 +8,12 @@
 #define POLLS_PER_BOUND 5
 #define MEMORY_PER_SERVER_BYTES 4096 /* of a known server: its entry in the lists and the state of load balancing */
 #define SERVERS_MEMORY_DIVISOR 4
-#define LAST_RANK_SHARE                                                                                                \
-    0.6 /* of that time, until the last rank polls; the rest is for the poll and for applying its result */
+/* Share of that time after which the last rank polls; the rest is for the poll and for applying its result. */
+#define LAST_RANK_SHARE 0.6
 
 static const cw_setting_info_t table[] = {
     {"host", "name", CW_SETTING_NAME, AT(name), NULL, 0, 0, "name of this host, unique in the cluster"},
-    {"host", "hall", CW_SETTING_NAME, AT(hall), NULL, 0, 0, "hall that this host stands in"},
+    {"host", "hall", CW_SETTING_NAME, AT(hall), NULL, 0, 0, "hall that this host is in"},
     {"host", "cluster", CW_SETTING_NAME, AT(cluster), "chalkway", 0, 0, "peers of other clusters are refused"},
     {"host", "first_start", CW_SETTING_COUNT_KIND, AT(first_start), "0", 0, 1,
      "1: the whole system starts for the first time, and there is no traffic yet"},
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -7,8 +7,8 @@
 #include "sync_parts.h"
 
 #define FULL_LIST_CALL_TIMEOUT_MS 3000 /* of a peer's full list, which its link may carry to many hosts at once */
-#define PEERS_FIRST_MS                                                                                                 \
-    5000 /* after its start, a host waits this long for documents that peers offer before it polls the source */
+/* After its start, a host waits this long for documents that peers offer before it polls the source. */
+#define PEERS_FIRST_MS 5000
 
 /* Sets the retry backoff after a failed call to a peer: short and independent of the rank, since another peer is asked
    next. */
