--- a/gateway/news_marks.c
+++ b/gateway/news_marks.c
@@ -7,9 +7,7 @@
    costs a server. 48 observations of 30 bytes a second from two hosts are 3 KB/s for each host that receives them. */
 #define OBSERVATION_REPEAT_INTERVAL_MS 1000
 #define OBSERVATION_REPEATER_RANKS 2
-#define OBSERVATION_BURST_DATAGRAMS                                                                                    \
-    16                                  /* sent at once when a host joins; the other observations follow by repetition \
-                                         */
+#define OBSERVATION_BURST_DATAGRAMS 16  /* sent at once when a host joins; the rest is repeated later */
 #define OBSERVATION_RESEND_DELAY_MS 150 /* new ones are sent twice: one datagram in ten may be lost */
 #define STALL_MS 100 /* a longer delay means that this process stalled and datagrams waited in its socket */
 
