--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -55,7 +55,7 @@
     directory_t* directory;
     cw_catalog_t* catalog; /* active one, NULL: none yet */
     ev_timer tick;
-    wake_t wake;
+    wake_t suspend_detector;
     ev_signal on_term, on_int, on_hup;
     int64_t tick_ms;
     cw_stop_t stop;
@@ -496,11 +496,11 @@
     ev_timer_init(&g->tick, on_tick, 0.0, TICK_S);
     g->tick.data = g;
     ev_timer_start(g->loop, &g->tick);
-    wake_setup(&g->wake, g->loop, on_wake, g);
+    wake_setup(&g->suspend_detector, g->loop, on_wake, g);
     cw_log(&g->log, CW_EVENT_STARTED, "host=%s hall=%s callers=%s peer=%s dialect=%s", g->settings.name,
            g->settings.hall, g->settings.callers, g->settings.peer, g->dialect->name);
     ev_run(g->loop, 0);
-    wake_shutdown(&g->wake);
+    wake_shutdown(&g->suspend_detector);
     cw_log(&g->log, CW_EVENT_STOPPED, "cut=%u", exchanges_stats(g->exchanges).active);
 }
 
--- a/gateway/native.c
+++ b/gateway/native.c
@@ -43,9 +43,9 @@
 }
 
 /* An empty body means that there is no newer configuration. */
-static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* news, cw_error_t* err) {
+static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* update, cw_error_t* err) {
     json_error_t parse_error;
-    news->mark = mark;
+    update->mark = mark;
     if (!size) {
         return CW_OK;
     }
@@ -56,15 +56,15 @@
         json_decref(document);
         return CW_ERR_INVALID;
     }
-    news->mark = json_integer_value(json_object_get(document, "revision"));
+    update->mark = json_integer_value(json_object_get(document, "revision"));
     json_decref(document);
-    news->catalog = strndup(body, size);
+    update->catalog = strndup(body, size);
     return CW_OK;
 }
 
-static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_news_t* news,
+static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_news_t* update,
                                 cw_error_t* err) {
-    (void)news;
+    (void)update;
     return cw_servers_read(list, body, size, err);
 }
 
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -42,7 +42,7 @@
 }
 
 void sync_on_catalog_answer(sync_t* s, unsigned status, const char* body, size_t size) {
-    source_news_t news = {0};
+    source_news_t update = {0};
     cw_error_t err = {0};
     if (status != 200) {
         char why[32];
@@ -50,17 +50,17 @@
         on_source_failure(s, &s->catalog, why);
         return;
     }
-    if (s->desc.source->read_catalog(body, size, s->catalog_version, &news, &err) != CW_OK) {
+    if (s->desc.source->read_catalog(body, size, s->catalog_version, &update, &err) != CW_OK) {
         sync_refuse_answer(s, s->desc.address, &err);
-        free(news.catalog);
+        free(update.catalog);
         schedule_retry(&s->catalog);
         return;
     }
     on_source_success(s);
     sync_fetch_ok(&s->catalog);
-    s->catalog_version = news.mark;
-    if (news.catalog) {
-        sync_adopt_catalog(s, news.catalog, s->desc.address);
+    s->catalog_version = update.mark;
+    if (update.catalog) {
+        sync_adopt_catalog(s, update.catalog, s->desc.address);
     }
     s->catalog_confirmed_ms = clock_ms();
 }
@@ -219,7 +219,7 @@
 }
 
 void sync_on_servers_answer(sync_t* s, unsigned status, const char* body, size_t size) {
-    source_news_t news = {0};
+    source_news_t update = {0};
     cw_error_t err = {0};
     if (s->asks_for_changes && status == STATUS_GONE) {
         sync_read_whole(s);
@@ -236,7 +236,7 @@
         return;
     }
     cw_status_t read = s->asks_for_changes ? s->desc.source->read_changes(body, size, &s->incoming, &err)
-                                           : s->desc.source->read_servers(body, size, &s->incoming, &news, &err);
+                                           : s->desc.source->read_servers(body, size, &s->incoming, &update, &err);
     if (read != CW_OK) {
         sync_refuse_answer(s, s->desc.address, &err);
         sync_drop_pages(s);
@@ -250,8 +250,8 @@
         return;
     }
     s->page_count++;
-    if (news.more && news.after[0]) {
-        cw_copy(s->page_after, sizeof(s->page_after), news.after);
+    if (update.more && update.after[0]) {
+        cw_copy(s->page_after, sizeof(s->page_after), update.after);
         request_page(s);
         return;
     }
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -59,14 +59,14 @@
     char body[BODY_MAX] = "{\"items\":[";
     char valid_entry[512];
     cw_servers_t list = {0};
-    source_news_t news = {0};
+    source_news_t update = {0};
     entry_text(valid_entry, sizeof(valid_entry), FIELD_COUNT, NULL);
     add_item(body, "i-first", valid_entry, false);
     add_item(body, id, value, raw);
     add_item(body, "i-last", valid_entry, false);
     size_t used = strlen(body);
     snprintf(body + used, BODY_MAX - used, "],\"more\":false,\"at\":9}");
-    ck_assert_int_eq(platform_source.read_servers(body, strlen(body), &list, &news, NULL), CW_OK);
+    ck_assert_int_eq(platform_source.read_servers(body, strlen(body), &list, &update, NULL), CW_OK);
     return list;
 }
 
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -66,23 +66,23 @@
 START_TEST(responses_with_the_configuration_are_parsed_and_invalid_ones_rejected) {
     char value[4096];
     char body[8192];
-    source_news_t news = {0};
+    source_news_t update = {0};
     cw_error_t err = {0};
     base64(published, value, sizeof(value));
     snprintf(body, sizeof(body), "{\"tls_key\":\"op/config\",\"value\":\"%s\",\"revision\":412,\"at\":530}", value);
-    ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 0, &news, &err), CW_OK);
-    ck_assert_int_eq(news.mark, 412);
-    ck_assert_ptr_nonnull(news.catalog);
-    free(news.catalog);
-    news = (source_news_t){0};
-    ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 412, &news, &err), CW_OK);
-    ck_assert_ptr_null(news.catalog); /* the same as before */
+    ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 0, &update, &err), CW_OK);
+    ck_assert_int_eq(update.mark, 412);
+    ck_assert_ptr_nonnull(update.catalog);
+    free(update.catalog);
+    update = (source_news_t){0};
+    ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 412, &update, &err), CW_OK);
+    ck_assert_ptr_null(update.catalog); /* the same as before */
     static const char* const invalid[] = {"", "{", "[]", "{\"value\":7}", "{\"value\":\"!!\",\"revision\":3}"};
     for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
-        news = (source_news_t){0};
-        ck_assert_int_ne(platform_source.read_catalog(invalid[i], strlen(invalid[i]), 1, &news, &err), CW_OK);
+        update = (source_news_t){0};
+        ck_assert_int_ne(platform_source.read_catalog(invalid[i], strlen(invalid[i]), 1, &update, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
-        ck_assert_ptr_null(news.catalog);
+        ck_assert_ptr_null(update.catalog);
     }
 }
 END_TEST
@@ -106,17 +106,17 @@
     size_t end = strlen(body);
     snprintf(body + end, sizeof(body) - end, "],\"more\":true,\"at\":9}");
     cw_servers_t list = {0};
-    source_news_t news = {0};
-    ck_assert_int_eq(platform_source.read_servers(body, strlen(body), &list, &news, NULL), CW_OK);
+    source_news_t update = {0};
+    ck_assert_int_eq(platform_source.read_servers(body, strlen(body), &list, &update, NULL), CW_OK);
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[0].id, "i-0");
     ck_assert_uint_eq(list.items[0].cold_ms, 40);
     ck_assert(!list.items[0].leaving && list.items[1].leaving);
-    ck_assert(news.more);
-    ck_assert_str_eq(news.after, "servers/i-3");
+    ck_assert(update.more);
+    ck_assert_str_eq(update.after, "servers/i-3");
     cw_servers_free(&list);
     cw_error_t err = {0};
-    ck_assert_int_ne(platform_source.read_servers("{}", 2, &list, &news, &err), CW_OK);
+    ck_assert_int_ne(platform_source.read_servers("{}", 2, &list, &update, &err), CW_OK);
     ck_assert_str_eq(err.step, "platform-store");
     cw_servers_free(&list);
 }
@@ -182,11 +182,11 @@
 /* Pages are read one after the other, so changes made meanwhile must be read since the revision of the first page. */
 START_TEST(a_list_in_pages_has_the_revision_of_its_first_page) {
     cw_servers_t list = {0};
-    source_news_t news = {0};
+    source_news_t update = {0};
     static const char first[] = "{\"items\":[],\"more\":true,\"at\":40}";
     static const char second[] = "{\"items\":[],\"at\":44}";
-    ck_assert_int_eq(platform_source.read_servers(first, strlen(first), &list, &news, NULL), CW_OK);
-    ck_assert_int_eq(platform_source.read_servers(second, strlen(second), &list, &news, NULL), CW_OK);
+    ck_assert_int_eq(platform_source.read_servers(first, strlen(first), &list, &update, NULL), CW_OK);
+    ck_assert_int_eq(platform_source.read_servers(second, strlen(second), &list, &update, NULL), CW_OK);
     ck_assert_int_eq(list.at, 40);
     cw_servers_free(&list);
 }
--- a/tests/test_suspended.c
+++ b/tests/test_suspended.c
@@ -21,7 +21,7 @@
 
 typedef struct suspension_t {
     rig_t* rig;
-    wake_t wake;
+    wake_t detector;
     ev_timer suspend_timer;
     int64_t duration_ms;
     bool was_suspended, was_resumed;
@@ -53,7 +53,7 @@
 
 static void suspension_setup(suspension_t* s, rig_t* r, int64_t duration_ms) {
     *s = (suspension_t){.rig = r, .duration_ms = duration_ms};
-    wake_setup(&s->wake, r->loop, on_wake, s);
+    wake_setup(&s->detector, r->loop, on_wake, s);
     ev_timer_init(&s->suspend_timer, on_suspend_timer, 0.05, 0.0);
     s->suspend_timer.data = s;
     ev_timer_start(r->loop, &s->suspend_timer);
@@ -76,7 +76,7 @@
         ck_assert(s.was_resumed);
         ck_assert_uint_eq(s.active_requests, i); /* one that may not be retried stays at the server for a while */
         ck_assert_uint_eq(r->arrival_count, 1);
-        wake_shutdown(&s.wake);
+        wake_shutdown(&s.detector);
         rig_shutdown(r);
     }
 }
@@ -96,7 +96,7 @@
     expect_status(rig_call(r, "POST /once/x" HEAD), "503");
     ck_assert(s.was_resumed && !s.active_requests);
     ck_assert_uint_eq(r->arrival_count, 0);
-    wake_shutdown(&s.wake);
+    wake_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
@@ -115,7 +115,7 @@
     }
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
     ck_assert_uint_eq(r->conn_count, 2);
-    wake_shutdown(&s.wake);
+    wake_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
@@ -128,7 +128,7 @@
     suspension_setup(&s, r, 1000);
     s.sends_response = true;
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
-    wake_shutdown(&s.wake);
+    wake_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
