--- a/gateway/native.c
+++ b/gateway/native.c
@@ -1,5 +1,5 @@
-/* Chalkway's own spelling, and its own source: any HTTP server, another gateway's share address too, that gives the
-   documents of chalkway_catalog.h and chalkway_servers.h. */
+/* Chalkway's own dialect and source. The source is any HTTP server that serves the documents of chalkway_catalog.h and
+   chalkway_servers.h, for example the share address of another gateway. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -42,28 +42,29 @@
     snprintf(out, size, "/servers");
 }
 
-/* An empty answer: nothing newer is there. */
-static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* news, cw_error_t* err) {
-    json_error_t problem;
-    news->mark = mark;
+/* An empty body means that there is no newer configuration. */
+static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* update, cw_error_t* err) {
+    json_error_t parse_error;
+    update->mark = mark;
     if (!size) {
         return CW_OK;
     }
-    json_t* document = json_loadb(body, size, 0, &problem);
+    json_t* document = json_loadb(body, size, 0, &parse_error);
     if (!json_is_object(document)) {
-        cw_fail(err, CW_ERR_INVALID, "catalog", NULL, "no JSON object: %s", document ? "other" : problem.text);
+        cw_fail(err, CW_ERR_INVALID, "catalog", NULL, "not a JSON object: %s",
+                document ? "another type" : parse_error.text);
         json_decref(document);
         return CW_ERR_INVALID;
     }
-    news->mark = json_integer_value(json_object_get(document, "revision"));
+    update->mark = json_integer_value(json_object_get(document, "revision"));
     json_decref(document);
-    news->catalog = strndup(body, size);
+    update->catalog = strndup(body, size);
     return CW_OK;
 }
 
-static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_news_t* news,
+static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_news_t* update,
                                 cw_error_t* err) {
-    (void)news;
+    (void)update;
     return cw_servers_read(list, body, size, err);
 }
 
