--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -1,28 +1,30 @@
 #ifndef CHALKWAY_BALANCE_H
 #define CHALKWAY_BALANCE_H
 /*
-    chalkway_balance.h -- choice of a server by predicted time to the answer
+    chalkway_balance.h -- choice of a server by predicted time to the first byte
 
     WHAT IT IS
-        One daemon's view of the servers of a pool: what it runs there itself,
-        what other daemons last said that they run there, and what its own
-        requests taught it of each server's speed and failures. A choice takes
-        the server with the least predicted time to the first byte, plus the
-        delay that the new prompt puts on answers that stream there already.
-
-        A prompt that is being read lengthens the pauses of the answers that
-        stream there, the more the deeper it is. How long pauses get beside
-        prompts of which depth is learned from the pool's own streams. Deep
-        prompts keep away from servers whose streams they would make late, and
-        streams that deep prompts would make late gather at few servers, in
-        an order that all daemons see alike.
-
-        Prompts are read one after the other, the more urgent ones first, so
-        a server's backlog for an urgency is the time in which it has read all
-        prompts begun there that are no less urgent. The time to read
-        a token is learned from first bytes of requests (chalkway_reading.h).
-        Parts of prompts that a server has read count as kept there until so
-        many tokens were read after them that its memory is full.
+        One daemon's view of the servers of a pool: the requests that it runs
+        there itself, the load that other daemons last reported, and the speed
+        and failure rate of each server as learned from its own requests. The
+        choice takes the server with the least predicted time to the first
+        byte, plus the delay that the new prompt causes to the responses that
+        already stream there.
+
+        While an engine prefills a prompt, its streams stall: the gaps between
+        their events grow with the length of the prompt. The stall for each
+        prompt length is learned from the pool's own streams. Long prompts
+        avoid servers whose streams they would delay beyond their gap limit,
+        and streams that long prompts would delay are consolidated on few
+        servers, filled in an order that is the same in all daemons.
+
+        An engine prefills prompts one after the other, the more urgent ones
+        first. A server's backlog for an urgency is therefore the time that it
+        needs to prefill all pending prompts that are no less urgent. The
+        prefill time of a token is learned from the time to the first byte
+        (chalkway_reading.h). Prompt parts that a server has prefilled count as
+        cached there until as many further tokens were prefilled as fit into
+        its prompt cache.
 
     HOW TO USE IT
             cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.hall = hall, .seed = host});
@@ -35,7 +37,8 @@
             }
 
     WHAT IT DOES NOT DO
-        No sockets, no queue. Messages between daemons: see chalkway_load.h.
+        It has no sockets and no queue. See chalkway_load.h for the load
+        reports between daemons.
 
     LICENCE
         MIT, see LICENSE.
@@ -55,216 +58,220 @@
 #define CW_BALANCE_NONE UINT32_MAX
 #define CW_WORK_PARTS 8
 
-/* A server as published. */
+/* A server as published by the configuration source. */
 typedef struct cw_server_spec_t {
-    uint64_t id;   /* of this life of the server */
+    uint64_t id;   /* of this incarnation of the server */
     uint64_t hall; /* id of the hall's name */
     uint32_t slots;
     uint32_t memory_tokens; /* 0: not an engine */
-    uint32_t cold_ms;       /* it stays slow for so long from now */
-    double cold_per_s;      /* requests a second that it bears meanwhile from all daemons together, 0: no limit */
-    double move_ms;         /* to fetch one token of a kept prompt from another server, 0: it can't */
+    uint32_t cold_ms;       /* remaining slow start, from now */
+    double cold_per_s;      /* rate limit during slow start, over all daemons, requests per second; 0: no limit */
+    double move_ms;         /* time to fetch one cached token from another server; 0: not supported */
 } cw_server_spec_t;
 
-/* What a request asks of a server. All zero for a plain call. */
+/* Demand of a request, as far as the choice depends on it. All zero for a plain call. */
 typedef struct cw_work_t {
-    uint32_t urgency; /* as engines are told it: 0 is read first and preempted last */
+    uint32_t urgency; /* as sent to engines: 0 is prefilled first and preempted last */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
     uint32_t target_ms; /* to the first byte */
-    uint32_t gap_ms;    /* longest pause between events, 0: no matter */
-    bool repeatable;    /* it may be tried at a server that failed lately */
-    bool late;          /* it waited for a place until it could hardly be in time (chalkway_turn.h) */
-    bool light;         /* its kind needs next to nothing, see cw_balance_light */
-    uint64_t spread;    /* not 0: the server follows from this number and not from the cost */
+    uint32_t gap_ms;    /* gap limit: longest accepted gap between events; 0: none */
+    bool repeatable;    /* a failed attempt may be retried, so a recent failure of a server weighs half */
+    bool late;          /* it waited so long for a slot that it can hardly meet its target (chalkway_turn.h) */
+    bool light;         /* its class needs few slots, see cw_balance_light */
+    uint64_t spread;    /* if not 0, the server is chosen by rendezvous hashing of this key, not by cost */
     uint32_t part_count;
-    cw_work_part_t parts[CW_WORK_PARTS]; /* the start of the prompt */
+    cw_work_part_t parts[CW_WORK_PARTS]; /* the prompt from its start */
 } cw_work_t;
 
-/* What one daemon has at one server. */
+/* Load of one daemon at one server. */
 typedef struct cw_load_t {
     uint32_t running;
-    uint32_t gap_ms;    /* shortest of the longest pauses that streamed answers there may make, 0: none */
-    uint32_t streaming; /* streamed answers that may pause no longer than that */
-    uint32_t backlog_ms[CW_URGENCIES]; /* time to read the prompts of this urgency and before that have no answer yet */
-    uint32_t deepest;                  /* tokens of the longest of these prompts */
-    uint32_t tokens;                   /* memory that the running ones hold or will hold */
-    uint32_t pace_us;                  /* learned time between events there while no prompt is read, 0: unknown */
-    uint32_t failed_ago_ms;            /* since a connection of its own to the server last failed, 0: not lately */
-    uint32_t alive_ago_ms;             /* since it last sent a request there that was answered, 0: not lately */
-    cw_rate_said_t rate;               /* what its own answers said of the server's rate lately */
-    uint32_t rate_per_ks;              /* that rate, requests in 1,000 s */
-    uint32_t rate_ago_ms;              /* since it was true */
+    uint32_t gap_ms;                   /* strictest gap limit among its streams there; 0: none */
+    uint32_t streaming;                /* streams with that gap limit */
+    uint32_t backlog_ms[CW_URGENCIES]; /* time to prefill its unanswered prompts of this urgency and more urgent ones */
+    uint32_t deepest;                  /* tokens of the longest unanswered prompt */
+    uint32_t tokens;                   /* memory that its running requests use or will use */
+    uint32_t pace_us;                  /* learned event interval there while no prompt is prefilled; 0: unknown */
+    uint32_t failed_ago_ms;            /* since one of its connections to the server last failed; 0: not recently */
+    uint32_t alive_ago_ms;             /* since it last sent a request there that was answered; 0: not recently */
+    cw_rate_said_t rate;               /* state of the server's advertised rate by its own recent responses */
+    uint32_t rate_per_ks;              /* that rate, requests per 1,000 s */
+    uint32_t rate_ago_ms;              /* age of that observation */
 } cw_load_t;
 
-/* The urgency by which its turn for a place goes: late, it goes behind all and keeps nobody else from one. */
+/* The urgency by which a request is queued: a late one goes last and delays no other request. */
 static inline uint32_t cw_work_turn_urgency(const cw_work_t* work) {
     return work->late ? CW_URGENCIES - 1 : work->urgency;
 }
 
 typedef enum cw_try_result_t {
-    CW_TRY_SERVED = 0,  /* the whole answer came */
-    CW_TRY_FAILED,      /* silence, spoilt bytes or an error of the server */
+    CW_TRY_SERVED = 0,  /* the whole response arrived */
+    CW_TRY_FAILED,      /* time-out, malformed bytes or an error of the server */
     CW_TRY_BROKEN,      /* the connection broke before the end: the server may be gone */
-    CW_TRY_UNREACHABLE, /* no connection came up */
-    CW_TRY_FULL,        /* the server said that it has no room and did not run it */
-    CW_TRY_CANCELLED    /* ended by this side: says nothing of the server */
+    CW_TRY_UNREACHABLE, /* no connection could be established */
+    CW_TRY_FULL,        /* the server refused it for lack of capacity and did not run it */
+    CW_TRY_CANCELLED    /* ended by this side: no evidence about the server */
 } cw_try_result_t;
 
 /* A request that runs at a server. */
 typedef struct cw_run_t {
     uint32_t server; /* CW_BALANCE_NONE: none */
-    uint64_t id;     /* of the server, so that a run that outlives it does no harm */
+    uint64_t id;     /* of the server: the index may belong to another server once this one was removed */
     int64_t begun_ms;
     uint32_t urgency;
-    double read_ms; /* predicted time to read the prompt */
+    double read_ms; /* predicted prefill time of the prompt */
     cw_backlog_plan_t plan;
-    double found_ms; /* backlog found there, of all urgencies: an engine may end a piece of any prompt first */
-    bool quiet;      /* nothing was known there that the prompt might have waited for */
-    uint32_t fresh_tokens;
+    double found_ms;       /* backlog of all urgencies at the start: an engine may finish a chunk of any prompt first */
+    bool quiet;            /* nothing was known there that the prompt may have waited for */
+    uint32_t fresh_tokens; /* to be prefilled, neither cached nor fetched */
     uint32_t tokens;
     uint32_t gap_ms;
     bool answered;
-    int64_t event_ms; /* last event of the answer */
-    uint32_t beside;  /* tokens of the longest prompt being read beside it then */
+    int64_t event_ms; /* time of the last event of the response */
+    uint32_t beside;  /* tokens of the longest prompt that was prefilled there at that time */
 } cw_run_t;
 
-/* Servers that were left out of a choice, by why: each counts once, by the first reason. */
+/* Numbers of servers that were excluded from a choice. A server counts once, by the first reason that applies. */
 typedef struct cw_left_out_t {
-    uint32_t tried;     /* this request was there */
-    uint32_t away;      /* no connection comes up, or it said that it is full */
-    uint32_t cold;      /* gets no more now than it bears */
-    uint32_t resting;   /* it wants nothing from this host for a while */
-    uint32_t limited;   /* gets no more now, from this host or at all, by the rate that it named */
-    uint32_t suspected; /* another host's turn to try it */
-    uint32_t no_place;  /* none free for this work, or for this host now */
+    uint32_t tried;     /* in the caller's list of tried servers */
+    uint32_t away;      /* unreachable, or it has just refused a request for lack of capacity */
+    uint32_t cold;      /* in slow start and at its rate limit */
+    uint32_t resting;   /* it asked this host to back off */
+    uint32_t limited;   /* its advertised rate allows no request of this host now */
+    uint32_t suspected; /* suspected, and in another host's time slice to probe it */
+    uint32_t no_place;  /* no free slot for this request, or none for this host now */
 } cw_left_out_t;
 
-/* A server and the inputs that chose it. */
+/* The chosen server and the inputs of the choice. */
 typedef struct cw_choice_t {
-    uint32_t server;     /* CW_BALANCE_NONE: none has room */
+    uint32_t server;     /* CW_BALANCE_NONE: no server has capacity */
     uint64_t id;         /* of the server */
-    double cost_ms;      /* what was compared */
-    double reserved;     /* free places that were left to work that goes before, over all servers */
-    double wait_ms;      /* backlog of the server for the work's urgency, all daemons */
-    double read_ms;      /* for this prompt */
+    double cost_ms;      /* the least of all servers */
+    double reserved;     /* free slots reserved for requests with priority over this one, over all servers */
+    double wait_ms;      /* backlog of the server for the request's urgency, all daemons */
+    double read_ms;      /* predicted prefill time of this prompt */
     uint32_t running;    /* at the server, all daemons */
-    uint32_t age_ms;     /* of the oldest news of other daemons that counted */
-    uint32_t kept;       /* tokens of the prompt taken as kept there */
-    uint64_t from;       /* id of a server to fetch more of the prompt from, 0: none */
-    uint32_t moved;      /* tokens that it would give */
-    uint32_t again;      /* tokens that another server keeps and that are read again here all the same */
-    uint32_t streaming;  /* streams at the server that may pause least */
-    uint32_t candidates; /* servers that had room */
+    uint32_t age_ms;     /* of the oldest load report that was used */
+    uint32_t kept;       /* tokens of the prompt that are assumed to be cached there */
+    uint64_t from;       /* id of the server to fetch more of the prompt from; 0: none */
+    uint32_t moved;      /* tokens to fetch from it */
+    uint32_t again;      /* tokens that are cached at another server and recomputed here all the same */
+    uint32_t streaming;  /* streams at the server with the strictest gap limit */
+    uint32_t candidates; /* servers that had capacity */
     cw_left_out_t left_out;
-    double pace; /* the server's time between events against the fastest one's, 1 while unknown */
-    bool late;   /* whatever server: too much stands before it, see cw_balance_choose */
+    double pace; /* event interval of the server relative to the fastest one's, 1 while unknown */
+    bool late;   /* the backlog is too long at every candidate, see cw_balance_choose */
 } cw_choice_t;
 
 typedef struct cw_balance_desc_t {
     uint64_t hall;        /* id of the own hall, preferred when all else is equal */
-    uint64_t seed;        /* own host: spreads equal choices */
-    uint32_t max_servers; /* default 256; memory is taken as they come */
-    uint32_t max_peers;   /* daemons whose news is kept for one server, default 128 */
-    uint32_t max_parts;   /* prompt parts remembered, default 131072 */
-    uint32_t news_ms;     /* news of another daemon counts for so long, default 1500 */
-    uint32_t away_ms;     /* first pause of a server that can't be reached, default 250 */
-    uint32_t away_max_ms; /* longest such pause, default 4000 */
-    /* Whether this daemon, and no other one, sends to the server while it is cold; NULL: it does. */
+    uint64_t seed;        /* id of the own host: breaks ties between servers of equal cost */
+    uint32_t max_servers; /* default 256; memory grows with the number in use */
+    uint32_t max_peers;   /* daemons whose load reports are kept for one server, default 128 */
+    uint32_t max_parts;   /* capacity of the table of cached prompt parts, default 131072 */
+    uint32_t news_ms;     /* load reports of other daemons are ignored when older, default 1500 */
+    uint32_t away_ms;     /* time until the first probe of an unreachable server, default 250 */
+    uint32_t away_max_ms; /* longest time between two such probes, default 4000 */
+    /* Whether this daemon is the only one that sends to the server during its slow start; NULL: always true. */
     bool (*is_mine)(void* user_data, uint64_t server);
     void* user_data;
     cw_allocator_t allocator;
 } cw_balance_desc_t;
 
-/* Hosts that live. */
+/* The live hosts. */
 typedef struct cw_fleet_t {
     const uint64_t* ids;
     uint32_t count;
-    uint32_t missing;   /* others that vanished without a sign of an end: they may be cut off and go on */
-    uint32_t reach_ms;  /* until news of a request has reached all */
-    uint32_t direct_ms; /* until it has reached the other home hosts of the server (chalkway_home.h) */
+    uint32_t missing;   /* hosts that vanished without a clean stop: they may run on behind a network partition */
+    uint32_t reach_ms;  /* time until a load report has reached all hosts */
+    uint32_t direct_ms; /* time until it has reached the other owner hosts of the server (chalkway_home.h) */
 } cw_fleet_t;
 
-/* Servers that hold callers back now. */
+/* Numbers of servers that throttle this host now. */
 typedef struct cw_held_back_t {
-    uint32_t resting; /* they asked this host for rest */
-    uint32_t limited; /* they named a rate */
-    uint32_t owned;   /* of these, this host owns a part of it */
+    uint32_t resting; /* asked this host to back off */
+    uint32_t limited; /* advertise a rate */
+    uint32_t owned;   /* of the limited ones, those where this host owns a share of the rate */
 } cw_held_back_t;
 
 typedef struct cw_balance_t cw_balance_t;
 
 cw_balance_t* cw_balance_setup(const cw_balance_desc_t* desc);
 void cw_balance_shutdown(cw_balance_t* b);
-/* Replaces the servers that may be chosen; those that stay keep what is known of them. CW_ERR_FULL when too many. */
+/* Replaces the list of servers; servers that stay in it keep their state. CW_ERR_FULL when there are too many. */
 cw_status_t cw_balance_set(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count);
-/* Index of a server; CW_BALANCE_NONE when it is not there. */
+/* Index of a server; CW_BALANCE_NONE when it is not known. */
 uint32_t cw_balance_find(const cw_balance_t* b, uint64_t id);
-/* The hosts that live, this one among them. The ids are kept as they are given: they must outlive the balance, or the
-   next call. */
+/* Sets the live hosts, this one among them. The ids are not copied: they must stay valid until the next call or the
+   shutdown. */
 void cw_balance_set_fleet(cw_balance_t* b, int64_t now_ms, const cw_fleet_t* fleet);
-/* A new request for the pool came. */
+/* Counts a new request for the pool. */
 void cw_balance_asked(cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
-/* Whether the work is of a kind that needs next to nothing of the pool: few of its places, by what comes and for how
-   long it holds them, for prompts that are short beside the longest kind's. */
+/* Whether the request's class is light: by its arrival rate and slot time it needs few of the pool's slots, and its
+   prompts are short compared to those of the class with the longest ones. */
 bool cw_balance_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
-/* Whether the work may take its time: its target is far longer than the pool's shortest one. */
+/* Whether the request is delay-tolerant: its target is much longer than the pool's shortest one. */
 bool cw_balance_patient(const cw_balance_t* b, const cw_work_t* work);
-/* So many requests of this host and urgency wait for a place. */
+/* Sets the number of this host's requests of the urgency that wait for a slot. */
 void cw_balance_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count);
-/* Best server for the work, leaving out those tried. A server is left out, where there is another one, when its backlog
-   for the work's urgency is longer than the work's patience: so many of its targets. A long prompt, which stands before
-   others, is also taken to be late where more urgent work would be: it doesn't begin while that is refused. The
-   work's own reading makes it late nowhere: late, it is still of use. No server where the free places will be taken by
-   work that goes before this one, sooner than this one gives its own back. */
+/* Chooses the best server for the request, except those already tried.
+   - A server whose backlog for the request's urgency exceeds the request's backlog limit (a multiple of its target) is
+     chosen only where all candidates exceed it; the choice is then marked late.
+   - A long prompt delays others, so a server where more urgent requests would exceed their backlog limit counts as late
+     for it too: long prompts are not started while more urgent requests are refused.
+   - The prefill of the request itself never makes it late: a late response is still useful.
+   - No server is returned when requests with priority over this one are expected to take the free slots before this
+     request would release its own. */
 cw_choice_t cw_balance_choose(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, const uint64_t* tried,
                               uint32_t tried_count);
 cw_run_t cw_balance_begin(cw_balance_t* b, int64_t now_ms, uint32_t server, const cw_work_t* work);
-/* The first byte of the answer came. True: the server was suspected to be gone and is not, which the others wait to
-   hear. */
+/* Records the first byte of the response. True: it ends a suspicion of the server, which should be reported to the
+   peers at once. */
 bool cw_balance_first(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
-/* A further event of a streamed answer came. */
+/* Records a further event of a streamed response. */
 void cw_balance_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result);
-/* This daemon has a connection at rest to the server (true), or none: a request would open one. */
-void cw_balance_warm(cw_balance_t* b, uint64_t id, bool warm);
-/* The server is known to be away (true) or to be back. */
-void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool away);
-/* An answer of the server that has just come names a rate at which it takes requests from all hosts together; its
-   request was sent at sent_ms. per_s < 0: it names none. True: what is in force changed. */
+/* Sets whether this daemon has an idle connection to the server; without one a request opens a new one. */
+void cw_balance_warm(cw_balance_t* b, uint64_t id, bool has_idle_connection);
+/* Sets whether the server is unreachable. */
+void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable);
+/* Records the rate limit in a response of the server that has just arrived: the requests per second that the server
+   takes from all hosts together; per_s < 0: the response has none. The request was sent at sent_ms. True: the active
+   rate changed. */
 bool cw_balance_limit(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s);
-/* The rate in force, requests a second of all hosts together, < 0: none. */
+/* The active rate, requests per second of all hosts together; < 0: none. */
 double cw_balance_limit_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* The server wants nothing from this host for so long. */
+/* Records that the server asked this host to back off for ms. */
 void cw_balance_rest(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms);
-/* Whether it does so now. */
+/* Whether this host backs off from the server now. */
 bool cw_balance_rests(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* Time until one of the servers takes a request from this host, where all of them hold callers back; 0: some don't, or
-   it isn't known. */
+/* Time until the first server accepts a request of this host, if all servers throttle it; 0: some server doesn't, or
+   the time is unknown. */
 uint32_t cw_balance_opens_in_ms(const cw_balance_t* b, int64_t now_ms);
 cw_held_back_t cw_balance_held_back(const cw_balance_t* b, int64_t now_ms);
-/* Whether this host's own answers said something of the server's rate that the others are still to be told. */
+/* Whether this host's own responses showed a state of the server's rate that is to be sent to the peers. */
 bool cw_balance_tells_limit(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* Whether the server is suspected to be gone by what all daemons saw of it. */
+/* Whether the server is suspected to be gone, by the reports of all daemons. */
 bool cw_balance_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* A server that is away and may be probed now; its next pause begins. 0: none. */
+/* Returns an unreachable server whose next probe is due, and schedules the one after that. 0: none. */
 uint64_t cw_balance_probe(cw_balance_t* b, int64_t now_ms);
-/* What this daemon has at the server. */
+/* This daemon's load at the server. */
 cw_load_t cw_balance_load(const cw_balance_t* b, int64_t now_ms, uint32_t server);
-/* What another daemon has there. */
+/* Records the load report of another daemon. */
 void cw_balance_news(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load);
-/* Another daemon sent a prompt with this part there. */
+/* Records that another daemon sent a prompt with this part to the server. */
 void cw_balance_kept(cw_balance_t* b, uint64_t server, const cw_work_part_t* part);
-/* Share 0..1 of the places that are taken, as far as known, of the servers that don't hold callers back; 1 when there
-   are none. */
+/* Share 0..1 of slots in use, as far as known, over the servers that don't throttle this host; 1 when there are none.
+ */
 double cw_balance_fullness(const cw_balance_t* b, int64_t now_ms);
-/* Learned target, ms, of the work that can wait least, 0: none was seen. */
+/* Learned shortest target of the pool's requests, ms; 0: none seen yet. */
 double cw_balance_shortest_target(const cw_balance_t* b);
-/* This host's runs at the pool, by urgency. */
+/* This host's requests at the pool, by urgency. */
 const cw_holding_t* cw_balance_holding(const cw_balance_t* b);
-/* Learned pause between events beside a prompt of so many tokens, ms. */
+/* Learned gap between events of a stream while a prompt of so many tokens is prefilled on its server, ms. */
 double cw_balance_pause(const cw_balance_t* b, uint32_t tokens);
-/* Learned ms to read one token. */
+/* Learned prefill time of one token, ms. */
 double cw_balance_read_rate(const cw_balance_t* b);
 
 #endif /* CHALKWAY_BALANCE_H */
@@ -282,98 +289,122 @@
 #include "chalkway_map.h"
 #include "chalkway_pause.h"
 
-#define _CW_COLD_SHARE 0.8  /* of what a cold server bears: two daemons may take it for their own for a moment */
-#define _CW_COLD_BURST 2.0  /* requests that it may get at once */
-#define _CW_QUIET_SHARE 0.5 /* of an engine's slots: with more running a prompt may wait for a place */
-#define _CW_SERVICE_MS 50.0 /* time of a plain call, before anything was learned */
-#define _CW_SPEED_LEARN 0.2 /* weight of a new sample of a server's own slowness */
-#define _CW_SPEED_MAX 20.0  /* a server is never taken as slower than this many times the others */
-#define _CW_SPEED_FORGET_MS 10000.0 /* time in which a server's slowness is forgotten by two thirds */
-#define _CW_FAIL_LEARN 0.25         /* weight of a new failure or success */
-#define _CW_FAIL_FORGET_MS 4000.0
-#define _CW_FAIL_MIN_MS 200.0 /* least time that a failure is taken to cost */
-#define _CW_HALL_MS 10.0    /* what another hall costs, as much as a new connection: bytes between halls, and the way */
-#define _CW_CONNECT_MS 10.0 /* what a new connection costs: time, and a place at the server */
-#define _CW_DEEP_UP 0.1     /* the length of deep prompts is learned as a high quantile */
-#define _CW_DEEP_DOWN 0.005
-#define _CW_GATHER_SHARE 0.1 /* of the target: what each further place in the order costs a stream easily hurt */
-/* Of the slots, that work with a long target leaves to work with a short one, the more of it the longer the target. */
-#define _CW_PATIENT_SHARE 0.4
-#define _CW_PATIENT_FROM 2.0 /* times the shortest target */
-/* Of the places: a kind that needs fewer goes before all. */
-#define _CW_LIGHT_SHARE 0.1
-#define _CW_SHORT_DOWN 0.1 /* the short targets are learned as a low quantile */
-#define _CW_SHORT_UP 0.005
-#define _CW_PATIENCE_DEEP 1.0  /* targets that a long prompt waits for others: it stands before others itself */
-#define _CW_PATIENCE_SHORT 3.0 /* the same for others, which hold up nobody: late, they are still of use */
-#define _CW_PATIENCE_UP 0.005  /* the patience of an urgency is learned as a low quantile */
-#define _CW_PATIENCE_DOWN 0.2
-#define _CW_DEEP_SHARE 0.25   /* of the learned length of deep prompts, from which a prompt is one */
-#define _CW_DEEP_WAIT 0.1     /* weight of the backlog that one deep prompt found */
-#define _CW_UNREAD_FACTOR 1.2 /* times the reading known to be left at a server, that may be left: news is late */
-#define _CW_UNREAD_MS 20.0    /* the same, beside: the usual pause between events */
-#define _CW_PACE_LEARN 0.05   /* weight of a new sample of a server's pace */
-#define _CW_PACE_FEW 20       /* fewer samples say nothing */
-#define _CW_PACE_SLOW 1.15    /* a server whose pace is so many times the fastest one's comes last in the order */
-#define _CW_PACE_RUNS 8       /* only with so few running is a server's pace learned */
-#define _CW_RUN_MS 0.5        /* how much a run slows the others of an engine */
-#define _CW_REREAD 20.0       /* times its reading that a part costs which another server has read already */
-#define _CW_MOVE 20.0         /* times its duration that a move costs: it is not free for others */
-#define _CW_MOVE_FEW 256      /* fewer tokens are not worth a move */
-/* Times the fetching of its shared parts that a prompt costs more at a server that neither keeps nor owns them. */
-#define _CW_STRAY 8.0
-#define _CW_FULL_MS 1000.0    /* what a server costs whose memory would overflow */
-#define _CW_MEMORY_SHARE 0.9  /* of a server's memory that is planned with */
-#define _CW_KEPT_SHARE 0.6    /* of a server's memory that old prompt parts are taken to keep */
-#define _CW_HOME_FREE 0.5     /* of an engine's slots: more being free, any host may use it; fewer are for its homes */
-#define _CW_SUSPECT_SHARE 0.5 /* of a pool's servers: with more of them suspected, it is not the servers that fail */
-#define _CW_SERVERS_ROOM 64   /* servers for which there is memory, to begin with */
-#define _CW_NEWS_ROOM 4       /* pieces of news of a server, to begin with */
-#define _CW_NEWS_OLD_MS 2000  /* what another daemon says happened longer ago could no longer count */
-#define _CW_FULL_PAUSE_MS 100 /* a server that said it is full is left out for so long */
-
-typedef struct _cw_news_t {
+/* Slow start. */
+#define _CW_COLD_SHARE 0.8 /* of cold_per_s: two daemons may briefly both take themselves for the server's owner */
+#define _CW_COLD_BURST 2.0 /* requests at once */
+
+/* Speed and failures of servers. */
+#define _CW_UNQUEUED_SLOT_SHARE 0.5   /* of an engine's slots: with more in use a prompt may have waited for a slot */
+#define _CW_CALL_DEFAULT_MS 50.0      /* assumed time of a plain call before the first sample */
+#define _CW_SLOWDOWN_WEIGHT 0.2       /* of a new sample of a server's slowdown */
+#define _CW_SLOWDOWN_MAX 20.0         /* relative to the other servers */
+#define _CW_SLOWDOWN_DECAY_MS 10000.0 /* time constant, after which a third of a slowdown is left */
+#define _CW_FAILURE_WEIGHT 0.25       /* of a new failure or success */
+#define _CW_FAILURE_DECAY_MS 4000.0   /* time constant */
+#define _CW_FAILURE_COST_MIN_MS 200.0 /* least cost of a failure */
+
+/* Costs of the network. Another hall costs as much as a new connection, for the traffic and latency between halls; a
+   connection costs its latency and a connection slot of the server. */
+#define _CW_OTHER_HALL_COST_MS 10.0
+#define _CW_CONNECT_COST_MS 10.0
+
+/* The length of long prompts is learned as a high quantile of all lengths. */
+#define _CW_LONG_PROMPT_UP 0.1
+#define _CW_LONG_PROMPT_DOWN 0.005
+/* Cost to a gap-sensitive stream of each step in the fill order, in targets. */
+#define _CW_FILL_ORDER_COST_SHARE 0.1
+/* Share of the slots that requests with a long target leave to those with a short one. It grows with the target. */
+#define _CW_TOLERANT_RESERVE_SHARE 0.4
+/* Multiple of the shortest target above which a target is long. */
+#define _CW_TOLERANT_TARGET_RATIO 2.0
+/* A class that needs less than this share of the slots is light. */
+#define _CW_LIGHT_SLOT_SHARE 0.1
+/* The shortest target is learned as a low quantile. */
+#define _CW_SHORT_TARGET_DOWN 0.1
+#define _CW_SHORT_TARGET_UP 0.005
+/* Backlog limit of a request, in targets. It is lower for long prompts, since they delay other prompts themselves; the
+   others delay no one, and a late response to them is still useful. */
+#define _CW_BACKLOG_TARGETS_LONG 1.0
+#define _CW_BACKLOG_TARGETS_SHORT 3.0
+/* The backlog limit of an urgency is learned as a low quantile. */
+#define _CW_BACKLOG_LIMIT_UP 0.005
+#define _CW_BACKLOG_LIMIT_DOWN 0.2
+#define _CW_LONG_PROMPT_SHARE 0.25      /* of the learned length of long prompts: a longer prompt is long */
+#define _CW_LONG_PROMPT_WAIT_WEIGHT 0.1 /* of the backlog that one long prompt found */
+
+/* Bound of the prefill time left at a server: more than is known may be left, since load reports arrive late. The added
+   time is the usual event interval. */
+#define _CW_PREFILL_LEFT_FACTOR 1.2
+#define _CW_PREFILL_LEFT_EXTRA_MS 20.0
+
+/* Event intervals of servers. */
+#define _CW_INTERVAL_WEIGHT 0.05     /* of a new sample */
+#define _CW_INTERVAL_SAMPLES_MIN 20  /* with fewer samples an interval counts as unknown */
+#define _CW_INTERVAL_SLOW_RATIO 1.15 /* to the fastest server's: from here on a server comes last in the fill order */
+#define _CW_INTERVAL_RUNS_MAX 8      /* with more requests running no sample is taken */
+
+#define _CW_RUN_COST_MS 0.5 /* slowdown of an engine's other requests by one more */
+/* Cost of recomputing tokens that another server has cached, as a multiple of their prefill time. */
+#define _CW_RECOMPUTE_FACTOR 20.0
+/* Cost of fetching cached tokens, as a multiple of the fetch time: a fetch slows down other requests, too. */
+#define _CW_FETCH_FACTOR 20.0
+#define _CW_FETCH_TOKENS_MIN 256 /* fewer tokens are not worth a fetch */
+/* Cost of a server that neither caches nor owns the prompt's shared parts, as a multiple of the time to fetch them. */
+#define _CW_CACHE_MISS_FACTOR 8.0
+#define _CW_OVERFLOW_COST_MS 1000.0 /* of a server whose memory would overflow */
+#define _CW_MEMORY_SHARE 0.9        /* usable share of a server's memory */
+#define _CW_PREFIX_CACHE_SHARE 0.6  /* of a server's memory that is assumed to cache prompt parts */
+
+#define _CW_OWNER_FREE_SHARE 0.5 /* of an engine's slots: with no more than these free, only owner hosts may use it */
+#define _CW_SUSPECT_SHARE 0.5    /* of a pool's servers: with more suspected, the fault is taken to be elsewhere */
+#define _CW_SERVERS_CAPACITY 64  /* initial capacity, servers */
+#define _CW_REPORTS_CAPACITY 4   /* initial capacity, load reports for one server */
+#define _CW_REPORTED_AGE_MAX_MS 2000 /* older failures and responses in a peer's load report no longer matter */
+#define _CW_FULL_PAUSE_MS 100        /* time for which a server that reported to be full is excluded */
+
+/* The last load report of another daemon. */
+typedef struct _cw_load_report_t {
     uint64_t peer;
     int64_t at_ms;
     cw_load_t load;
-} _cw_news_t;
+} _cw_load_report_t;
 
 typedef struct _cw_server_t {
     cw_server_spec_t spec;
-    bool used;         /* the place holds a server */
-    bool listed;       /* it may be chosen */
-    uint32_t position; /* in the order that all daemons see alike */
+    bool is_used;      /* the table entry is in use */
+    bool is_listed;    /* it may be chosen */
+    uint32_t position; /* in the fill order, which is the same in all daemons */
     uint32_t running;
-    cw_gaps_t gaps; /* own streams that have begun */
+    cw_gaps_t gap_limits; /* of own streams that have begun */
     uint64_t tokens;
-    cw_backlog_t backlog; /* own prompts, from sending to the first byte */
-    uint32_t deepest;     /* tokens of the longest prompt among them; 0 when there are none */
-    double pace_ms;       /* learned time between events while nothing is read there, 0: unknown */
-    uint32_t pace_samples;
-    double slow;     /* 1: as the others */
-    int64_t slow_ms; /* when slow was learned */
-    double fail;     /* 0..1 */
-    int64_t fail_ms;
-    bool warm; /* a connection rests */
-    bool away;
+    cw_backlog_t backlog;     /* own prompts, from sending to the first byte */
+    uint32_t deepest;         /* tokens of the longest prompt among them; 0 when there are none */
+    double event_interval_ms; /* learned event interval while nothing is prefilled there; 0: unknown */
+    uint32_t interval_samples;
+    double slowdown;        /* time that requests take, relative to the other servers; 1: the same */
+    int64_t slowdown_at_ms; /* when it was learned */
+    double failure_ratio;   /* 0..1 */
+    int64_t failure_at_ms;
+    bool has_idle_connection;
+    bool is_unreachable;
     uint32_t away_ms;
-    int64_t away_until_ms;
+    int64_t next_probe_ms;
     int64_t full_until_ms;
-    bool home;             /* this host may take its last places; judged at: */
-    uint64_t home_changes; /* of the fleet, 0: not yet */
-    cw_suspect_t life;     /* what all hosts know */
-    int64_t own_failed_ms; /* what this host saw itself, and tells, 0: nothing */
-    int64_t own_alive_ms;
+    bool is_owner_host;           /* this host is an owner host of it, as of owner_fleet_version */
+    uint64_t owner_fleet_version; /* fleet_version at which that was decided; 0: not yet */
+    cw_suspect_t suspicion;       /* by the reports of all hosts */
+    int64_t own_failed_ms;        /* observed by this host and sent to its peers; 0: never */
+    int64_t own_answered_ms;
     cw_rate_t rate;
-    cw_rest_t rest; /* that it asked this host for */
+    cw_rest_t backoff;
     int64_t cold_until_ms;
-    cw_bucket_t cold;     /* what it may get until then */
-    uint64_t read_tokens; /* all that was read there, as far as known */
-    _cw_news_t* news;     /* of daemons that have something there; most servers of a large pool have none */
-    uint32_t news_count, news_room;
+    cw_bucket_t cold;           /* rate limit until then */
+    uint64_t read_tokens;       /* all tokens prefilled there, as far as known */
+    _cw_load_report_t* reports; /* of daemons with load there; most servers of a large pool have none */
+    uint32_t report_count, report_capacity;
 } _cw_server_t;
 
-/* A listed server and what it is sorted by. */
+/* A listed server and its sort key. */
 typedef struct _cw_order_t {
     uint64_t key;
     uint32_t at;
@@ -382,27 +413,27 @@
 struct cw_balance_t {
     cw_balance_desc_t desc;
     _cw_server_t* servers;
-    _cw_order_t* order; /* room to sort the servers */
-    cw_map_t index;     /* id to place */
-    uint32_t capacity;  /* servers for which there is memory */
-    uint32_t places;
-    uint32_t away;       /* servers that are */
-    uint32_t first_free; /* no place before it is */
-    uint32_t listed;
-    cw_kept_t* kept;
+    _cw_order_t* order; /* scratch space to sort the servers */
+    cw_map_t index;     /* id to index in servers */
+    uint32_t capacity;  /* allocated entries of servers */
+    uint32_t entry_count;
+    uint32_t unreachable_count;
+    uint32_t first_free; /* all entries before it are in use */
+    uint32_t listed_count;
+    cw_kept_t* prefix_cache;
     cw_fleet_t fleet;
-    uint64_t fleet_changes; /* times that it was told, and one */
+    uint64_t fleet_version; /* 1 + number of times that the fleet was set */
     cw_contention_t contention;
-    cw_holding_t holding;
-    cw_reading_t reading;
-    double service_ms;
-    uint32_t service_samples;
-    cw_pauses_t pauses;
-    double patience_ms[CW_URGENCIES]; /* learned patience of the work of each urgency, 0: none seen */
-    double short_target_ms;           /* learned target of those that can wait least, 0: none yet */
-    double deep_tokens;               /* learned length of the deep prompts */
-    double deep_wait_ms;              /* backlog that deep prompts found lately */
-    double pace_ms;                   /* shortest pace of a server that is known, 0: none */
+    cw_holding_t occupancy;
+    cw_reading_t prefill;
+    double call_ms;
+    uint32_t call_samples;
+    cw_pauses_t stalls;
+    double backlog_limit_ms[CW_URGENCIES]; /* learned backlog limit of each urgency's requests; 0: none seen */
+    double short_target_ms;                /* learned target of the requests with the shortest ones; 0: none yet */
+    double long_prompt_tokens;             /* learned length of long prompts */
+    double long_prompt_wait_ms;            /* mean backlog that long prompts found recently */
+    double fastest_interval_ms;            /* shortest known event interval of a server; 0: none known */
 };
 
 static cw_balance_desc_t _cw_balance_desc_defaults(const cw_balance_desc_t* desc) {
@@ -419,31 +450,31 @@
 cw_balance_t* cw_balance_setup(const cw_balance_desc_t* desc) {
     cw_balance_t* b = cw_alloc(&desc->allocator, 1, sizeof(*b));
     b->desc = _cw_balance_desc_defaults(desc);
-    b->capacity = b->desc.max_servers < _CW_SERVERS_ROOM ? b->desc.max_servers : _CW_SERVERS_ROOM;
+    b->capacity = b->desc.max_servers < _CW_SERVERS_CAPACITY ? b->desc.max_servers : _CW_SERVERS_CAPACITY;
     b->servers = cw_alloc(&b->desc.allocator, b->capacity, sizeof(*b->servers));
     b->order = cw_alloc(&b->desc.allocator, b->capacity, sizeof(*b->order));
     b->index = cw_map_setup(b->capacity, &b->desc.allocator);
-    b->kept = cw_kept_setup(b->desc.max_parts, &b->desc.allocator);
-    b->reading = cw_reading_new();
-    b->fleet_changes = 1;
+    b->prefix_cache = cw_kept_setup(b->desc.max_parts, &b->desc.allocator);
+    b->prefill = cw_reading_new();
+    b->fleet_version = 1;
     b->contention.seed = desc->seed;
-    b->service_ms = _CW_SERVICE_MS;
+    b->call_ms = _CW_CALL_DEFAULT_MS;
     return b;
 }
 
 void cw_balance_shutdown(cw_balance_t* b) {
     cw_allocator_t allocator = b->desc.allocator;
     for (uint32_t i = 0; i < b->capacity; i++) {
-        cw_free(&allocator, b->servers[i].news);
+        cw_free(&allocator, b->servers[i].reports);
     }
     cw_map_shutdown(&b->index);
-    cw_kept_shutdown(b->kept);
+    cw_kept_shutdown(b->prefix_cache);
     cw_free(&allocator, b->order);
     cw_free(&allocator, b->servers);
     cw_free(&allocator, b);
 }
 
-/* -- the list ------------------------------------------------------------- */
+/* -- list of servers ------------------------------------------------------ */
 
 uint32_t cw_balance_find(const cw_balance_t* b, uint64_t id) {
     uint32_t at = id ? cw_map_get(&b->index, id) : CW_MAP_NONE;
@@ -453,23 +484,23 @@
 static void _cw_balance_remove(cw_balance_t* b, uint32_t at) {
     _cw_server_t* s = &b->servers[at];
     cw_map_remove(&b->index, s->spec.id);
-    b->away -= s->away;
-    _cw_news_t* news = s->news;
-    uint32_t news_room = s->news_room;
+    b->unreachable_count -= s->is_unreachable;
+    _cw_load_report_t* reports = s->reports;
+    uint32_t report_capacity = s->report_capacity;
     memset(s, 0, sizeof(*s));
-    s->news = news;
-    s->news_room = news_room;
+    s->reports = reports;
+    s->report_capacity = report_capacity;
     b->first_free = at < b->first_free ? at : b->first_free;
 }
 
-/* Takes memory for twice as many servers, up to max_servers. */
+/* Doubles the capacity, up to max_servers. */
 static void _cw_balance_grow(cw_balance_t* b) {
     const cw_allocator_t* allocator = &b->desc.allocator;
     uint32_t capacity = b->capacity < b->desc.max_servers / 2 ? 2 * b->capacity : b->desc.max_servers;
     _cw_server_t* servers = cw_alloc(allocator, capacity, sizeof(*servers));
     memcpy(servers, b->servers, b->capacity * sizeof(*servers));
     cw_free(allocator, b->servers);
-    cw_free(allocator, b->order); /* made anew with each list */
+    cw_free(allocator, b->order); /* filled anew with each list: nothing to copy */
     b->servers = servers;
     b->order = cw_alloc(allocator, capacity, sizeof(*b->order));
     cw_map_reserve(&b->index, capacity);
@@ -482,16 +513,16 @@
     }
     for (uint32_t i = b->first_free; i < b->capacity; i++) {
         _cw_server_t* s = &b->servers[i];
-        if (s->used) {
+        if (s->is_used) {
             continue;
         }
         b->first_free = i + 1;
-        s->news_count = 0;
-        s->used = true;
-        s->slow = 1;
+        s->report_count = 0;
+        s->is_used = true;
+        s->slowdown = 1;
         s->spec.id = id;
         cw_map_put(&b->index, id, i);
-        b->places = i >= b->places ? i + 1 : b->places;
+        b->entry_count = i >= b->entry_count ? i + 1 : b->entry_count;
         return i;
     }
     return CW_BALANCE_NONE;
@@ -505,16 +536,16 @@
     return (a > b) - (a < b);
 }
 
-/* Places the servers in an order that depends on their ids only. */
-static void _cw_balance_order(cw_balance_t* b) {
-    b->listed = 0;
-    for (uint32_t i = 0; i < b->places; i++) {
-        if (b->servers[i].listed) {
-            b->order[b->listed++] = (_cw_order_t){.key = cw_mix(b->servers[i].spec.id, 1), .at = i};
+/* Computes the fill order: it depends on the servers' ids only, so it is the same in all daemons. */
+static void _cw_balance_sort_servers(cw_balance_t* b) {
+    b->listed_count = 0;
+    for (uint32_t i = 0; i < b->entry_count; i++) {
+        if (b->servers[i].is_listed) {
+            b->order[b->listed_count++] = (_cw_order_t){.key = cw_mix(b->servers[i].spec.id, 1), .at = i};
         }
     }
-    qsort(b->order, b->listed, sizeof(*b->order), _cw_order_compare);
-    for (uint32_t i = 0; i < b->listed; i++) {
+    qsort(b->order, b->listed_count, sizeof(*b->order), _cw_order_compare);
+    for (uint32_t i = 0; i < b->listed_count; i++) {
         b->servers[b->order[i].at].position = i;
     }
     _cw_balance_find_fastest(b);
@@ -522,8 +553,8 @@
 
 cw_status_t cw_balance_set(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count) {
     cw_status_t status = CW_OK;
-    for (uint32_t i = 0; i < b->places; i++) {
-        b->servers[i].listed = false;
+    for (uint32_t i = 0; i < b->entry_count; i++) {
+        b->servers[i].is_listed = false;
     }
     for (uint32_t i = 0; i < count; i++) {
         uint32_t at = cw_balance_find(b, specs[i].id);
@@ -534,63 +565,64 @@
         }
         _cw_server_t* s = &b->servers[at];
         s->spec = specs[i];
-        s->listed = true;
+        s->is_listed = true;
         s->cold_until_ms = specs[i].cold_ms ? now_ms + specs[i].cold_ms : s->cold_until_ms;
         s->cold.rate = _CW_COLD_SHARE * specs[i].cold_per_s;
         s->cold.burst = _CW_COLD_BURST;
     }
-    for (uint32_t i = 0; i < b->places; i++) {
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         _cw_server_t* s = &b->servers[i];
-        bool holds_back = now_ms < s->rest.until_ms || cw_rate_holds(&s->rate, now_ms);
-        if (s->used && !s->listed && !s->running && !holds_back) {
+        bool holds_back = now_ms < s->backoff.until_ms || cw_rate_holds(&s->rate, now_ms);
+        if (s->is_used && !s->is_listed && !s->running && !holds_back) {
             _cw_balance_remove(b, i);
         }
     }
-    _cw_balance_order(b);
+    _cw_balance_sort_servers(b);
     return status;
 }
 
 /* -- prompt parts --------------------------------------------------------- */
 
-static cw_prefix_memory_t _cw_balance_memory(const _cw_server_t* s) {
-    return (cw_prefix_memory_t){
-        .server = s->spec.id, .read_tokens = s->read_tokens, .room_tokens = _CW_KEPT_SHARE * s->spec.memory_tokens};
+static cw_prefix_memory_t _cw_balance_prefix_capacity(const _cw_server_t* s) {
+    return (cw_prefix_memory_t){.server = s->spec.id,
+                                .read_tokens = s->read_tokens,
+                                .room_tokens = _CW_PREFIX_CACHE_SHARE * s->spec.memory_tokens};
 }
 
-/* Tokens of the prompt that the server keeps. */
-static uint32_t _cw_balance_kept_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_work_t* work) {
-    cw_prefix_memory_t memory = _cw_balance_memory(s);
-    uint32_t tokens = cw_prefix_kept(b->kept, &memory, work->parts, work->part_count);
+/* Tokens of the prompt that are assumed to be cached at the server. */
+static uint32_t _cw_balance_cached_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_work_t* work) {
+    cw_prefix_memory_t memory = _cw_balance_prefix_capacity(s);
+    uint32_t tokens = cw_prefix_kept(b->prefix_cache, &memory, work->parts, work->part_count);
     return tokens < work->prompt_tokens ? tokens : work->prompt_tokens;
 }
 
-static void _cw_balance_keep(cw_balance_t* b, _cw_server_t* s, const cw_work_part_t* part) {
-    cw_prefix_memory_t memory = _cw_balance_memory(s);
-    if (!cw_kept_has(b->kept, s->spec.id, part->id, memory.read_tokens, memory.room_tokens)) {
+static void _cw_balance_cache_part(cw_balance_t* b, _cw_server_t* s, const cw_work_part_t* part) {
+    cw_prefix_memory_t memory = _cw_balance_prefix_capacity(s);
+    if (!cw_kept_has(b->prefix_cache, s->spec.id, part->id, memory.read_tokens, memory.room_tokens)) {
         s->read_tokens += part->tokens;
     }
-    cw_kept_add(b->kept, s->spec.id, part->id, s->read_tokens);
+    cw_kept_add(b->prefix_cache, s->spec.id, part->id, s->read_tokens);
 }
 
 void cw_balance_kept(cw_balance_t* b, uint64_t server, const cw_work_part_t* part) {
     uint32_t at = cw_balance_find(b, server);
     if (at != CW_BALANCE_NONE) {
-        _cw_balance_keep(b, &b->servers[at], part);
+        _cw_balance_cache_part(b, &b->servers[at], part);
     }
 }
 
 /* -- prediction ----------------------------------------------------------- */
 
-/* All that is known to run at a server, and the age of the oldest news that counted. */
-typedef struct _cw_sum_t {
-    uint32_t running, streaming, gap_ms, deepest, age_ms;
+/* Known load of all daemons at a server. */
+typedef struct _cw_total_load_t {
+    uint32_t running, streaming, gap_ms, deepest, age_ms; /* age_ms: of the oldest load report that was used */
     double tokens;
-    double wait_ms;    /* backlog of the urgency and before */
-    double backlog_ms; /* of all */
-} _cw_sum_t;
+    double wait_ms;    /* backlog of the urgency and more urgent ones */
+    double backlog_ms; /* of all urgencies */
+} _cw_total_load_t;
 
-/* Adds streams: only those with the shortest pauses count. */
-static void _cw_balance_add_gap(_cw_sum_t* sum, uint32_t gap_ms, uint32_t count) {
+/* Adds streams with a gap limit: only those with the strictest one are counted. */
+static void _cw_balance_add_gap_limit(_cw_total_load_t* sum, uint32_t gap_ms, uint32_t count) {
     if (!count || (sum->streaming && gap_ms > sum->gap_ms)) {
         return;
     }
@@ -598,37 +630,38 @@
     sum->gap_ms = gap_ms;
 }
 
-/* Time until the own prompts there of the urgency and before are read. A plain call is not read. */
-static double _cw_balance_own_backlog(const _cw_server_t* s, int64_t now_ms, uint32_t urgency) {
+/* Time until this daemon's prompts there of the urgency and more urgent ones are prefilled. Plain calls have none. */
+static double _cw_balance_own_backlog_ms(const _cw_server_t* s, int64_t now_ms, uint32_t urgency) {
     return s->spec.memory_tokens ? cw_backlog_ms(&s->backlog, now_ms, urgency) : 0;
 }
 
-/* What is left of a backlog that was told so long ago. */
-static double _cw_balance_left_ms(uint32_t told_ms, int64_t age_ms) {
-    return told_ms > age_ms ? (double)(told_ms - age_ms) : 0;
-}
-
-/* What a request of the urgency finds there. */
-static _cw_sum_t _cw_balance_sum(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms, uint32_t urgency) {
-    double own_ms = _cw_balance_own_backlog(s, now_ms, CW_URGENCIES - 1);
-    _cw_sum_t sum = {.running = s->running,
-                     .deepest = own_ms > 0 ? s->deepest : 0,
-                     .tokens = (double)s->tokens,
-                     .wait_ms = _cw_balance_own_backlog(s, now_ms, urgency),
-                     .backlog_ms = own_ms};
-    cw_gap_t own = cw_gaps_shortest(&s->gaps);
-    _cw_balance_add_gap(&sum, own.gap_ms, own.count);
-    for (uint32_t i = 0; i < s->news_count; i++) {
-        const _cw_news_t* n = &s->news[i];
+/* Remainder of a backlog that was reported age_ms ago. */
+static double _cw_balance_remaining_ms(uint32_t reported_ms, int64_t age_ms) {
+    return reported_ms > age_ms ? (double)(reported_ms - age_ms) : 0;
+}
+
+/* Load that a request of the urgency finds there. */
+static _cw_total_load_t _cw_balance_total_load(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
+                                               uint32_t urgency) {
+    double own_ms = _cw_balance_own_backlog_ms(s, now_ms, CW_URGENCIES - 1);
+    _cw_total_load_t sum = {.running = s->running,
+                            .deepest = own_ms > 0 ? s->deepest : 0,
+                            .tokens = (double)s->tokens,
+                            .wait_ms = _cw_balance_own_backlog_ms(s, now_ms, urgency),
+                            .backlog_ms = own_ms};
+    cw_gap_t own = cw_gaps_shortest(&s->gap_limits);
+    _cw_balance_add_gap_limit(&sum, own.gap_ms, own.count);
+    for (uint32_t i = 0; i < s->report_count; i++) {
+        const _cw_load_report_t* n = &s->reports[i];
         int64_t age_ms = now_ms - n->at_ms;
         if (age_ms > b->desc.news_ms) {
             continue;
         }
         sum.running += n->load.running;
         sum.tokens += n->load.tokens;
-        _cw_balance_add_gap(&sum, n->load.gap_ms, n->load.streaming);
-        sum.wait_ms += _cw_balance_left_ms(n->load.backlog_ms[urgency], age_ms);
-        double all_ms = _cw_balance_left_ms(n->load.backlog_ms[CW_URGENCIES - 1], age_ms);
+        _cw_balance_add_gap_limit(&sum, n->load.gap_ms, n->load.streaming);
+        sum.wait_ms += _cw_balance_remaining_ms(n->load.backlog_ms[urgency], age_ms);
+        double all_ms = _cw_balance_remaining_ms(n->load.backlog_ms[CW_URGENCIES - 1], age_ms);
         if (all_ms > 0) {
             sum.backlog_ms += all_ms;
             sum.deepest = n->load.deepest > sum.deepest ? n->load.deepest : sum.deepest;
@@ -638,257 +671,265 @@
     return sum;
 }
 
-/* -- what is learned of servers ------------------------------------------- */
+/* -- speed and failures of servers ---------------------------------------- */
 
 double cw_balance_pause(const cw_balance_t* b, uint32_t tokens) {
-    return cw_pauses_expected(&b->pauses, tokens, b->reading.token_ms);
+    return cw_pauses_expected(&b->stalls, tokens, b->prefill.token_ms);
 }
 
-/* Finds the fastest server whose pace is known. */
+/* Finds the shortest event interval of a listed server. */
 static void _cw_balance_find_fastest(cw_balance_t* b) {
-    b->pace_ms = 0;
-    for (uint32_t i = 0; i < b->places; i++) {
+    b->fastest_interval_ms = 0;
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* other = &b->servers[i];
-        bool known = other->listed && other->pace_samples >= _CW_PACE_FEW;
-        b->pace_ms = known && (b->pace_ms <= 0 || other->pace_ms < b->pace_ms) ? other->pace_ms : b->pace_ms;
+        bool known = other->is_listed && other->interval_samples >= _CW_INTERVAL_SAMPLES_MIN;
+        b->fastest_interval_ms =
+            known && (b->fastest_interval_ms <= 0 || other->event_interval_ms < b->fastest_interval_ms)
+                ? other->event_interval_ms
+                : b->fastest_interval_ms;
     }
 }
 
-/* The server's pace changed. All are searched only where it was the fastest and is so no more. */
-static void _cw_balance_pace_changed(cw_balance_t* b, const _cw_server_t* s, double before_ms) {
-    if (!s->listed || s->pace_samples < _CW_PACE_FEW) {
+/* Updates the shortest event interval after the server's changed. A full search is needed only where this server was
+   the fastest and no longer is. */
+static void _cw_balance_update_fastest(cw_balance_t* b, const _cw_server_t* s, double before_ms) {
+    if (!s->is_listed || s->interval_samples < _CW_INTERVAL_SAMPLES_MIN) {
         return;
     }
-    if (b->pace_ms <= 0 || s->pace_ms <= b->pace_ms) {
-        b->pace_ms = s->pace_ms;
-    } else if (before_ms <= b->pace_ms) {
+    if (b->fastest_interval_ms <= 0 || s->event_interval_ms <= b->fastest_interval_ms) {
+        b->fastest_interval_ms = s->event_interval_ms;
+    } else if (before_ms <= b->fastest_interval_ms) {
         _cw_balance_find_fastest(b);
     }
 }
 
-static void _cw_balance_learn_pace(cw_balance_t* b, _cw_server_t* s, double pause_ms) {
-    double before_ms = s->pace_ms;
-    s->pace_ms += (s->pace_samples ? _CW_PACE_LEARN : 1) * (pause_ms - s->pace_ms);
-    s->pace_samples++;
-    _cw_balance_pace_changed(b, s, before_ms);
+static void _cw_balance_learn_interval(cw_balance_t* b, _cw_server_t* s, double pause_ms) {
+    double before_ms = s->event_interval_ms;
+    s->event_interval_ms += (s->interval_samples ? _CW_INTERVAL_WEIGHT : 1) * (pause_ms - s->event_interval_ms);
+    s->interval_samples++;
+    _cw_balance_update_fastest(b, s, before_ms);
 }
 
-/* What another daemon has learned counts as long as this one has seen little itself. */
-static void _cw_balance_hear_pace(cw_balance_t* b, _cw_server_t* s, uint32_t pace_us) {
-    if (!pace_us || s->pace_samples > _CW_PACE_FEW) {
+/* Takes over the event interval that another daemon has learned, as long as this one has few samples of its own. */
+static void _cw_balance_merge_interval(cw_balance_t* b, _cw_server_t* s, uint32_t pace_us) {
+    if (!pace_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
         return;
     }
-    double before_ms = s->pace_ms;
-    s->pace_ms = pace_us / 1000.0;
-    s->pace_samples = _CW_PACE_FEW;
-    _cw_balance_pace_changed(b, s, before_ms);
+    double before_ms = s->event_interval_ms;
+    s->event_interval_ms = pace_us / 1000.0;
+    s->interval_samples = _CW_INTERVAL_SAMPLES_MIN;
+    _cw_balance_update_fastest(b, s, before_ms);
 }
 
-static double _cw_balance_slow(const _cw_server_t* s, int64_t now_ms) {
-    double left = exp(-(double)(now_ms - s->slow_ms) / _CW_SPEED_FORGET_MS);
-    return 1 + (s->slow - 1) * left;
+static double _cw_balance_slowdown(const _cw_server_t* s, int64_t now_ms) {
+    double left = exp(-(double)(now_ms - s->slowdown_at_ms) / _CW_SLOWDOWN_DECAY_MS);
+    return 1 + (s->slowdown - 1) * left;
 }
 
-static double _cw_balance_fail(const _cw_server_t* s, int64_t now_ms) {
-    return s->fail * exp(-(double)(now_ms - s->fail_ms) / _CW_FAIL_FORGET_MS);
+static double _cw_balance_failure_ratio(const _cw_server_t* s, int64_t now_ms) {
+    return s->failure_ratio * exp(-(double)(now_ms - s->failure_at_ms) / _CW_FAILURE_DECAY_MS);
 }
 
-static double _cw_balance_fail_cost(const _cw_server_t* s, int64_t now_ms, const cw_work_t* work) {
-    double loss_ms = work->target_ms > _CW_FAIL_MIN_MS ? work->target_ms : _CW_FAIL_MIN_MS;
-    return _cw_balance_fail(s, now_ms) * loss_ms * (work->repeatable ? 1 : 2);
+static double _cw_balance_failure_cost_ms(const _cw_server_t* s, int64_t now_ms, const cw_work_t* work) {
+    double loss_ms = work->target_ms > _CW_FAILURE_COST_MIN_MS ? work->target_ms : _CW_FAILURE_COST_MIN_MS;
+    return _cw_balance_failure_ratio(s, now_ms) * loss_ms * (work->repeatable ? 1 : 2);
 }
 
-/* Whether the server takes what it has places for: not where it is away or holds its callers back. */
-static bool _cw_balance_takes_all(const _cw_server_t* s, int64_t now_ms) {
-    return s->used && s->listed && !s->away && now_ms >= s->rest.until_ms && !cw_rate_holds(&s->rate, now_ms);
+/* Whether the server takes requests up to its slots: it is neither unreachable nor throttling. */
+static bool _cw_balance_is_unthrottled(const _cw_server_t* s, int64_t now_ms) {
+    return s->is_used && s->is_listed && !s->is_unreachable && now_ms >= s->backoff.until_ms &&
+           !cw_rate_holds(&s->rate, now_ms);
 }
 
-/* Where the prompt's parts are, and belong, among the servers that may be chosen. */
+/* Finds where the prompt's parts are cached, and their owners, among the servers that may be chosen. */
 static cw_prefix_t _cw_balance_prefix(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
     cw_prefix_t prefix = cw_prefix_new(work->parts, work->part_count);
-    for (uint32_t i = 0; i < b->places && work->part_count; i++) {
+    for (uint32_t i = 0; i < b->entry_count && work->part_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        if (s->used && s->listed && !s->away) {
-            cw_prefix_see(&prefix, s->spec.id, _cw_balance_kept_tokens(b, s, work), _cw_balance_takes_all(s, now_ms));
+        if (s->is_used && s->is_listed && !s->is_unreachable) {
+            cw_prefix_see(&prefix, s->spec.id, _cw_balance_cached_tokens(b, s, work),
+                          _cw_balance_is_unthrottled(s, now_ms));
         }
     }
     return prefix;
 }
 
-/* Tokens that the server would better fetch from the holder than read again, 0: none. */
-static uint32_t _cw_balance_moved(const cw_balance_t* b, const _cw_server_t* s, const cw_prefix_t* prefix,
-                                  uint32_t kept) {
+/* Tokens that the server gets faster from the holder's cache than by prefill; 0: none. */
+static uint32_t _cw_balance_fetched_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_prefix_t* prefix,
+                                           uint32_t kept) {
     uint32_t more = prefix->held > kept ? prefix->held - kept : 0;
-    bool cheaper = s->spec.move_ms > 0 && s->spec.move_ms < b->reading.token_ms;
-    return cheaper && more >= _CW_MOVE_FEW ? more : 0;
+    bool cheaper = s->spec.move_ms > 0 && s->spec.move_ms < b->prefill.token_ms;
+    return cheaper && more >= _CW_FETCH_TOKENS_MIN ? more : 0;
 }
 
-/* A plain call: waits its share of the calls beyond the slots; a nearly full server is slower. */
-static double _cw_balance_call_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_sum_t* sum) {
+/* Predicted time of a plain call. It grows with the share of slots in use, and proportionally once all are in use. */
+static double _cw_balance_call_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum) {
     double slots = s->spec.slots ? s->spec.slots : 1;
     double load = (sum->running + 1) / slots;
-    return b->service_ms * (load <= 1 ? 1 + load * load : 2 * load);
+    return b->call_ms * (load <= 1 ? 1 + load * load : 2 * load);
 }
 
-/* The server's pace against the fastest one's, 1 while unknown. */
-static double _cw_balance_pace(const cw_balance_t* b, const _cw_server_t* s) {
-    bool known = s->pace_samples >= _CW_PACE_FEW && b->pace_ms > 0;
-    return known ? s->pace_ms / b->pace_ms : 1;
+/* Event interval of the server relative to the fastest one's, 1 while unknown. */
+static double _cw_balance_interval_ratio(const cw_balance_t* b, const _cw_server_t* s) {
+    bool known = s->interval_samples >= _CW_INTERVAL_SAMPLES_MIN && b->fastest_interval_ms > 0;
+    return known ? s->event_interval_ms / b->fastest_interval_ms : 1;
 }
 
-/* Place in the order in which easily hurt streams fill the servers: slow ones last. */
-static double _cw_balance_place(const cw_balance_t* b, const _cw_server_t* s) {
-    return s->position + (_cw_balance_pace(b, s) > _CW_PACE_SLOW ? b->listed : 0);
+/* Position in the order in which gap-sensitive streams fill the servers: slow ones come last. */
+static double _cw_balance_fill_position(const cw_balance_t* b, const _cw_server_t* s) {
+    return s->position + (_cw_balance_interval_ratio(b, s) > _CW_INTERVAL_SLOW_RATIO ? b->listed_count : 0);
 }
 
-/* How likely a prompt makes a stream late that may pause for gap_ms, while prompts there take unread_ms to read. */
-static double _cw_balance_harm(const cw_balance_t* b, uint32_t tokens, double gap_ms, double unread_ms) {
-    return cw_pauses_harm(&b->pauses, tokens, (uint32_t)gap_ms, b->reading.token_ms, unread_ms);
+/* Probability that a prompt stalls a stream beyond gap_ms, while the prompts there take unread_ms to prefill. */
+static double _cw_balance_stall_risk(const cw_balance_t* b, uint32_t tokens, double gap_ms, double unread_ms) {
+    return cw_pauses_harm(&b->stalls, tokens, (uint32_t)gap_ms, b->prefill.token_ms, unread_ms);
 }
 
-/* Ms: the streams there that the prompt makes late, as so many targets missed. What is left to be read there may be
-   more than is known. */
-static double _cw_balance_caused_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_sum_t* sum,
-                                    const cw_work_t* work, double read_ms) {
-    double unread_ms = _CW_UNREAD_FACTOR * (sum->backlog_ms + read_ms) + _CW_UNREAD_MS;
-    double gap_ms = sum->gap_ms / _cw_balance_pace(b, s);
-    return work->target_ms * sum->streaming * _cw_balance_harm(b, work->prompt_tokens, gap_ms, unread_ms);
+/* Cost, ms, of the stalls that the prompt causes: each stream that it stalls beyond its gap limit counts as one missed
+   target. The prefill left there may be more than is known. */
+static double _cw_balance_caused_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
+                                          const cw_work_t* work, double read_ms) {
+    double unread_ms = _CW_PREFILL_LEFT_FACTOR * (sum->backlog_ms + read_ms) + _CW_PREFILL_LEFT_EXTRA_MS;
+    double gap_ms = sum->gap_ms / _cw_balance_interval_ratio(b, s);
+    return work->target_ms * sum->streaming * _cw_balance_stall_risk(b, work->prompt_tokens, gap_ms, unread_ms);
 }
 
-/* Ms: the answer's own pauses beside the prompts that are read there now; they end while it is prefilled, or soon
-   after, so that half counts. */
-static double _cw_balance_suffered_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_sum_t* sum,
-                                      const cw_work_t* work) {
-    double gap_ms = work->gap_ms / _cw_balance_pace(b, s);
-    return sum->deepest ? work->target_ms * _cw_balance_harm(b, sum->deepest, gap_ms, INFINITY) / 2 : 0;
+/* Cost, ms, of the stalls of the response itself by the prompts that are prefilled there now. These end during its own
+   prefill or soon after, so only half is counted. */
+static double _cw_balance_own_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
+                                       const cw_work_t* work) {
+    double gap_ms = work->gap_ms / _cw_balance_interval_ratio(b, s);
+    return sum->deepest ? work->target_ms * _cw_balance_stall_risk(b, sum->deepest, gap_ms, INFINITY) / 2 : 0;
 }
 
-/* Ms: what a stream that deep prompts make late does by staying there. It closes the server to deep prompts, the more
-   so the fewer such streams it has already, and that costs what deep prompts wait for now. The order of places decides
-   between servers alike. */
-static double _cw_balance_gather_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_sum_t* sum,
-                                    const cw_work_t* work) {
-    double fragile = _cw_balance_harm(b, (uint32_t)b->deep_tokens, work->gap_ms, INFINITY);
-    double order_ms = work->target_ms * _CW_GATHER_SHARE * _cw_balance_place(b, s);
-    double blocked_ms = b->deep_wait_ms / (1 + sum->streaming);
+/* Cost, ms, of placing a gap-sensitive stream on the server. It makes the server unusable for long prompts, the more so
+   the fewer such streams run there already; the cost is the time that long prompts wait now. The fill order decides
+   between servers that are otherwise equal. */
+static double _cw_balance_consolidation_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
+                                           const cw_work_t* work) {
+    double fragile = _cw_balance_stall_risk(b, (uint32_t)b->long_prompt_tokens, work->gap_ms, INFINITY);
+    double order_ms = work->target_ms * _CW_FILL_ORDER_COST_SHARE * _cw_balance_fill_position(b, s);
+    double blocked_ms = b->long_prompt_wait_ms / (1 + sum->streaming);
     return fragile * (order_ms + blocked_ms);
 }
 
-/* Ms: what a part costs that another server keeps, read again or fetched. */
-static double _cw_balance_again_ms(const cw_balance_t* b, const _cw_server_t* s, const cw_choice_t* c) {
-    return _CW_REREAD * b->reading.token_ms * c->again + _CW_MOVE * s->spec.move_ms * c->moved;
+/* Cost, ms, of parts that another server has cached: they are recomputed or fetched. */
+static double _cw_balance_recompute_ms(const cw_balance_t* b, const _cw_server_t* s, const cw_choice_t* c) {
+    return _CW_RECOMPUTE_FACTOR * b->prefill.token_ms * c->again + _CW_FETCH_FACTOR * s->spec.move_ms * c->moved;
 }
 
-/* Ms: a shared part that the server doesn't keep would be there once more, and at its owners' next time again. Owners
-   are the first servers for the part by rendezvous hashing, so all hosts name the same without asking; where these are
-   busy the prompt goes elsewhere. */
-static double _cw_balance_stray_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t kept) {
+/* Cost, ms, of a server that neither caches nor owns the shared parts: it would hold one more copy, and the owners
+   would still have to prefill theirs later. Owners are the first servers for the part by rendezvous hashing, so all
+   hosts agree on them without communication. While they are busy, the prompt goes elsewhere. */
+static double _cw_balance_cache_miss_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t kept) {
     bool there = kept >= prefix->shared || cw_prefix_owns(prefix, s->spec.id);
-    return there ? 0 : _CW_STRAY * s->spec.move_ms * (prefix->shared - kept);
+    return there ? 0 : _CW_CACHE_MISS_FACTOR * s->spec.move_ms * (prefix->shared - kept);
 }
 
-/* Ms: the memory would overflow, and something running would be preempted. */
-static double _cw_balance_overflow_ms(const _cw_server_t* s, const _cw_sum_t* sum, const cw_work_t* work) {
+/* Cost, ms, of memory overflow: the engine would preempt a running request. */
+static double _cw_balance_overflow_ms(const _cw_server_t* s, const _cw_total_load_t* sum, const cw_work_t* work) {
     double memory = _CW_MEMORY_SHARE * s->spec.memory_tokens;
-    return sum->tokens + work->prompt_tokens + work->output_tokens > memory ? _CW_FULL_MS : 0;
+    return sum->tokens + work->prompt_tokens + work->output_tokens > memory ? _CW_OVERFLOW_COST_MS : 0;
 }
 
-/* What a generation costs at the server. The backlog is that of all urgencies, since a more urgent prompt delays those
-   that it goes before. */
-static double _cw_balance_generation_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_sum_t* sum,
+/* Cost of a generation at the server. The backlog of all urgencies counts, since a more urgent prompt delays the less
+   urgent ones that it overtakes. */
+static double _cw_balance_generation_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                         const cw_work_t* work, const cw_prefix_t* prefix, cw_choice_t* c) {
-    c->kept = _cw_balance_kept_tokens(b, s, work);
-    c->moved = _cw_balance_moved(b, s, prefix, c->kept);
+    c->kept = _cw_balance_cached_tokens(b, s, work);
+    c->moved = _cw_balance_fetched_tokens(b, s, prefix, c->kept);
     c->from = c->moved ? prefix->holder : 0;
     c->again = c->moved || prefix->held < c->kept ? 0 : prefix->held - c->kept;
     c->streaming = sum->streaming;
-    c->read_ms = b->reading.token_ms * (work->prompt_tokens - c->kept - c->moved) + s->spec.move_ms * c->moved;
-    double ms = b->reading.base_ms + sum->backlog_ms + c->read_ms;
-    ms += _cw_balance_again_ms(b, s, c);
-    ms += _cw_balance_stray_ms(s, prefix, c->kept);
+    c->read_ms = b->prefill.token_ms * (work->prompt_tokens - c->kept - c->moved) + s->spec.move_ms * c->moved;
+    double ms = b->prefill.base_ms + sum->backlog_ms + c->read_ms;
+    ms += _cw_balance_recompute_ms(b, s, c);
+    ms += _cw_balance_cache_miss_ms(s, prefix, c->kept);
     ms += _cw_balance_overflow_ms(s, sum, work);
-    ms += _CW_RUN_MS * sum->running;
-    ms += _cw_balance_caused_ms(b, s, sum, work, c->read_ms);
-    ms += _cw_balance_suffered_ms(b, s, sum, work);
-    return ms + _cw_balance_gather_ms(b, s, sum, work);
+    ms += _CW_RUN_COST_MS * sum->running;
+    ms += _cw_balance_caused_stall_ms(b, s, sum, work, c->read_ms);
+    ms += _cw_balance_own_stall_ms(b, s, sum, work);
+    return ms + _cw_balance_consolidation_ms(b, s, sum, work);
 }
 
-static cw_choice_t _cw_balance_rate(const cw_balance_t* b, uint32_t at, int64_t now_ms, const cw_work_t* work,
-                                    const cw_prefix_t* prefix) {
+static cw_choice_t _cw_balance_evaluate(const cw_balance_t* b, uint32_t at, int64_t now_ms, const cw_work_t* work,
+                                        const cw_prefix_t* prefix) {
     const _cw_server_t* s = &b->servers[at];
-    _cw_sum_t sum = _cw_balance_sum(b, s, now_ms, cw_urgency_level(work->urgency));
+    _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, cw_urgency_level(work->urgency));
     cw_choice_t c = {
         .server = at, .id = s->spec.id, .wait_ms = sum.wait_ms, .running = sum.running, .age_ms = sum.age_ms};
     bool engine = s->spec.memory_tokens > 0;
     double ms = engine ? _cw_balance_generation_ms(b, s, &sum, work, prefix, &c) : _cw_balance_call_ms(b, s, &sum);
     double cold = now_ms < s->cold_until_ms ? 2 : 1;
-    c.cost_ms = ms * cold * _cw_balance_slow(s, now_ms) + _cw_balance_fail_cost(s, now_ms, work);
-    c.cost_ms += s->spec.hall == b->desc.hall ? 0 : _CW_HALL_MS;
-    c.cost_ms += s->warm ? 0 : _CW_CONNECT_MS;
-    c.pace = _cw_balance_pace(b, s);
+    c.cost_ms = ms * cold * _cw_balance_slowdown(s, now_ms) + _cw_balance_failure_cost_ms(s, now_ms, work);
+    c.cost_ms += s->spec.hall == b->desc.hall ? 0 : _CW_OTHER_HALL_COST_MS;
+    c.cost_ms += s->has_idle_connection ? 0 : _CW_CONNECT_COST_MS;
+    c.pace = _cw_balance_interval_ratio(b, s);
     c.cost_ms += (double)(cw_mix(b->desc.seed, s->spec.id) & 1023U) / 1024.0;
     return c;
 }
 
 bool cw_balance_patient(const cw_balance_t* b, const cw_work_t* work) {
-    double from_ms = _CW_PATIENT_FROM * b->short_target_ms;
+    double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
     return from_ms > 0 && work->target_ms > from_ms;
 }
 
-/* Share of an engine's slots up to which the work may be placed there. In a burst, work that can wait would else take
-   every slot for seconds, and leave none for work that can't. Targets within _CW_PATIENT_FROM of the shortest are
-   alike. */
-static double _cw_balance_share(const cw_balance_t* b, const cw_work_t* work) {
-    double from_ms = _CW_PATIENT_FROM * b->short_target_ms;
-    return 1 - (cw_balance_patient(b, work) ? _CW_PATIENT_SHARE * (1 - from_ms / work->target_ms) : 0);
+/* Share of an engine's slots that the request may use. Otherwise, delay-tolerant requests of a burst would take every
+   slot for seconds and leave none for urgent ones. Targets of up to _CW_TOLERANT_TARGET_RATIO times the shortest one
+   are treated alike. */
+static double _cw_balance_slot_share(const cw_balance_t* b, const cw_work_t* work) {
+    double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
+    return 1 - (cw_balance_patient(b, work) ? _CW_TOLERANT_RESERVE_SHARE * (1 - from_ms / work->target_ms) : 0);
 }
 
-/* Whether the prompt is among the pool's long ones. */
-static bool _cw_balance_deep(const cw_balance_t* b, const cw_work_t* work) {
-    return work->prompt_tokens > _CW_DEEP_SHARE * b->deep_tokens;
+/* Whether the prompt is long compared to the pool's other prompts. */
+static bool _cw_balance_is_long_prompt(const cw_balance_t* b, const cw_work_t* work) {
+    return work->prompt_tokens > _CW_LONG_PROMPT_SHARE * b->long_prompt_tokens;
 }
 
-/* Ms: the longest backlog that the work is put behind. */
-static double _cw_balance_patience(const cw_balance_t* b, const cw_work_t* work) {
-    return (_cw_balance_deep(b, work) ? _CW_PATIENCE_DEEP : _CW_PATIENCE_SHORT) * work->target_ms;
+/* Backlog limit, ms: the longest backlog that the request is queued behind. */
+static double _cw_balance_backlog_limit_ms(const cw_balance_t* b, const cw_work_t* work) {
+    return (_cw_balance_is_long_prompt(b, work) ? _CW_BACKLOG_TARGETS_LONG : _CW_BACKLOG_TARGETS_SHORT) *
+           work->target_ms;
 }
 
-/* Learned before the choice, so that what is refused counts as well. */
-static void _cw_balance_learn_patience(cw_balance_t* b, const cw_work_t* work) {
-    double* learned_ms = &b->patience_ms[cw_urgency_level(work->urgency)];
-    double patience_ms = _cw_balance_patience(b, work);
-    *learned_ms =
-        *learned_ms > 0 ? cw_quantile_learn(*learned_ms, patience_ms, _CW_PATIENCE_UP, _CW_PATIENCE_DOWN) : patience_ms;
+/* Called before the choice, so that refused requests count as well. */
+static void _cw_balance_learn_backlog_limit(cw_balance_t* b, const cw_work_t* work) {
+    double* learned_ms = &b->backlog_limit_ms[cw_urgency_level(work->urgency)];
+    double backlog_limit_ms = _cw_balance_backlog_limit_ms(b, work);
+    *learned_ms = *learned_ms > 0
+                      ? cw_quantile_learn(*learned_ms, backlog_limit_ms, _CW_BACKLOG_LIMIT_UP, _CW_BACKLOG_LIMIT_DOWN)
+                      : backlog_limit_ms;
 }
 
-/* Whether more urgent work would be late at the server, whose backlog for the work's own urgency is wait_ms. That
-   backlog holds those of more urgent work, so nothing is summed where none of them is less patient. */
-static bool _cw_balance_late_for_others(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms, uint32_t urgency,
-                                        double wait_ms) {
+/* Whether more urgent requests would exceed their backlog limit at the server. wait_ms is its backlog for this urgency;
+   it includes those of all more urgent ones, so the load is summed only for an urgency whose limit is below it. */
+static bool _cw_balance_is_late_for_more_urgent(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
+                                                uint32_t urgency, double wait_ms) {
     for (uint32_t i = 0; i < urgency; i++) {
-        bool possible = b->patience_ms[i] > 0 && wait_ms > b->patience_ms[i];
-        if (possible && _cw_balance_sum(b, s, now_ms, i).wait_ms > b->patience_ms[i]) {
+        bool possible = b->backlog_limit_ms[i] > 0 && wait_ms > b->backlog_limit_ms[i];
+        if (possible && _cw_balance_total_load(b, s, now_ms, i).wait_ms > b->backlog_limit_ms[i]) {
             return true;
         }
     }
     return false;
 }
 
-/* Whether too much stands before the work at a server where the backlog for its urgency is wait_ms. */
-static bool _cw_balance_late(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
-                             double wait_ms) {
+/* Whether the backlog of the server, wait_ms for the request's urgency, is too long for the request. */
+static bool _cw_balance_is_late(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
+                                double wait_ms) {
     if (!s->spec.memory_tokens) {
         return false;
     }
-    if (wait_ms > _cw_balance_patience(b, work)) {
+    if (wait_ms > _cw_balance_backlog_limit_ms(b, work)) {
         return true;
     }
-    return _cw_balance_deep(b, work) &&
-           _cw_balance_late_for_others(b, s, now_ms, cw_urgency_level(work->urgency), wait_ms);
+    return _cw_balance_is_long_prompt(b, work) &&
+           _cw_balance_is_late_for_more_urgent(b, s, now_ms, cw_urgency_level(work->urgency), wait_ms);
 }
 
-/* Whether the server may get a request now as far as it is cold: one daemon sends there, no faster than it bears. */
-static bool _cw_balance_bears(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
+/* Whether slow start permits a request to the server now: a single daemon sends there, below its rate limit. */
+static bool _cw_balance_can_send_cold(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
     if (now_ms >= s->cold_until_ms || s->spec.cold_per_s <= 0) {
         return true;
     }
@@ -896,17 +937,18 @@
     return mine && !cw_bucket_wait_ms(&s->cold, now_ms, 1);
 }
 
-/* What kinds of work the pool gets. */
+/* Learns the targets and prompt lengths of the pool's requests. */
 static void _cw_balance_learn_work(cw_balance_t* b, const cw_work_t* work, double wait_ms) {
     double before_ms = b->short_target_ms > 0 ? b->short_target_ms : work->target_ms;
-    b->short_target_ms = cw_quantile_learn(before_ms, work->target_ms, _CW_SHORT_UP, _CW_SHORT_DOWN);
-    b->deep_tokens = cw_quantile_learn(b->deep_tokens, work->prompt_tokens, _CW_DEEP_UP, _CW_DEEP_DOWN);
-    if (work->prompt_tokens > b->deep_tokens / 2) {
-        b->deep_wait_ms += _CW_DEEP_WAIT * (wait_ms - b->deep_wait_ms);
+    b->short_target_ms = cw_quantile_learn(before_ms, work->target_ms, _CW_SHORT_TARGET_UP, _CW_SHORT_TARGET_DOWN);
+    b->long_prompt_tokens =
+        cw_quantile_learn(b->long_prompt_tokens, work->prompt_tokens, _CW_LONG_PROMPT_UP, _CW_LONG_PROMPT_DOWN);
+    if (work->prompt_tokens > b->long_prompt_tokens / 2) {
+        b->long_prompt_wait_ms += _CW_LONG_PROMPT_WAIT_WEIGHT * (wait_ms - b->long_prompt_wait_ms);
     }
 }
 
-static bool _cw_balance_tried(const uint64_t* tried, uint32_t count, uint64_t id) {
+static bool _cw_balance_is_tried(const uint64_t* tried, uint32_t count, uint64_t id) {
     for (uint32_t i = 0; i < count; i++) {
         if (tried[i] == id) {
             return true;
@@ -915,7 +957,7 @@
     return false;
 }
 
-static void _cw_balance_share_rate(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms) {
+static void _cw_balance_update_rate_share(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms) {
     cw_rate_set_hosts(&s->rate, now_ms,
                       &(cw_rate_hosts_t){.server = s->spec.id,
                                          .own = b->desc.seed,
@@ -926,19 +968,19 @@
 
 void cw_balance_set_fleet(cw_balance_t* b, int64_t now_ms, const cw_fleet_t* fleet) {
     b->fleet = *fleet;
-    b->fleet_changes++;
-    for (uint32_t i = 0; i < b->places; i++) {
-        _cw_balance_share_rate(b, &b->servers[i], now_ms);
+    b->fleet_version++;
+    for (uint32_t i = 0; i < b->entry_count; i++) {
+        _cw_balance_update_rate_share(b, &b->servers[i], now_ms);
     }
 }
 
-/* Judged when it is asked, which is for busy servers only: each judgement hashes all hosts. */
-static bool _cw_balance_is_home(const cw_balance_t* b, _cw_server_t* s) {
-    if (s->home_changes != b->fleet_changes) {
-        s->home_changes = b->fleet_changes;
-        s->home = cw_home_is(s->spec.id, b->desc.seed, b->fleet.ids, b->fleet.count);
+/* Evaluated lazily, for busy servers only, since it hashes the ids of all hosts. */
+static bool _cw_balance_is_owner_host(const cw_balance_t* b, _cw_server_t* s) {
+    if (s->owner_fleet_version != b->fleet_version) {
+        s->owner_fleet_version = b->fleet_version;
+        s->is_owner_host = cw_home_is(s->spec.id, b->desc.seed, b->fleet.ids, b->fleet.count);
     }
-    return s->home;
+    return s->is_owner_host;
 }
 
 bool cw_balance_limit(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s) {
@@ -950,7 +992,7 @@
     bool changed =
         per_s < 0 ? cw_rate_lifted(&s->rate, sent_ms, now_ms) : cw_rate_named(&s->rate, sent_ms, now_ms, per_s);
     if (changed) {
-        _cw_balance_share_rate(b, s, now_ms);
+        _cw_balance_update_rate_share(b, s, now_ms);
     }
     return changed;
 }
@@ -958,13 +1000,13 @@
 void cw_balance_rest(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms) {
     uint32_t at = cw_balance_find(b, id);
     if (at != CW_BALANCE_NONE) {
-        cw_rest_ask(&b->servers[at].rest, now_ms, ms);
+        cw_rest_ask(&b->servers[at].backoff, now_ms, ms);
     }
 }
 
 bool cw_balance_rests(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    return at != CW_BALANCE_NONE && now_ms < b->servers[at].rest.until_ms;
+    return at != CW_BALANCE_NONE && now_ms < b->servers[at].backoff.until_ms;
 }
 
 double cw_balance_limit_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
@@ -974,15 +1016,15 @@
 }
 
 cw_held_back_t cw_balance_held_back(const cw_balance_t* b, int64_t now_ms) {
-    cw_held_back_t held = {0};
-    for (uint32_t i = 0; i < b->places; i++) {
+    cw_held_back_t throttled = {0};
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        bool limited = s->used && s->listed && cw_rate_holds(&s->rate, now_ms);
-        held.resting += s->used && s->listed && now_ms < s->rest.until_ms;
-        held.limited += limited;
-        held.owned += limited && s->rate.mine;
+        bool limited = s->is_used && s->is_listed && cw_rate_holds(&s->rate, now_ms);
+        throttled.resting += s->is_used && s->is_listed && now_ms < s->backoff.until_ms;
+        throttled.limited += limited;
+        throttled.owned += limited && s->rate.mine;
     }
-    return held;
+    return throttled;
 }
 
 bool cw_balance_tells_limit(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
@@ -992,52 +1034,53 @@
 
 void cw_balance_asked(cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
     cw_contention_asked(&b->contention, now_ms, work->urgency);
-    cw_holding_asked(&b->holding, work->urgency, work->prompt_tokens);
+    cw_holding_asked(&b->occupancy, work->urgency, work->prompt_tokens);
 }
 
 void cw_balance_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count) {
     cw_contention_waiting(&b->contention, now_ms, urgency, count);
 }
 
-/* -- who may use an engine ------------------------------------------------ */
+/* -- admission to an engine ----------------------------------------------- */
 
-/* All hosts', taking the others to be as busy as this one. */
-static double _cw_balance_of_fleet(const cw_balance_t* b, double own) {
+/* Extrapolates a figure of this host to all hosts, assuming equal load. */
+static double _cw_balance_fleet_total(const cw_balance_t* b, double own) {
     return own * (b->fleet.count ? b->fleet.count : 1);
 }
 
 bool cw_balance_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
     double slots = 0;
-    for (uint32_t i = 0; i < b->places; i++) {
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        slots += _cw_balance_takes_all(s, now_ms) ? s->spec.slots : 0;
+        slots += _cw_balance_is_unthrottled(s, now_ms) ? s->spec.slots : 0;
     }
     double rate = cw_contention_rate(&b->contention, now_ms, work->urgency);
-    double needs = _cw_balance_of_fleet(b, cw_holding_places(&b->holding, work->urgency, rate));
-    return needs < _CW_LIGHT_SHARE * slots && cw_holding_short_prompts(&b->holding, work->urgency);
+    double needs = _cw_balance_fleet_total(b, cw_holding_places(&b->occupancy, work->urgency, rate));
+    return needs < _CW_LIGHT_SLOT_SHARE * slots && cw_holding_short_prompts(&b->occupancy, work->urgency);
 }
 
-/* Places that work which goes before this one will take until this one gives its own back. Long prompts hold theirs for
-   seconds: begun as a burst of more urgent work sets in, they are what that lacks when all is full. A late request
-   leaves places to all that are in time, its own urgency too. */
-static double _cw_balance_reserved(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
+/* Free slots to reserve for requests with priority over this one: those expected to take a slot before this request
+   would release its own. Long prompts occupy a slot for seconds: if they start at the onset of a burst of more urgent
+   requests, the burst lacks these slots at its peak. A late request leaves slots to all requests that are in time,
+   those of its own urgency included. */
+static double _cw_balance_reserved_slots(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
     uint32_t before = work->late ? CW_URGENCIES : work->urgency;
-    double held_ms = cw_holding_ms(&b->holding, work->urgency);
+    double held_ms = cw_holding_ms(&b->occupancy, work->urgency);
     double more = 0;
     for (uint32_t i = 0; i < before && i < CW_URGENCIES && !work->light; i++) {
         double rate = cw_contention_rate(&b->contention, now_ms, i);
-        more += cw_holding_growth(&b->holding, i, rate, held_ms);
+        more += cw_holding_growth(&b->occupancy, i, rate, held_ms);
     }
-    return _cw_balance_of_fleet(b, more);
+    return _cw_balance_fleet_total(b, more);
 }
 
-/* Whether this host may place the work at an engine of which so much is free: where little is, only its home hosts
-   may, and they take turns. */
-static bool _cw_balance_open(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
-                             double free_places) {
+/* Whether this host may place the request at an engine with so many free slots. The last slots are for its owner hosts
+   only, which use them in random time slices (chalkway_contention.h). */
+static bool _cw_balance_can_use(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
+                                double free_places) {
     bool large = b->fleet.count > CW_HOME_FLEET;
-    bool last_places = large && free_places <= _CW_HOME_FREE * s->spec.slots;
-    if (free_places <= 0 || (last_places && !_cw_balance_is_home(b, s))) {
+    bool last_places = large && free_places <= _CW_OWNER_FREE_SHARE * s->spec.slots;
+    if (free_places <= 0 || (last_places && !_cw_balance_is_owner_host(b, s))) {
         return false;
     }
     cw_contention_use_t use = {.server = s->spec.id,
@@ -1050,61 +1093,60 @@
 
 /* -- choice --------------------------------------------------------------- */
 
-/* Whether the server is suspected and it is not this host's turn to try it. */
-static bool _cw_balance_suspects(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
-    return cw_suspect_holds(&s->life, now_ms) &&
-           !cw_suspect_may_try(&s->life, now_ms, b->desc.seed, s->spec.id, b->fleet.count);
+/* Whether the server is suspected, and it is not this host's time slice to probe it. */
+static bool _cw_balance_excludes_suspect(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
+    return cw_suspect_holds(&s->suspicion, now_ms) &&
+           !cw_suspect_may_try(&s->suspicion, now_ms, b->desc.seed, s->spec.id, b->fleet.count);
 }
 
-/* Whether suspected servers are left alone: not where they are too many to be wrong all at once. */
-static bool _cw_balance_avoids(const cw_balance_t* b, int64_t now_ms) {
+/* Whether suspected servers are excluded: not when so many are suspected that the fault is more likely this side's. */
+static bool _cw_balance_excludes_suspects(const cw_balance_t* b, int64_t now_ms) {
     uint32_t suspected = 0;
-    for (uint32_t i = 0; i < b->places; i++) {
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        suspected += s->used && s->listed && cw_suspect_holds(&s->life, now_ms);
+        suspected += s->is_used && s->is_listed && cw_suspect_holds(&s->suspicion, now_ms);
     }
-    return suspected <= _CW_SUSPECT_SHARE * b->listed;
+    return suspected <= _CW_SUSPECT_SHARE * b->listed_count;
 }
 
-/* Ms until a server that holds callers back takes a request from this host: 0 now, CW_RATE_NEVER where that isn't
- * known. */
-static uint32_t _cw_balance_held_back_ms(const _cw_server_t* s, int64_t now_ms) {
-    uint32_t rest_ms = cw_rest_wait_ms(&s->rest, now_ms);
+/* Time, ms, until a throttling server accepts a request of this host; 0: now, CW_RATE_NEVER: unknown. */
+static uint32_t _cw_balance_throttle_ms(const _cw_server_t* s, int64_t now_ms) {
+    uint32_t rest_ms = cw_rest_wait_ms(&s->backoff, now_ms);
     uint32_t rate_ms = cw_rate_wait_ms(&s->rate, now_ms);
     return rest_ms > rate_ms ? rest_ms : rate_ms;
 }
 
 uint32_t cw_balance_opens_in_ms(const cw_balance_t* b, int64_t now_ms) {
     uint32_t soonest_ms = CW_RATE_NEVER;
-    for (uint32_t i = 0; i < b->places; i++) {
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        uint32_t ms = s->used && s->listed ? _cw_balance_held_back_ms(s, now_ms) : CW_RATE_NEVER;
+        uint32_t ms = s->is_used && s->is_listed ? _cw_balance_throttle_ms(s, now_ms) : CW_RATE_NEVER;
         soonest_ms = ms < soonest_ms ? ms : soonest_ms;
     }
     return soonest_ms == CW_RATE_NEVER ? 0 : soonest_ms;
 }
 
-/* The count of left that a server belongs to which the work can't use, NULL: it may go there as far as can be told
-   before its load is summed. */
-static uint32_t* _cw_balance_left_out(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms, bool avoid,
-                                      cw_left_out_t* left) {
-    if (s->away || now_ms < s->full_until_ms) {
-        return &left->away;
+/* Returns the counter of the reason to exclude the server, or NULL if it may be used as far as can be determined
+   without summing its load. */
+static uint32_t* _cw_balance_exclusion_counter(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
+                                               bool exclude_suspects, cw_left_out_t* exclusions) {
+    if (s->is_unreachable || now_ms < s->full_until_ms) {
+        return &exclusions->away;
     }
-    if (!_cw_balance_bears(b, s, now_ms)) {
-        return &left->cold;
+    if (!_cw_balance_can_send_cold(b, s, now_ms)) {
+        return &exclusions->cold;
     }
-    if (cw_rest_wait_ms(&s->rest, now_ms)) {
-        return &left->resting;
+    if (cw_rest_wait_ms(&s->backoff, now_ms)) {
+        return &exclusions->resting;
     }
     if (cw_rate_wait_ms(&s->rate, now_ms)) {
-        return &left->limited;
+        return &exclusions->limited;
     }
-    return avoid && _cw_balance_suspects(b, s, now_ms) ? &left->suspected : NULL;
+    return exclude_suspects && _cw_balance_excludes_suspect(b, s, now_ms) ? &exclusions->suspected : NULL;
 }
 
-/* Whether a choice goes before another one. */
-static bool _cw_balance_better(const cw_work_t* work, const cw_choice_t* c, const cw_choice_t* best) {
+/* Whether a choice is better than the best one so far. */
+static bool _cw_balance_is_better(const cw_work_t* work, const cw_choice_t* c, const cw_choice_t* best) {
     if (best->server == CW_BALANCE_NONE) {
         return true;
     }
@@ -1117,97 +1159,99 @@
 cw_choice_t cw_balance_choose(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, const uint64_t* tried,
                               uint32_t tried_count) {
     cw_choice_t best = {.server = CW_BALANCE_NONE};
-    cw_left_out_t left = {0};
+    cw_left_out_t exclusions = {0};
     uint32_t candidates = 0;
-    double free_places = 0; /* at all engines that this work could use */
+    double free_places = 0; /* at all engines that are not excluded */
     cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
-    bool avoid = _cw_balance_avoids(b, now_ms);
-    double share = _cw_balance_share(b, work);
-    _cw_balance_learn_patience(b, work);
-    for (uint32_t i = 0; i < b->places; i++) {
+    bool exclude_suspects = _cw_balance_excludes_suspects(b, now_ms);
+    double share = _cw_balance_slot_share(b, work);
+    _cw_balance_learn_backlog_limit(b, work);
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         _cw_server_t* s = &b->servers[i];
-        if (!s->used || !s->listed) {
+        if (!s->is_used || !s->is_listed) {
             continue;
         }
-        uint32_t* out = _cw_balance_tried(tried, tried_count, s->spec.id)
-                            ? &left.tried
-                            : _cw_balance_left_out(b, s, now_ms, avoid, &left);
-        if (out) {
-            ++*out;
+        uint32_t* excluded_by = _cw_balance_is_tried(tried, tried_count, s->spec.id)
+                                    ? &exclusions.tried
+                                    : _cw_balance_exclusion_counter(b, s, now_ms, exclude_suspects, &exclusions);
+        if (excluded_by) {
+            ++*excluded_by;
             continue;
         }
-        cw_choice_t c = _cw_balance_rate(b, i, now_ms, work, &prefix);
+        cw_choice_t c = _cw_balance_evaluate(b, i, now_ms, work, &prefix);
         free_places += (double)s->spec.slots - c.running;
-        if (s->spec.memory_tokens && !_cw_balance_open(b, s, now_ms, work, share * s->spec.slots - c.running)) {
-            left.no_place++;
+        if (s->spec.memory_tokens && !_cw_balance_can_use(b, s, now_ms, work, share * s->spec.slots - c.running)) {
+            exclusions.no_place++;
             continue;
         }
         candidates++;
-        c.late = _cw_balance_late(b, s, now_ms, work, c.wait_ms);
-        if (_cw_balance_better(work, &c, &best)) {
+        c.late = _cw_balance_is_late(b, s, now_ms, work, c.wait_ms);
+        if (_cw_balance_is_better(work, &c, &best)) {
             best = c;
         }
     }
     bool engine = best.server != CW_BALANCE_NONE && b->servers[best.server].spec.memory_tokens;
-    double reserved = engine ? _cw_balance_reserved(b, now_ms, work) : 0;
+    double reserved = engine ? _cw_balance_reserved_slots(b, now_ms, work) : 0;
     if (engine && free_places - reserved < 1) {
         best = (cw_choice_t){.server = CW_BALANCE_NONE};
-        left.no_place += candidates;
+        exclusions.no_place += candidates;
         candidates = 0;
     }
     best.reserved = reserved;
     best.candidates = candidates;
-    best.left_out = left;
+    best.left_out = exclusions;
     return best;
 }
 
 /* -- runs ----------------------------------------------------------------- */
 
 cw_run_t cw_balance_begin(cw_balance_t* b, int64_t now_ms, uint32_t server, const cw_work_t* work) {
-    assert(server < b->places && b->servers[server].used);
+    assert(server < b->entry_count && b->servers[server].is_used);
     _cw_server_t* s = &b->servers[server];
     cw_run_t run = {.server = server,
                     .id = s->spec.id,
                     .begun_ms = now_ms,
                     .gap_ms = work->gap_ms,
                     .urgency = cw_urgency_level(work->urgency)};
-    _cw_sum_t sum = _cw_balance_sum(b, s, now_ms, run.urgency);
+    _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, run.urgency);
     run.found_ms = sum.backlog_ms;
-    run.quiet = sum.backlog_ms < 1.0 && sum.running < _CW_QUIET_SHARE * s->spec.slots && now_ms >= s->cold_until_ms;
+    run.quiet =
+        sum.backlog_ms < 1.0 && sum.running < _CW_UNQUEUED_SLOT_SHARE * s->spec.slots && now_ms >= s->cold_until_ms;
     if (s->spec.memory_tokens) {
         cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
-        uint32_t kept = _cw_balance_kept_tokens(b, s, work);
-        uint32_t moved = _cw_balance_moved(b, s, &prefix, kept);
+        uint32_t kept = _cw_balance_cached_tokens(b, s, work);
+        uint32_t moved = _cw_balance_fetched_tokens(b, s, &prefix, kept);
         run.quiet = run.quiet && !moved;
         run.fresh_tokens = work->prompt_tokens - kept - moved;
-        run.read_ms = b->reading.token_ms * run.fresh_tokens * _cw_balance_slow(s, now_ms) + s->spec.move_ms * moved;
+        run.read_ms =
+            b->prefill.token_ms * run.fresh_tokens * _cw_balance_slowdown(s, now_ms) + s->spec.move_ms * moved;
         run.tokens = work->prompt_tokens + work->output_tokens;
         run.plan = cw_backlog_add(&s->backlog, now_ms, run.urgency, run.read_ms);
         s->deepest = work->prompt_tokens > s->deepest ? work->prompt_tokens : s->deepest;
         _cw_balance_learn_work(b, work, run.found_ms);
         for (uint32_t i = 0; i < work->part_count; i++) {
-            _cw_balance_keep(b, s, &work->parts[i]);
+            _cw_balance_cache_part(b, s, &work->parts[i]);
         }
     }
     s->running++;
-    cw_holding_begin(&b->holding, run.urgency);
+    cw_holding_begin(&b->occupancy, run.urgency);
     s->tokens += run.tokens;
-    cw_bucket_take(&s->cold, now_ms, 1); /* without effect while it is not cold */
+    cw_bucket_take(&s->cold, now_ms, 1); /* no effect outside of slow start */
     cw_rate_take(&s->rate, now_ms);
-    cw_rest_take(&s->rest, now_ms);
+    cw_rest_take(&s->backoff, now_ms);
     return run;
 }
 
-static _cw_server_t* _cw_balance_of_run(const cw_balance_t* b, const cw_run_t* run) {
+static _cw_server_t* _cw_balance_server_of_run(const cw_balance_t* b, const cw_run_t* run) {
     if (run->server == CW_BALANCE_NONE) {
         return NULL;
     }
     _cw_server_t* s = &b->servers[run->server];
-    return s->used && s->spec.id == run->id ? s : NULL;
+    return s->is_used && s->spec.id == run->id ? s : NULL;
 }
 
-/* The prompt is read, or never will be: the rest of the backlog moves. */
-static void _cw_balance_answered(_cw_server_t* s, int64_t now_ms, cw_run_t* run) {
+/* The prompt is prefilled, or never will be: removes it from the backlog. */
+static void _cw_balance_end_prefill(_cw_server_t* s, int64_t now_ms, cw_run_t* run) {
     run->answered = true;
     if (s->spec.memory_tokens) {
         cw_backlog_done(&s->backlog, now_ms, &run->plan);
@@ -1215,122 +1259,122 @@
     s->deepest = s->backlog.unread[CW_URGENCIES - 1] ? s->deepest : 0;
 }
 
-static void _cw_balance_learn_slow(_cw_server_t* s, int64_t now_ms, double ratio) {
-    ratio = ratio > _CW_SPEED_MAX ? _CW_SPEED_MAX : ratio;
-    s->slow = _cw_balance_slow(s, now_ms);
-    s->slow += _CW_SPEED_LEARN * (ratio - s->slow);
-    s->slow = s->slow < 0.25 ? 0.25 : s->slow;
-    s->slow_ms = now_ms;
+static void _cw_balance_learn_slowdown(_cw_server_t* s, int64_t now_ms, double ratio) {
+    ratio = ratio > _CW_SLOWDOWN_MAX ? _CW_SLOWDOWN_MAX : ratio;
+    s->slowdown = _cw_balance_slowdown(s, now_ms);
+    s->slowdown += _CW_SLOWDOWN_WEIGHT * (ratio - s->slowdown);
+    s->slowdown = s->slowdown < 0.25 ? 0.25 : s->slowdown;
+    s->slowdown_at_ms = now_ms;
 }
 
-/* What the first event of a prompt says of reading in the pool, and of the server against the others. */
-static void _cw_balance_learn_read(cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_run_t* run) {
+/* Learns the prefill time in the pool and the slowdown of the server from the first event of a response. */
+static void _cw_balance_learn_prefill(cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_run_t* run) {
     double took_ms = (double)(now_ms - run->begun_ms);
-    /* What others' prompts may have taken is no slowness of the server. */
+    /* Time that the prompts ahead of it may have taken is no slowdown of the server. */
     double alone_ms = took_ms - run->found_ms;
-    double expected_ms = cw_reading_ms(&b->reading, run->fresh_tokens);
+    double expected_ms = cw_reading_ms(&b->prefill, run->fresh_tokens);
     if (run->fresh_tokens) {
-        cw_reading_learn(&b->reading, run->fresh_tokens, took_ms, run->quiet);
+        cw_reading_learn(&b->prefill, run->fresh_tokens, took_ms, run->quiet);
     }
     if (alone_ms > 0 && expected_ms > 0) {
-        _cw_balance_learn_slow(s, now_ms, alone_ms / (expected_ms > 20 ? expected_ms : 20));
+        _cw_balance_learn_slowdown(s, now_ms, alone_ms / (expected_ms > 20 ? expected_ms : 20));
     }
 }
 
-/* The server answers a request that was sent then; true when it was suspected. */
-static bool _cw_balance_lives(_cw_server_t* s, int64_t sent_ms) {
-    s->own_alive_ms = sent_ms > s->own_alive_ms ? sent_ms : s->own_alive_ms;
+/* Records that the server answers a request that was sent at sent_ms. True: it was suspected until now. */
+static bool _cw_balance_record_response(_cw_server_t* s, int64_t sent_ms) {
+    s->own_answered_ms = sent_ms > s->own_answered_ms ? sent_ms : s->own_answered_ms;
     s->own_failed_ms = sent_ms >= s->own_failed_ms ? 0 : s->own_failed_ms;
-    return cw_suspect_alive(&s->life, sent_ms);
+    return cw_suspect_alive(&s->suspicion, sent_ms);
 }
 
 bool cw_balance_first(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
-    _cw_server_t* s = _cw_balance_of_run(b, run);
+    _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (!s || run->answered) {
         return false;
     }
     if (s->spec.memory_tokens) {
-        _cw_balance_learn_read(b, s, now_ms, run);
+        _cw_balance_learn_prefill(b, s, now_ms, run);
     }
-    _cw_balance_answered(s, now_ms, run);
+    _cw_balance_end_prefill(s, now_ms, run);
     if (run->gap_ms) {
-        cw_gaps_count(&s->gaps, run->gap_ms, 1);
+        cw_gaps_count(&s->gap_limits, run->gap_ms, 1);
     }
     run->event_ms = now_ms;
-    run->beside = _cw_balance_sum(b, s, now_ms, run->urgency).deepest;
-    return _cw_balance_lives(s, run->begun_ms);
+    run->beside = _cw_balance_total_load(b, s, now_ms, run->urgency).deepest;
+    return _cw_balance_record_response(s, run->begun_ms);
 }
 
 void cw_balance_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
-    _cw_server_t* s = _cw_balance_of_run(b, run);
+    _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (!s || !run->answered || !s->spec.memory_tokens) {
         return;
     }
-    _cw_sum_t sum = _cw_balance_sum(b, s, now_ms, run->urgency);
+    _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, run->urgency);
     uint32_t deepest = sum.deepest > run->beside ? sum.deepest : run->beside;
     double pause_ms = (double)(now_ms - run->event_ms);
     if (deepest) {
-        cw_pauses_learn(&b->pauses, deepest, pause_ms / _cw_balance_pace(b, s));
-    } else if (sum.running <= _CW_PACE_RUNS) {
-        _cw_balance_learn_pace(b, s, pause_ms);
+        cw_pauses_learn(&b->stalls, deepest, pause_ms / _cw_balance_interval_ratio(b, s));
+    } else if (sum.running <= _CW_INTERVAL_RUNS_MAX) {
+        _cw_balance_learn_interval(b, s, pause_ms);
     }
     run->event_ms = now_ms;
     run->beside = sum.deepest;
 }
 
-static void _cw_balance_learn_fail(_cw_server_t* s, int64_t now_ms, double outcome) {
-    s->fail = _cw_balance_fail(s, now_ms);
-    s->fail += _CW_FAIL_LEARN * (outcome - s->fail);
-    s->fail_ms = now_ms;
+static void _cw_balance_learn_failure(_cw_server_t* s, int64_t now_ms, double outcome) {
+    s->failure_ratio = _cw_balance_failure_ratio(s, now_ms);
+    s->failure_ratio += _CW_FAILURE_WEIGHT * (outcome - s->failure_ratio);
+    s->failure_at_ms = now_ms;
 }
 
 static void _cw_balance_learn_call(cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_run_t* run) {
     double took_ms = (double)(now_ms - run->begun_ms);
-    double weight = b->service_samples < 20 ? 1.0 / (b->service_samples + 1) : 0.02;
-    b->service_ms += weight * (took_ms - b->service_ms);
-    b->service_samples++;
-    _cw_balance_learn_slow(s, now_ms, took_ms / (b->service_ms > 1 ? b->service_ms : 1));
+    double weight = b->call_samples < 20 ? 1.0 / (b->call_samples + 1) : 0.02;
+    b->call_ms += weight * (took_ms - b->call_ms);
+    b->call_samples++;
+    _cw_balance_learn_slowdown(s, now_ms, took_ms / (b->call_ms > 1 ? b->call_ms : 1));
 }
 
-static void _cw_balance_fails(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms) {
+static void _cw_balance_record_failure(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms) {
     s->own_failed_ms = now_ms;
-    cw_suspect_failed_here(&s->life, b->desc.seed, now_ms);
+    cw_suspect_failed_here(&s->suspicion, b->desc.seed, now_ms);
 }
 
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result) {
-    _cw_server_t* s = _cw_balance_of_run(b, run);
+    _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (run->server != CW_BALANCE_NONE) {
-        cw_holding_end(&b->holding, run->urgency);
+        cw_holding_end(&b->occupancy, run->urgency);
     }
     run->server = CW_BALANCE_NONE;
     if (!s) {
         return;
     }
     if (run->answered && run->gap_ms) {
-        cw_gaps_count(&s->gaps, run->gap_ms, -1);
+        cw_gaps_count(&s->gap_limits, run->gap_ms, -1);
     }
     if (!run->answered) {
-        _cw_balance_answered(s, now_ms, run);
+        _cw_balance_end_prefill(s, now_ms, run);
     }
     s->running -= s->running > 0;
     s->tokens -= run->tokens < s->tokens ? run->tokens : s->tokens;
     switch (result) {
         case CW_TRY_SERVED:
-            cw_holding_learn(&b->holding, run->urgency, (double)(now_ms - run->begun_ms));
-            _cw_balance_learn_fail(s, now_ms, 0);
+            cw_holding_learn(&b->occupancy, run->urgency, (double)(now_ms - run->begun_ms));
+            _cw_balance_learn_failure(s, now_ms, 0);
             if (!s->spec.memory_tokens) {
                 _cw_balance_learn_call(b, s, now_ms, run);
             }
             break;
         case CW_TRY_FAILED:
-            _cw_balance_learn_fail(s, now_ms, 1);
+            _cw_balance_learn_failure(s, now_ms, 1);
             break;
         case CW_TRY_BROKEN:
-            _cw_balance_learn_fail(s, now_ms, 1);
-            _cw_balance_fails(b, s, now_ms);
+            _cw_balance_learn_failure(s, now_ms, 1);
+            _cw_balance_record_failure(b, s, now_ms);
             break;
         case CW_TRY_UNREACHABLE:
-            _cw_balance_fails(b, s, now_ms);
+            _cw_balance_record_failure(b, s, now_ms);
             cw_balance_away(b, now_ms, run->id, true);
             break;
         case CW_TRY_FULL:
@@ -1341,51 +1385,52 @@
     }
 }
 
-void cw_balance_warm(cw_balance_t* b, uint64_t id, bool warm) {
+void cw_balance_warm(cw_balance_t* b, uint64_t id, bool has_idle_connection) {
     uint32_t at = cw_balance_find(b, id);
     if (at != CW_BALANCE_NONE) {
-        b->servers[at].warm = warm;
+        b->servers[at].has_idle_connection = has_idle_connection;
     }
 }
 
-void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool away) {
+void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable) {
     uint32_t at = cw_balance_find(b, id);
     if (at == CW_BALANCE_NONE) {
         return;
     }
     _cw_server_t* s = &b->servers[at];
-    if (!away) {
+    if (!is_unreachable) {
         s->away_ms = 0;
-    } else if (!s->away) {
+    } else if (!s->is_unreachable) {
         s->away_ms = b->desc.away_ms;
-        s->away_until_ms = now_ms + s->away_ms;
+        s->next_probe_ms = now_ms + s->away_ms;
     }
-    b->away += away - s->away;
-    s->away = away;
+    b->unreachable_count += is_unreachable - s->is_unreachable;
+    s->is_unreachable = is_unreachable;
 }
 
 bool cw_balance_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    return at != CW_BALANCE_NONE && cw_suspect_holds(&b->servers[at].life, now_ms);
+    return at != CW_BALANCE_NONE && cw_suspect_holds(&b->servers[at].suspicion, now_ms);
 }
 
 uint64_t cw_balance_probe(cw_balance_t* b, int64_t now_ms) {
-    for (uint32_t i = 0; i < b->places && b->away; i++) {
+    for (uint32_t i = 0; i < b->entry_count && b->unreachable_count; i++) {
         _cw_server_t* s = &b->servers[i];
-        if (!s->used || !s->listed || !s->away || now_ms < s->away_until_ms || _cw_balance_held_back_ms(s, now_ms)) {
+        if (!s->is_used || !s->is_listed || !s->is_unreachable || now_ms < s->next_probe_ms ||
+            _cw_balance_throttle_ms(s, now_ms)) {
             continue;
         }
         s->away_ms = s->away_ms * 2 > b->desc.away_max_ms ? b->desc.away_max_ms : s->away_ms * 2;
-        s->away_until_ms = now_ms + s->away_ms;
-        cw_rate_take(&s->rate, now_ms); /* a health check takes from what the server bears, too */
+        s->next_probe_ms = now_ms + s->away_ms;
+        cw_rate_take(&s->rate, now_ms); /* a health check counts against the server's rate, too */
         return s->spec.id;
     }
     return 0;
 }
 
-/* -- news ----------------------------------------------------------------- */
+/* -- load reports --------------------------------------------------------- */
 
-static void _cw_balance_tell_rate(const cw_rate_t* rate, int64_t now_ms, cw_load_t* load) {
+static void _cw_balance_fill_rate(const cw_rate_t* rate, int64_t now_ms, cw_load_t* load) {
     cw_rate_word_t word = cw_rate_tell(rate, now_ms);
     if (word.said != CW_RATE_UNKNOWN) {
         load->rate = word.said;
@@ -1396,68 +1441,69 @@
 
 cw_load_t cw_balance_load(const cw_balance_t* b, int64_t now_ms, uint32_t server) {
     const _cw_server_t* s = &b->servers[server];
-    cw_gap_t gap = cw_gaps_shortest(&s->gaps);
-    cw_load_t load = {.running = s->running,
-                      .gap_ms = gap.gap_ms,
-                      .streaming = gap.count,
-                      .tokens = s->tokens > UINT32_MAX ? UINT32_MAX : (uint32_t)s->tokens,
-                      .pace_us = s->pace_samples > _CW_PACE_FEW ? (uint32_t)(s->pace_ms * 1000.0) : 0,
-                      .failed_ago_ms = cw_suspect_age(s->own_failed_ms, now_ms),
-                      .alive_ago_ms = s->life.failures ? cw_suspect_age(s->own_alive_ms, now_ms) : 0};
-    _cw_balance_tell_rate(&s->rate, now_ms, &load);
+    cw_gap_t gap = cw_gaps_shortest(&s->gap_limits);
+    cw_load_t load = {
+        .running = s->running,
+        .gap_ms = gap.gap_ms,
+        .streaming = gap.count,
+        .tokens = s->tokens > UINT32_MAX ? UINT32_MAX : (uint32_t)s->tokens,
+        .pace_us = s->interval_samples > _CW_INTERVAL_SAMPLES_MIN ? (uint32_t)(s->event_interval_ms * 1000.0) : 0,
+        .failed_ago_ms = cw_suspect_age(s->own_failed_ms, now_ms),
+        .alive_ago_ms = s->suspicion.failures ? cw_suspect_age(s->own_answered_ms, now_ms) : 0};
+    _cw_balance_fill_rate(&s->rate, now_ms, &load);
     for (uint32_t urgency = 0; urgency < CW_URGENCIES; urgency++) {
-        load.backlog_ms[urgency] = (uint32_t)_cw_balance_own_backlog(s, now_ms, urgency);
+        load.backlog_ms[urgency] = (uint32_t)_cw_balance_own_backlog_ms(s, now_ms, urgency);
     }
     load.deepest = load.backlog_ms[CW_URGENCIES - 1] ? s->deepest : 0;
     return load;
 }
 
-/* Drops news that is too old to count and all of the peer's, which is about to be told anew. */
-static void _cw_balance_drop_news(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer) {
-    for (uint32_t i = 0; i < s->news_count;) {
-        if (s->news[i].peer == peer || now_ms - s->news[i].at_ms > b->desc.news_ms) {
-            s->news[i] = s->news[--s->news_count];
+/* Drops reports that are too old, and the peer's, which is about to be replaced. */
+static void _cw_balance_drop_reports(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer) {
+    for (uint32_t i = 0; i < s->report_count;) {
+        if (s->reports[i].peer == peer || now_ms - s->reports[i].at_ms > b->desc.news_ms) {
+            s->reports[i] = s->reports[--s->report_count];
         } else {
             i++;
         }
     }
 }
 
-/* For one more piece of news. */
-static void _cw_balance_make_room(const cw_balance_t* b, _cw_server_t* s) {
-    if (s->news_count < s->news_room) {
+/* Ensures capacity for one more report. */
+static void _cw_balance_reserve_report(const cw_balance_t* b, _cw_server_t* s) {
+    if (s->report_count < s->report_capacity) {
         return;
     }
-    uint32_t room = s->news_room ? 2 * s->news_room : _CW_NEWS_ROOM;
-    _cw_news_t* news = cw_alloc(&b->desc.allocator, room, sizeof(*news));
-    if (s->news) {
-        memcpy(news, s->news, s->news_count * sizeof(*news));
-        cw_free(&b->desc.allocator, s->news);
+    uint32_t room = s->report_capacity ? 2 * s->report_capacity : _CW_REPORTS_CAPACITY;
+    _cw_load_report_t* reports = cw_alloc(&b->desc.allocator, room, sizeof(*reports));
+    if (s->reports) {
+        memcpy(reports, s->reports, s->report_count * sizeof(*reports));
+        cw_free(&b->desc.allocator, s->reports);
     }
-    s->news = news;
-    s->news_room = room;
+    s->reports = reports;
+    s->report_capacity = room;
 }
 
 static bool _cw_balance_has_load(const cw_load_t* load) {
     return load->running || load->streaming || load->tokens || load->backlog_ms[CW_URGENCIES - 1];
 }
 
-/* What another daemon saw of the server's life. Its news may have been under way for as long as news takes. */
-static void _cw_balance_hear_life(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer,
-                                  const cw_load_t* load) {
-    if (load->failed_ago_ms && load->failed_ago_ms < _CW_NEWS_OLD_MS) {
-        cw_suspect_failed(&s->life, peer, now_ms - load->failed_ago_ms);
+/* Merges the failures and responses that another daemon observed. Its report may have been in transit for reach_ms. */
+static void _cw_balance_merge_suspicion(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer,
+                                        const cw_load_t* load) {
+    if (load->failed_ago_ms && load->failed_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
+        cw_suspect_failed(&s->suspicion, peer, now_ms - load->failed_ago_ms);
     }
-    if (load->alive_ago_ms && load->alive_ago_ms < _CW_NEWS_OLD_MS) {
-        cw_suspect_alive(&s->life, now_ms - load->alive_ago_ms - b->fleet.reach_ms);
+    if (load->alive_ago_ms && load->alive_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
+        cw_suspect_alive(&s->suspicion, now_ms - load->alive_ago_ms - b->fleet.reach_ms);
     }
 }
 
-static void _cw_balance_hear_rate(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_load_t* load) {
+static void _cw_balance_merge_rate(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_load_t* load) {
     cw_rate_word_t word = {
         .said = load->rate, .per_s = load->rate_per_ks / 1000.0, .at_ms = now_ms - load->rate_ago_ms};
     if (cw_rate_heard(&s->rate, &word, b->fleet.reach_ms)) {
-        _cw_balance_share_rate(b, s, now_ms);
+        _cw_balance_update_rate_share(b, s, now_ms);
     }
 }
 
@@ -1467,31 +1513,31 @@
         return;
     }
     _cw_server_t* s = &b->servers[at];
-    _cw_balance_hear_pace(b, s, load->pace_us);
-    _cw_balance_hear_life(b, s, now_ms, peer, load);
-    _cw_balance_hear_rate(b, s, now_ms, load);
-    _cw_balance_drop_news(b, s, now_ms, peer);
-    if (_cw_balance_has_load(load) && s->news_count < b->desc.max_peers) {
-        _cw_balance_make_room(b, s);
-        s->news[s->news_count++] = (_cw_news_t){.peer = peer, .at_ms = now_ms, .load = *load};
+    _cw_balance_merge_interval(b, s, load->pace_us);
+    _cw_balance_merge_suspicion(b, s, now_ms, peer, load);
+    _cw_balance_merge_rate(b, s, now_ms, load);
+    _cw_balance_drop_reports(b, s, now_ms, peer);
+    if (_cw_balance_has_load(load) && s->report_count < b->desc.max_peers) {
+        _cw_balance_reserve_report(b, s);
+        s->reports[s->report_count++] = (_cw_load_report_t){.peer = peer, .at_ms = now_ms, .load = *load};
     }
 }
 
 double cw_balance_fullness(const cw_balance_t* b, int64_t now_ms) {
     double slots = 0;
     double running = 0;
-    for (uint32_t i = 0; i < b->places; i++) {
+    for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        if (_cw_balance_takes_all(s, now_ms)) {
+        if (_cw_balance_is_unthrottled(s, now_ms)) {
             slots += s->spec.slots;
-            running += _cw_balance_sum(b, s, now_ms, 0).running;
+            running += _cw_balance_total_load(b, s, now_ms, 0).running;
         }
     }
     return slots > 0 ? running / slots : 1;
 }
 
 const cw_holding_t* cw_balance_holding(const cw_balance_t* b) {
-    return &b->holding;
+    return &b->occupancy;
 }
 
 double cw_balance_shortest_target(const cw_balance_t* b) {
@@ -1499,7 +1545,7 @@
 }
 
 double cw_balance_read_rate(const cw_balance_t* b) {
-    return b->reading.token_ms;
+    return b->prefill.token_ms;
 }
 
 #endif /* CHALKWAY_BALANCE_IMPL_INCLUDED */
