--- a/chalkway_backlog.h
+++ b/chalkway_backlog.h
@@ -1,50 +1,48 @@
 #ifndef CHALKWAY_BACKLOG_H
 #define CHALKWAY_BACKLOG_H
 /*
-    chalkway_backlog.h -- prompts that wait to be read at one engine, by urgency
+    chalkway_backlog.h -- pending prefills of one engine, by urgency
 
     WHAT IT IS
-        An engine reads prompts one after the other, the more urgent ones
-        first. For each urgency this keeps the time at which all prompts that
-        are no less urgent will have been read, as far as planned.
-        A prompt that ends earlier or later than planned moves those behind
-        it; a more urgent one that comes later moves the plan of those before
-        which it goes.
+        An engine prefills prompts one after the other, the more urgent ones
+        first. For each urgency this module keeps the predicted time at which
+        all prompts that are no less urgent will be prefilled. A prompt that
+        ends earlier or later than predicted shifts those behind it; a more
+        urgent prompt that is added later shifts those that it overtakes.
 
     HOW TO USE IT
             cw_backlog_t b = {0};
-            cw_backlog_plan_t plan = cw_backlog_add(&b, now_ms, urgency, read_ms);
+            cw_backlog_plan_t plan = cw_backlog_add(&b, now_ms, urgency, prefill_ms);
             double wait_ms = cw_backlog_ms(&b, now_ms, urgency);
             cw_backlog_done(&b, now_ms, &plan);
 
     WHAT IT DOES NOT DO
-        It does not predict how long a prompt takes to read.
+        It does not predict the prefill time of a prompt.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-/* One prompt's place. */
+/* Position of one prompt in the backlog. */
 typedef struct cw_backlog_plan_t {
     uint32_t urgency;
-    double done_ms;       /* when it was to be read, if nothing more urgent came */
-    double put_before_ms; /* of its urgency, as it was added */
+    double done_ms;       /* predicted end of its prefill, if no more urgent prompt is added */
+    double put_before_ms; /* value of its urgency's put_before_ms when it was added */
 } cw_backlog_plan_t;
 
 /* All zero: empty. */
 typedef struct cw_backlog_t {
-    double until_ms[CW_URGENCIES];      /* prompts of this urgency and before are read by then */
-    uint32_t unread[CW_URGENCIES];      /* prompts of this urgency and before */
-    double put_before_ms[CW_URGENCIES]; /* reading ever put before this urgency by more urgent prompts */
+    double until_ms[CW_URGENCIES];      /* predicted end of the prefills of this urgency and more urgent ones */
+    uint32_t unread[CW_URGENCIES];      /* pending prompts of this urgency and more urgent ones */
+    double put_before_ms[CW_URGENCIES]; /* total prefill time of more urgent prompts added so far */
 } cw_backlog_t;
 
-/* The urgency that counts for one that may be beyond the last. */
-/* Time until the prompts of the urgency and before are read. Past the planned time, what is late is taken to last as
-   long again. */
+/* Time until the prompts of the urgency and more urgent ones are prefilled. Once the predicted time has passed, they
+   are assumed to take as long again as they are overdue. */
 double cw_backlog_ms(const cw_backlog_t* b, int64_t now_ms, uint32_t urgency);
-cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double read_ms);
-/* The prompt is read, or never will be. */
+cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double prefill_ms);
+/* Removes a prompt that is prefilled, or never will be. */
 void cw_backlog_done(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan);
 
 #endif /* CHALKWAY_BACKLOG_H */
@@ -55,18 +53,18 @@
 #define CHALKWAY_BACKLOG_IMPL_INCLUDED
 
 double cw_backlog_ms(const cw_backlog_t* b, int64_t now_ms, uint32_t urgency) {
-    double left_ms = b->until_ms[urgency] - (double)now_ms;
+    double remaining_ms = b->until_ms[urgency] - (double)now_ms;
     if (!b->unread[urgency]) {
         return 0;
     }
-    return left_ms > 0 ? left_ms : -left_ms;
+    return remaining_ms > 0 ? remaining_ms : -remaining_ms;
 }
 
-cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double read_ms) {
+cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double prefill_ms) {
     for (uint32_t i = urgency; i < CW_URGENCIES; i++) {
-        b->until_ms[i] = (double)now_ms + cw_backlog_ms(b, now_ms, i) + read_ms;
+        b->until_ms[i] = (double)now_ms + cw_backlog_ms(b, now_ms, i) + prefill_ms;
         b->unread[i]++;
-        b->put_before_ms[i] += i > urgency ? read_ms : 0;
+        b->put_before_ms[i] += i > urgency ? prefill_ms : 0;
     }
     return (cw_backlog_plan_t){
         .urgency = urgency, .done_ms = b->until_ms[urgency], .put_before_ms = b->put_before_ms[urgency]};
@@ -74,10 +72,10 @@
 
 void cw_backlog_done(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan) {
     double put_before_ms = b->put_before_ms[plan->urgency] - plan->put_before_ms;
-    double late_ms = (double)now_ms - plan->done_ms - put_before_ms;
+    double delay_ms = (double)now_ms - plan->done_ms - put_before_ms;
     for (uint32_t i = plan->urgency; i < CW_URGENCIES; i++) {
         b->unread[i] -= b->unread[i] > 0;
-        b->until_ms[i] += late_ms;
+        b->until_ms[i] += delay_ms;
         if (!b->unread[i] || b->until_ms[i] < (double)now_ms) {
             b->until_ms[i] = (double)now_ms;
         }
--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -591,14 +591,14 @@
 
 /* Tokens of the prompt that are assumed to be cached at the server. */
 static uint32_t _cw_balance_cached_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_work_t* work) {
-    cw_prefix_memory_t memory = _cw_balance_prefix_capacity(s);
-    uint32_t tokens = cw_prefix_kept(b->prefix_cache, &memory, work->parts, work->part_count);
+    cw_prefix_memory_t capacity = _cw_balance_prefix_capacity(s);
+    uint32_t tokens = cw_prefix_kept(b->prefix_cache, &capacity, work->parts, work->part_count);
     return tokens < work->prompt_tokens ? tokens : work->prompt_tokens;
 }
 
 static void _cw_balance_cache_part(cw_balance_t* b, _cw_server_t* s, const cw_work_part_t* part) {
-    cw_prefix_memory_t memory = _cw_balance_prefix_capacity(s);
-    if (!cw_kept_has(b->prefix_cache, s->spec.id, part->id, memory.read_tokens, memory.room_tokens)) {
+    cw_prefix_memory_t capacity = _cw_balance_prefix_capacity(s);
+    if (!cw_kept_has(b->prefix_cache, s->spec.id, part->id, capacity.read_tokens, capacity.room_tokens)) {
         s->read_tokens += part->tokens;
     }
     cw_kept_add(b->prefix_cache, s->spec.id, part->id, s->read_tokens);
@@ -762,7 +762,8 @@
     return cheaper && more >= _CW_FETCH_TOKENS_MIN ? more : 0;
 }
 
-/* Predicted time of a plain call. It grows with the share of slots in use, and proportionally once all are in use. */
+/* Predicted time of a plain call: longer at a nearly full server, and proportional to the load once calls wait for a
+   slot. */
 static double _cw_balance_call_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum) {
     double slots = s->spec.slots ? s->spec.slots : 1;
     double load = (sum->running + 1) / slots;
@@ -780,18 +781,18 @@
     return s->position + (_cw_balance_interval_ratio(b, s) > _CW_INTERVAL_SLOW_RATIO ? b->listed_count : 0);
 }
 
-/* Probability that a prompt stalls a stream beyond gap_ms, while the prompts there take unread_ms to prefill. */
-static double _cw_balance_stall_risk(const cw_balance_t* b, uint32_t tokens, double gap_ms, double unread_ms) {
-    return cw_pauses_harm(&b->stalls, tokens, (uint32_t)gap_ms, b->prefill.token_ms, unread_ms);
+/* Probability that a prompt stalls a stream beyond gap_ms, while the prompts there take prefill_left_ms to prefill. */
+static double _cw_balance_stall_risk(const cw_balance_t* b, uint32_t tokens, double gap_ms, double prefill_left_ms) {
+    return cw_pauses_harm(&b->stalls, tokens, (uint32_t)gap_ms, b->prefill.token_ms, prefill_left_ms);
 }
 
 /* Cost, ms, of the stalls that the prompt causes: each stream that it stalls beyond its gap limit counts as one missed
    target. The prefill left there may be more than is known. */
 static double _cw_balance_caused_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                           const cw_work_t* work, double read_ms) {
-    double unread_ms = _CW_PREFILL_LEFT_FACTOR * (sum->backlog_ms + read_ms) + _CW_PREFILL_LEFT_EXTRA_MS;
+    double prefill_left_ms = _CW_PREFILL_LEFT_FACTOR * (sum->backlog_ms + read_ms) + _CW_PREFILL_LEFT_EXTRA_MS;
     double gap_ms = sum->gap_ms / _cw_balance_interval_ratio(b, s);
-    return work->target_ms * sum->streaming * _cw_balance_stall_risk(b, work->prompt_tokens, gap_ms, unread_ms);
+    return work->target_ms * sum->streaming * _cw_balance_stall_risk(b, work->prompt_tokens, gap_ms, prefill_left_ms);
 }
 
 /* Cost, ms, of the stalls of the response itself by the prompts that are prefilled there now. These end during its own
@@ -807,10 +808,10 @@
    between servers that are otherwise equal. */
 static double _cw_balance_consolidation_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                            const cw_work_t* work) {
-    double fragile = _cw_balance_stall_risk(b, (uint32_t)b->long_prompt_tokens, work->gap_ms, INFINITY);
+    double stall_risk = _cw_balance_stall_risk(b, (uint32_t)b->long_prompt_tokens, work->gap_ms, INFINITY);
     double order_ms = work->target_ms * _CW_FILL_ORDER_COST_SHARE * _cw_balance_fill_position(b, s);
     double blocked_ms = b->long_prompt_wait_ms / (1 + sum->streaming);
-    return fragile * (order_ms + blocked_ms);
+    return stall_risk * (order_ms + blocked_ms);
 }
 
 /* Cost, ms, of parts that another server has cached: they are recomputed or fetched. */
@@ -822,8 +823,8 @@
    would still have to prefill theirs later. Owners are the first servers for the part by rendezvous hashing, so all
    hosts agree on them without communication. While they are busy, the prompt goes elsewhere. */
 static double _cw_balance_cache_miss_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t kept) {
-    bool there = kept >= prefix->shared || cw_prefix_owns(prefix, s->spec.id);
-    return there ? 0 : _CW_CACHE_MISS_FACTOR * s->spec.move_ms * (prefix->shared - kept);
+    bool is_available = kept >= prefix->shared || cw_prefix_owns(prefix, s->spec.id);
+    return is_available ? 0 : _CW_CACHE_MISS_FACTOR * s->spec.move_ms * (prefix->shared - kept);
 }
 
 /* Cost, ms, of memory overflow: the engine would preempt a running request. */
@@ -1055,8 +1056,8 @@
         slots += _cw_balance_is_unthrottled(s, now_ms) ? s->spec.slots : 0;
     }
     double rate = cw_contention_rate(&b->contention, now_ms, work->urgency);
-    double needs = _cw_balance_fleet_total(b, cw_holding_places(&b->occupancy, work->urgency, rate));
-    return needs < _CW_LIGHT_SLOT_SHARE * slots && cw_holding_short_prompts(&b->occupancy, work->urgency);
+    double needed_slots = _cw_balance_fleet_total(b, cw_holding_places(&b->occupancy, work->urgency, rate));
+    return needed_slots < _CW_LIGHT_SLOT_SHARE * slots && cw_holding_short_prompts(&b->occupancy, work->urgency);
 }
 
 /* Free slots to reserve for requests with priority over this one: those expected to take a slot before this request
@@ -1064,14 +1065,14 @@
    requests, the burst lacks these slots at its peak. A late request leaves slots to all requests that are in time,
    those of its own urgency included. */
 static double _cw_balance_reserved_slots(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
-    uint32_t before = work->late ? CW_URGENCIES : work->urgency;
+    uint32_t end = work->late ? CW_URGENCIES : work->urgency;
     double held_ms = cw_holding_ms(&b->occupancy, work->urgency);
-    double more = 0;
-    for (uint32_t i = 0; i < before && i < CW_URGENCIES && !work->light; i++) {
+    double expected_slots = 0;
+    for (uint32_t i = 0; i < end && i < CW_URGENCIES && !work->light; i++) {
         double rate = cw_contention_rate(&b->contention, now_ms, i);
-        more += cw_holding_growth(&b->occupancy, i, rate, held_ms);
+        expected_slots += cw_holding_growth(&b->occupancy, i, rate, held_ms);
     }
-    return _cw_balance_fleet_total(b, more);
+    return _cw_balance_fleet_total(b, expected_slots);
 }
 
 /* Whether this host may place the request at an engine with so many free slots. The last slots are for its owner hosts
--- a/chalkway_gaps.h
+++ b/chalkway_gaps.h
@@ -1,41 +1,41 @@
 #ifndef CHALKWAY_GAPS_H
 #define CHALKWAY_GAPS_H
 /*
-    chalkway_gaps.h -- how long the streams at one server may pause
+    chalkway_gaps.h -- gap limits of the streams at one server
 
     WHAT IT IS
-        Counts of streams by the longest pause between events for which they
-        are still in time. What matters of them is the shortest: a prompt that
-        keeps those streams in time keeps all.
+        Numbers of streams by gap limit, the longest accepted gap between two
+        events. Only the strictest limit matters: a prompt that stalls no
+        stream beyond it stalls none beyond its own limit.
 
     HOW TO USE IT
             cw_gaps_t g = {0};
-            cw_gaps_count(&g, gap_ms, 1); // and -1 as it ends
+            cw_gaps_count(&g, gap_ms, 1); // and -1 when the stream ends
             cw_gap_t shortest = cw_gaps_shortest(&g);
 
     WHAT IT DOES NOT DO
-        It predicts no pause (chalkway_pause.h).
+        It does not predict stalls (chalkway_pause.h).
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-#define CW_GAPS_MAX 8 /* different longest pauses that are told apart; more are counted with the last one */
+#define CW_GAPS_MAX 8 /* number of different limits; streams with further ones are counted under the last one */
 
-/* Streams with the same longest pause. */
+/* Streams with the same gap limit. */
 typedef struct cw_gap_t {
     uint32_t gap_ms, count;
 } cw_gap_t;
 
-/* All zero: no stream. */
+/* All zero: no streams. */
 typedef struct cw_gaps_t {
     cw_gap_t items[CW_GAPS_MAX];
 } cw_gaps_t;
 
-/* Counts a stream in (by = 1) or out (-1). */
+/* Adds a stream (by = 1) or removes one (-1). */
 void cw_gaps_count(cw_gaps_t* g, uint32_t gap_ms, int by);
-/* The streams that are made late most easily; count 0: there is none. */
+/* The streams with the strictest limit; count 0: there are none. */
 cw_gap_t cw_gaps_shortest(const cw_gaps_t* g);
 
 #endif /* CHALKWAY_GAPS_H */
@@ -46,15 +46,15 @@
 #define CHALKWAY_GAPS_IMPL_INCLUDED
 
 void cw_gaps_count(cw_gaps_t* g, uint32_t gap_ms, int by) {
-    cw_gap_t* place = &g->items[CW_GAPS_MAX - 1];
+    cw_gap_t* entry = &g->items[CW_GAPS_MAX - 1];
     for (uint32_t i = 0; i < CW_GAPS_MAX; i++) {
         if (g->items[i].gap_ms == gap_ms || !g->items[i].gap_ms) {
-            place = &g->items[i];
+            entry = &g->items[i];
             break;
         }
     }
-    place->gap_ms = place->count ? place->gap_ms : gap_ms;
-    place->count = (uint32_t)((int)place->count + by > 0 ? (int)place->count + by : 0);
+    entry->gap_ms = entry->count ? entry->gap_ms : gap_ms;
+    entry->count = (uint32_t)((int)entry->count + by > 0 ? (int)entry->count + by : 0);
 }
 
 cw_gap_t cw_gaps_shortest(const cw_gaps_t* g) {
--- a/chalkway_holding.h
+++ b/chalkway_holding.h
@@ -1,27 +1,27 @@
 #ifndef CHALKWAY_HOLDING_H
 #define CHALKWAY_HOLDING_H
 /*
-    chalkway_holding.h -- for how long work of each urgency holds a place
+    chalkway_holding.h -- slot occupancy by urgency
 
     WHAT IT IS
-        One host's runs at a pool by urgency: how many hold a place now, how
-        long those that were served held theirs, and how long the prompts of
-        all that were asked for are, as moving means. The rate at which an
-        urgency is asked for, times the time for which it holds a place, is
-        the number of places that it takes once all of it is served (Little's
-        law). How far it gets there within some time tells which places other
-        work had better leave free.
+        One host's requests at a pool by urgency: the number that occupy a
+        slot now, and moving means of the hold time of served requests and of
+        the prompt length of all requests. By Little's law, the arrival rate
+        of an urgency times its hold time is the number of slots that it
+        occupies once all its requests are served. The expected growth of
+        that number within some time tells how many slots other requests
+        should leave free.
 
     HOW TO USE IT
             cw_holding_t h = {0};
             cw_holding_begin(&h, urgency);
-            cw_holding_learn(&h, urgency, held_ms); // it was served
+            cw_holding_learn(&h, urgency, held_ms); // the request was served
             cw_holding_end(&h, urgency);
             double places = cw_holding_places(&h, urgency, rate_per_s);
             double more = cw_holding_growth(&h, urgency, rate_per_s, within_ms);
 
     WHAT IT DOES NOT DO
-        It knows no servers and no other hosts.
+        It has no knowledge of servers and of other hosts.
 
     LICENCE
         MIT, see LICENSE.
@@ -31,32 +31,33 @@
 typedef struct cw_holding_level_t {
     uint32_t running;
     uint32_t samples;
-    double held_ms;       /* learned, 0: none was served yet */
-    double prompt_tokens; /* learned, of all that were asked for */
+    double held_ms;       /* mean hold time; 0: none was served yet */
+    double prompt_tokens; /* mean prompt length of all requests */
 } cw_holding_level_t;
 
-/* All zero: nothing ran. */
+/* All zero: no requests yet. */
 typedef struct cw_holding_t {
     cw_holding_level_t level[CW_URGENCIES];
 } cw_holding_t;
 
-/* Work of the urgency with such a prompt was asked for, whether it will run or not. */
+/* Records the arrival of a request with such a prompt, whether it will run or not. */
 void cw_holding_asked(cw_holding_t* h, uint32_t urgency, uint32_t prompt_tokens);
+/* Records that a request takes a slot. */
 void cw_holding_begin(cw_holding_t* h, uint32_t urgency);
-/* A run that was begun is over. */
+/* Records that a request releases its slot. */
 void cw_holding_end(cw_holding_t* h, uint32_t urgency);
-/* A run held its place for held_ms until it was served: one that broke off says nothing. */
+/* Records the hold time of a request that was served. That of a failed one is no sample. */
 void cw_holding_learn(cw_holding_t* h, uint32_t urgency, double held_ms);
-/* Mean time, ms, for which the urgency holds a place; 0: none was served yet. */
+/* Mean hold time of the urgency, ms; 0: none was served yet. */
 double cw_holding_ms(const cw_holding_t* h, uint32_t urgency);
-/* Places that the urgency takes where all of it is served, so many coming a second. */
+/* Slots that the urgency occupies at this arrival rate once all its requests are served. */
 double cw_holding_places(const cw_holding_t* h, uint32_t urgency, double rate_per_s);
-/* Places beyond those that it holds now that the urgency takes within so long, as far as what came in the last second
-   says more than chance; within_ms 0: in the end. */
+/* Expected growth of the number of slots that the urgency occupies, within within_ms (0: until it settles). The part of
+   the arrival rate that may be random fluctuation is subtracted. */
 double cw_holding_growth(const cw_holding_t* h, uint32_t urgency, double rate_per_s, double within_ms);
-/* Whether the urgency's prompts are short beside those of the urgency that has the longest. */
+/* Whether the urgency's prompts are short compared to those of the urgency with the longest ones. */
 bool cw_holding_short_prompts(const cw_holding_t* h, uint32_t urgency);
-/* Runs of urgencies from..to. */
+/* Number of requests of urgencies from..to that occupy a slot. */
 uint32_t cw_holding_running(const cw_holding_t* h, uint32_t from, uint32_t to);
 
 #endif /* CHALKWAY_HOLDING_H */
@@ -68,16 +69,17 @@
 
 #include <math.h>
 
-#define _CW_HOLDING_LEARN 0.05 /* weight of a new sample: answers differ in length by five to one */
-#define _CW_HOLDING_SHORT 0.25 /* of the longest mean prompt: shorter ones are short */
-/* Times what was held so far that a place will be held while more and more comes: the answers that have ended by then
-   are the short ones. With all else alike, 1.0 and 1.4 in three kinds of bursts, ten each: worth 0.554 and 0.565 on one
-   pool of nine engines, 0.533 and 0.542 on another; a kind was starved in 5 and 5 there, in 7 and 9 here. */
-#define _CW_HOLDING_LONGER 1.4
+#define _CW_OCCUPANCY_WEIGHT 0.05 /* weight of a new sample; low, since responses differ in length by five to one */
+#define _CW_OCCUPANCY_SHORT_SHARE 0.25 /* of the longest mean prompt: shorter ones are short */
+/* Correction of the mean hold time while the load grows: the responses that have ended by then are the short ones, so
+   the mean is too low. With otherwise equal settings, in three types of bursts with ten runs each, 1.0 and 1.4 scored
+   0.554 and 0.565 on one pool of nine engines, 0.533 and 0.542 on another one; a class was starved in 5 and 5 runs on
+   the one, in 7 and 9 on the other. */
+#define _CW_OCCUPANCY_GROWTH_FACTOR 1.4
 
 void cw_holding_asked(cw_holding_t* h, uint32_t urgency, uint32_t prompt_tokens) {
     double* mean = &h->level[cw_urgency_level(urgency)].prompt_tokens;
-    *mean += (*mean > 0 ? _CW_HOLDING_LEARN : 1) * (prompt_tokens - *mean);
+    *mean += (*mean > 0 ? _CW_OCCUPANCY_WEIGHT : 1) * (prompt_tokens - *mean);
 }
 
 void cw_holding_begin(cw_holding_t* h, uint32_t urgency) {
@@ -92,7 +94,7 @@
 void cw_holding_learn(cw_holding_t* h, uint32_t urgency, double held_ms) {
     cw_holding_level_t* l = &h->level[cw_urgency_level(urgency)];
     double weight = 1.0 / (l->samples + 1);
-    weight = weight > _CW_HOLDING_LEARN ? weight : _CW_HOLDING_LEARN;
+    weight = weight > _CW_OCCUPANCY_WEIGHT ? weight : _CW_OCCUPANCY_WEIGHT;
     l->samples += l->samples < UINT32_MAX;
     l->held_ms += weight * (held_ms - l->held_ms);
 }
@@ -107,12 +109,12 @@
 
 double cw_holding_growth(const cw_holding_t* h, uint32_t urgency, double rate_per_s, double within_ms) {
     double held_ms = cw_holding_ms(h, urgency);
-    double more = _CW_HOLDING_LONGER * cw_holding_places(h, urgency, rate_per_s);
-    more -= cw_holding_running(h, urgency, urgency);
-    more -= sqrt(rate_per_s) * held_ms / 1000.0; /* that much more may have come by chance */
-    /* What runs ends at the rate 1 / held_ms, so the number of runs nears its end exponentially. */
-    double reached = within_ms > 0 && held_ms > 0 ? 1 - exp(-within_ms / held_ms) : 1;
-    return more > 0 ? more * reached : 0;
+    double growth = _CW_OCCUPANCY_GROWTH_FACTOR * cw_holding_places(h, urgency, rate_per_s);
+    growth -= cw_holding_running(h, urgency, urgency);
+    growth -= sqrt(rate_per_s) * held_ms / 1000.0; /* random fluctuation of the arrivals */
+    /* Requests end at the rate 1 / held_ms, so their number approaches its final value exponentially. */
+    double share = within_ms > 0 && held_ms > 0 ? 1 - exp(-within_ms / held_ms) : 1;
+    return growth > 0 ? growth * share : 0;
 }
 
 bool cw_holding_short_prompts(const cw_holding_t* h, uint32_t urgency) {
@@ -120,7 +122,7 @@
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
         longest = h->level[i].prompt_tokens > longest ? h->level[i].prompt_tokens : longest;
     }
-    return h->level[cw_urgency_level(urgency)].prompt_tokens < _CW_HOLDING_SHORT * longest;
+    return h->level[cw_urgency_level(urgency)].prompt_tokens < _CW_OCCUPANCY_SHORT_SHARE * longest;
 }
 
 uint32_t cw_holding_running(const cw_holding_t* h, uint32_t from, uint32_t to) {
--- a/chalkway_kept.h
+++ b/chalkway_kept.h
@@ -1,14 +1,15 @@
 #ifndef CHALKWAY_KEPT_H
 #define CHALKWAY_KEPT_H
 /*
-    chalkway_kept.h -- which parts of prompts a server is taken to keep
+    chalkway_kept.h -- estimate of the prompt parts in the servers' prefix caches
 
     WHAT IT IS
-        A table of fixed size, four places for each hash, over pairs of a
-        server and a part. Each entry notes how many tokens the server had
-        read when it used the part last; a part counts as kept until the
-        server has read so many more that its memory was filled with others.
-        An entry takes 12 bytes, and the table none before one is added.
+        A 4-way set-associative table of fixed size over pairs of a server
+        and a prompt part. An entry holds the number of tokens that the
+        server had prefilled when it last used the part. A part counts as
+        cached until the server has prefilled as many further tokens as its
+        cache holds. An entry takes 12 bytes; the table is allocated when the
+        first one is added.
 
     HOW TO USE IT
             cw_kept_t* k = cw_kept_setup(131072, NULL);
@@ -17,9 +18,9 @@
             cw_kept_shutdown(k);
 
     WHAT IT DOES NOT DO
-        It hears nothing of what a server really keeps: it is a guess from
-        what was sent there. When places run out, the part used longest ago
-        gives way.
+        It gets no information from the servers: it is an estimate from the
+        prompts that were sent to them. When a set is full, its least
+        recently used entry is replaced.
 
     LICENCE
         MIT, see LICENSE.
@@ -31,9 +32,9 @@
 /* A table for about capacity pairs. allocator may be NULL. */
 cw_kept_t* cw_kept_setup(uint32_t capacity, const cw_allocator_t* allocator);
 void cw_kept_shutdown(cw_kept_t* k);
-/* The server, which has read so many tokens in all, uses the part. */
+/* Records that the server uses the part. tokens_read: all tokens that it has prefilled so far. */
 void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read);
-/* Whether the part is still there when other parts have room_tokens. */
+/* Whether the part is still cached at the server, whose cache holds room_tokens. */
 bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read, double room_tokens);
 
 #endif /* CHALKWAY_KEPT_H */
@@ -43,27 +44,27 @@
 #ifndef CHALKWAY_KEPT_IMPL_INCLUDED
 #define CHALKWAY_KEPT_IMPL_INCLUDED
 
-#define _CW_KEPT_WAYS 4
+#define _CW_PREFIX_CACHE_WAYS 4
 
-/* Counters are kept modulo 2^32: only their differences count. */
-typedef struct _cw_kept_entry_t {
+/* Counters are modulo 2^32: only their differences matter. */
+typedef struct _cw_prefix_cache_entry_t {
     uint32_t tag;         /* of server and part, 0: free */
-    uint32_t tokens_read; /* by the server then */
-    uint32_t used;        /* when, counted in uses of the table */
-} _cw_kept_entry_t;
+    uint32_t tokens_read; /* by the server, at the last use */
+    uint32_t last_use;    /* value of the table's uses at the last use */
+} _cw_prefix_cache_entry_t;
 
 struct cw_kept_t {
     cw_allocator_t allocator;
-    _cw_kept_entry_t* entries; /* NULL: none was added yet */
-    uint32_t count;            /* a power of two */
-    uint32_t uses;
+    _cw_prefix_cache_entry_t* entries; /* NULL: none was added yet */
+    uint32_t count;                    /* a power of two */
+    uint32_t uses;                     /* number of calls of cw_kept_add */
 };
 
 cw_kept_t* cw_kept_setup(uint32_t capacity, const cw_allocator_t* allocator) {
-    cw_allocator_t memory = allocator ? *allocator : (cw_allocator_t){0};
-    cw_kept_t* k = cw_alloc(&memory, 1, sizeof(*k));
-    k->allocator = memory;
-    k->count = _CW_KEPT_WAYS;
+    cw_allocator_t alloc = allocator ? *allocator : (cw_allocator_t){0};
+    cw_kept_t* k = cw_alloc(&alloc, 1, sizeof(*k));
+    k->allocator = alloc;
+    k->count = _CW_PREFIX_CACHE_WAYS;
     while (k->count < capacity) {
         k->count *= 2;
     }
@@ -71,26 +72,27 @@
 }
 
 void cw_kept_shutdown(cw_kept_t* k) {
-    cw_allocator_t memory = k->allocator;
-    cw_free(&memory, k->entries);
-    cw_free(&memory, k);
+    cw_allocator_t alloc = k->allocator;
+    cw_free(&alloc, k->entries);
+    cw_free(&alloc, k);
 }
 
-/* What tells the pair from others that share its places; never 0. */
-static uint32_t _cw_kept_tag(uint64_t key) {
+/* Tag that distinguishes the pair from others of the same set; never 0. */
+static uint32_t _cw_prefix_cache_tag(uint64_t key) {
     uint32_t tag = (uint32_t)(key >> 32);
     return tag ? tag : 1;
 }
 
-/* The pair's entry, or the one that it would take: a free one, else the one used longest ago. */
-static _cw_kept_entry_t* _cw_kept_entry(const cw_kept_t* k, uint64_t key) {
-    _cw_kept_entry_t* ways = &k->entries[(uint32_t)key & (k->count - 1) & ~(uint32_t)(_CW_KEPT_WAYS - 1)];
-    _cw_kept_entry_t* oldest = ways;
-    for (uint32_t i = 0; i < _CW_KEPT_WAYS; i++) {
-        if (!ways[i].tag || ways[i].tag == _cw_kept_tag(key)) {
+/* The pair's entry, or the one that it would replace: a free one, else the least recently used one. */
+static _cw_prefix_cache_entry_t* _cw_prefix_cache_entry(const cw_kept_t* k, uint64_t key) {
+    _cw_prefix_cache_entry_t* ways =
+        &k->entries[(uint32_t)key & (k->count - 1) & ~(uint32_t)(_CW_PREFIX_CACHE_WAYS - 1)];
+    _cw_prefix_cache_entry_t* oldest = ways;
+    for (uint32_t i = 0; i < _CW_PREFIX_CACHE_WAYS; i++) {
+        if (!ways[i].tag || ways[i].tag == _cw_prefix_cache_tag(key)) {
             return &ways[i];
         }
-        oldest = k->uses - ways[i].used > k->uses - oldest->used ? &ways[i] : oldest;
+        oldest = k->uses - ways[i].last_use > k->uses - oldest->last_use ? &ways[i] : oldest;
     }
     return oldest;
 }
@@ -100,8 +102,9 @@
     if (!k->entries) {
         k->entries = cw_alloc(&k->allocator, k->count, sizeof(*k->entries));
     }
-    _cw_kept_entry_t* entry = _cw_kept_entry(k, key);
-    *entry = (_cw_kept_entry_t){.tag = _cw_kept_tag(key), .tokens_read = (uint32_t)tokens_read, .used = ++k->uses};
+    _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
+    *entry = (_cw_prefix_cache_entry_t){
+        .tag = _cw_prefix_cache_tag(key), .tokens_read = (uint32_t)tokens_read, .last_use = ++k->uses};
 }
 
 bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read, double room_tokens) {
@@ -109,8 +112,8 @@
         return false;
     }
     uint64_t key = cw_mix(server, part);
-    const _cw_kept_entry_t* entry = _cw_kept_entry(k, key);
-    return entry->tag == _cw_kept_tag(key) && (uint32_t)tokens_read - entry->tokens_read < room_tokens;
+    const _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
+    return entry->tag == _cw_prefix_cache_tag(key) && (uint32_t)tokens_read - entry->tokens_read < room_tokens;
 }
 
 #endif /* CHALKWAY_KEPT_IMPL_INCLUDED */
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -4,16 +4,16 @@
     chalkway_limit.h -- token bucket and retry budget
 
     WHAT IT IS
-        A token bucket over a clock that is passed in, and the budget for
-        retries: a share of the first tries, so that retries cannot multiply
-        a load that is already too high.
+        A token bucket over a clock that is passed in, and a retry budget:
+        retries are limited to a share of the first attempts, so that they
+        cannot multiply a load that is already too high.
 
     HOW TO USE IT
             cw_bucket_t bucket = {.rate = 5, .burst = 10};     // 5 a second
             if (cw_bucket_take(&bucket, now_ms, 1)) { ... }
 
             cw_retry_budget_t budget = {.share = 0.1, .burst = 10};
-            cw_retry_first(&budget);                           // on each first try
+            cw_retry_first(&budget);                           // on each first attempt
             if (cw_retry_take(&budget)) { ... }
 
     WHAT IT DOES NOT DO
@@ -25,45 +25,46 @@
 #include "chalkway_core.h"
 
 typedef struct cw_bucket_t {
-    double rate;  /* tokens a second; 0 or less: no limit */
-    double burst; /* most tokens held, default one second's worth */
+    double rate;  /* tokens per second; 0 or less: no limit */
+    double burst; /* capacity of the bucket, tokens; default: the rate times one second */
     double tokens;
     int64_t at_ms;
     bool started;
 } cw_bucket_t;
 
 typedef struct cw_retry_budget_t {
-    double share; /* retries allowed for each first try */
-    double burst; /* most retries saved up */
+    double share; /* retries allowed for each first attempt */
+    double burst; /* most retries that can accumulate */
     double tokens;
 } cw_retry_budget_t;
 
 #define CW_RETRY_WINDOW_PARTS 16
 
-/* One daemon's part of a budget for repeats that many daemons share without talking: in any window of time the repeats
-   stay within ratio * own first tries + slack / daemons. The parts sum to at most the whole budget while daemons is at
-   least the number of those that live. */
+/* One daemon's share of a retry budget that many daemons share without communication: in any window of time its retries
+   stay within ratio * own first attempts + slack / daemons. The shares sum to at most the whole budget as long as
+   daemons is no less than the number of live daemons. */
 typedef struct cw_retry_window_t {
-    double ratio;       /* repeats allowed for each first try */
-    double slack;       /* repeats that all daemons together may make beyond that in a window */
+    double ratio;       /* retries allowed for each first attempt */
+    double slack;       /* additional retries of all daemons together in a window */
     uint32_t window_ms; /* default 10000 */
     uint32_t daemons;   /* most daemons that were ever known at once, default 1 */
-    int64_t part_at;    /* number of the newest part of the window */
+    int64_t part_at;    /* number of the window's newest slice */
     uint32_t first[CW_RETRY_WINDOW_PARTS + 1];
     uint32_t repeats[CW_RETRY_WINDOW_PARTS + 1];
 } cw_retry_window_t;
 
+/* Counts a first attempt. */
 void cw_retry_window_first(cw_retry_window_t* w, int64_t now_ms);
-/* Takes one repeat if the window has room for it. */
+/* Takes one retry if the budget allows it. */
 bool cw_retry_window_take(cw_retry_window_t* w, int64_t now_ms);
-/* Whether it has room for one now. */
+/* Whether the budget allows a retry now. */
 bool cw_retry_window_has(cw_retry_window_t* w, int64_t now_ms);
 
-/* Takes n tokens if they are there. */
+/* Takes n tokens if the bucket has them. */
 bool cw_bucket_take(cw_bucket_t* bucket, int64_t now_ms, double n);
-/* From now on the bucket fills at this rate; what it holds stays, up to the new burst. */
+/* Changes the rate from now on. The bucket keeps its tokens, up to the new burst. */
 void cw_bucket_set_rate(cw_bucket_t* bucket, int64_t now_ms, double rate, double burst);
-/* Time until n tokens will be there, 0 when they are. */
+/* Time until the bucket has n tokens, 0: now. */
 uint32_t cw_bucket_wait_ms(const cw_bucket_t* bucket, int64_t now_ms, double n);
 void cw_retry_first(cw_retry_budget_t* budget);
 bool cw_retry_take(cw_retry_budget_t* budget);
@@ -77,13 +78,13 @@
 
 #define _CW_RETRY_WINDOW_MS 10000U
 
-/* Drops the parts that have left the window. Its oldest part is kept whole, so that any span of its length is covered.
- */
-static void _cw_retry_window_move(cw_retry_window_t* w, int64_t now_ms) {
+/* Clears the slices that have left the window. One slice more than the window's length is kept, so that any span of
+   that length is covered. */
+static void _cw_retry_window_advance(cw_retry_window_t* w, int64_t now_ms) {
     uint32_t window_ms = w->window_ms ? w->window_ms : _CW_RETRY_WINDOW_MS;
     int64_t part = now_ms * CW_RETRY_WINDOW_PARTS / window_ms;
-    int64_t oldest_new = part - w->part_at > CW_RETRY_WINDOW_PARTS ? part - CW_RETRY_WINDOW_PARTS : w->part_at + 1;
-    for (int64_t i = oldest_new; i <= part; i++) {
+    int64_t first_new = part - w->part_at > CW_RETRY_WINDOW_PARTS ? part - CW_RETRY_WINDOW_PARTS : w->part_at + 1;
+    for (int64_t i = first_new; i <= part; i++) {
         w->first[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
         w->repeats[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
     }
@@ -91,12 +92,12 @@
 }
 
 void cw_retry_window_first(cw_retry_window_t* w, int64_t now_ms) {
-    _cw_retry_window_move(w, now_ms);
+    _cw_retry_window_advance(w, now_ms);
     w->first[w->part_at % (CW_RETRY_WINDOW_PARTS + 1)]++;
 }
 
 bool cw_retry_window_has(cw_retry_window_t* w, int64_t now_ms) {
-    _cw_retry_window_move(w, now_ms);
+    _cw_retry_window_advance(w, now_ms);
     uint32_t first = 0;
     uint32_t repeats = 0;
     for (int i = 0; i <= CW_RETRY_WINDOW_PARTS; i++) {
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -1,23 +1,22 @@
 #ifndef CHALKWAY_LOAD_H
 #define CHALKWAY_LOAD_H
 /*
-    chalkway_load.h -- what a daemon has at the servers, as a datagram
+    chalkway_load.h -- datagram with a daemon's load reports
 
     WHAT IT IS
-        One msgpack array for each datagram: version, cluster, sender, what
-        the sender knows of the source and how old that is, to whom the
-        receiver is to pass the entries on, and a list of entries. An entry
-        tells all that a host, the sender or another one, has at one server
-        now, so that a lost datagram is mended by the next one; it may also
-        name parts of prompts that were just sent there. Marks of requests
-        under which servers end (chalkway_quarantine.h) follow the head.
+        Each datagram is one msgpack array: version, cluster, sender, the
+        sender's source state with its age, the forwarding scope, quarantine
+        observations (chalkway_quarantine.h) and a list of entries. An entry
+        is the complete current load of one host, the sender or another one,
+        at one server, so the next datagram makes up for a lost one. It may
+        also list prompt parts that were just sent to the server.
 
     HOW TO USE IT
             size_t n = cw_load_encode(&message, bytes, sizeof(bytes));
             if (cw_load_decode(&message, bytes, n, &err) == CW_OK) { ... }
 
     WHAT IT DOES NOT DO
-        No sockets; it does not say when to send.
+        It has no sockets and does not schedule datagrams.
 
     LICENCE
         MIT, see LICENSE.
@@ -25,33 +24,34 @@
 #include "chalkway_balance.h"
 #include "chalkway_quarantine.h"
 
-#define CW_LOAD_VERSION 7  /* raised where readers of before would misread an entry: no other version is read */
-#define CW_LOAD_ENTRIES 24 /* in one datagram */
-#define CW_LOAD_MARKS 48   /* in one datagram, with which no entries are sent */
-#define CW_LOAD_PARTS 4    /* parts of prompts told with one entry */
-#define CW_LOAD_BYTES 4096 /* largest datagram: a full one fits */
+#define CW_LOAD_VERSION 7  /* changes when older receivers would misread an entry; other versions are rejected */
+#define CW_LOAD_ENTRIES 24 /* most entries in a datagram */
+#define CW_LOAD_MARKS 48   /* most quarantine observations in a datagram, which then has no entries */
+#define CW_LOAD_PARTS 4    /* most prompt parts in an entry */
+#define CW_LOAD_BYTES 4096 /* largest datagram, with all entries in use */
 
-/* To whom the receiver passes the entries on. */
+/* Hosts to which the receiver forwards the entries. */
 typedef enum cw_load_scope_t {
-    CW_LOAD_LAST = 0, /* to nobody */
-    CW_LOAD_FOR_HALL, /* to the others of its hall */
-    CW_LOAD_FOR_ALL,  /* to them and to a host of each other hall */
+    CW_LOAD_LAST = 0, /* none */
+    CW_LOAD_FOR_HALL, /* the others of its hall */
+    CW_LOAD_FOR_ALL,  /* the others of its hall and one host of each other hall */
     CW_LOAD_SCOPE_COUNT
 } cw_load_scope_t;
 
 typedef struct cw_load_entry_t {
     uint64_t host; /* whose load it is */
     uint64_t server;
-    bool leaving; /* the server itself said that it leaves */
+    bool leaving; /* by the server's own response */
     cw_load_t load;
     uint32_t part_count;
     cw_work_part_t parts[CW_LOAD_PARTS];
 } cw_load_entry_t;
 
-/* What a daemon knows of the source of the configuration. Ages are in ms since it was known to be true there. */
+/* The configuration and list of servers that a daemon has from the source. The ages count from the time at which they
+   were last confirmed to be current at the source. */
 typedef struct cw_knowledge_t {
-    uint64_t revision; /* of the configuration in force, 0: none */
-    uint64_t servers;  /* id of the list of servers in force, 0: none */
+    uint64_t revision; /* of the active configuration, 0: none */
+    uint64_t servers;  /* id of the active list of servers, 0: none */
     uint32_t revision_age_ms;
     uint32_t servers_age_ms;
 } cw_knowledge_t;
@@ -67,12 +67,12 @@
     cw_load_entry_t entries[CW_LOAD_ENTRIES];
 } cw_load_message_t;
 
-/* Makes both ages older by ms: what a daemon says was true when it was sent, not when it is read. An age that is not
-   counted as time under way would stay young forever among daemons that confirm each other. */
+/* Adds ms to both ages. A received state was current when it was sent, so its transit time has to be added: otherwise
+   daemons that confirm each other's state would keep its age low forever. */
 void cw_knowledge_age(cw_knowledge_t* knowledge, uint32_t ms);
-/* Longest time for which a daemon of the rank tells its peers nothing, of so many that live. The first ranks, which
-   read the source, are heard often; the others' words only repeat it, and would be heard by each host from every other
-   one. */
+/* Heartbeat interval of the daemon with this rank among the live ones: the longest time between two of its datagrams.
+   The first ranks poll the source and send often. The others only repeat the source state, and since every host
+   receives every other one's datagrams, their interval grows with the fleet. */
 uint32_t cw_load_quiet_ms(uint32_t rank, uint32_t live);
 /* Writes the datagram; returns its size, 0 when it does not fit. */
 size_t cw_load_encode(const cw_load_message_t* message, uint8_t* out, size_t size);
@@ -88,41 +88,44 @@
 #include <msgpack.h>
 #include <string.h>
 
-#define _CW_LOAD_QUIET_MS 100    /* of the first ranks, and of all in a small fleet */
-#define _CW_LOAD_QUIET_STEP_MS 8 /* of the others, for each daemon that lives */
+#define _CW_LOAD_HEARTBEAT_MS 100    /* of the first ranks, and of all daemons in a small fleet */
+#define _CW_LOAD_HEARTBEAT_STEP_MS 8 /* of the others, for each live daemon */
 #define _CW_LOAD_FIRST_RANKS 3
-#define _CW_LOAD_HEAD 9     /* fields before the entries; the last one holds the marks */
-#define _CW_LOAD_MARK 5     /* numbers of a mark */
-#define _CW_LOAD_IDS 2      /* first fields of an entry: the host, 0 for the sender, and the server */
-#define _CW_LOAD_FIELDS 12  /* of an entry before its backlogs; the last one says which are told */
-#define _CW_LOAD_RATE 2     /* numbers of a server's rate: what it is, and its age */
-#define _CW_LOAD_LEAVING 1U /* flags of an entry */
-#define _CW_LOAD_RATE_NAMED 2U
-#define _CW_LOAD_RATE_LIFTED 4U
-#define _CW_LOAD_BACKLOG_MAX UINT16_MAX /* ms, longer than any work waits: what is more is told as this */
+#define _CW_LOAD_HEAD_FIELDS 9 /* fields before the entries; the last one is the array of quarantine observations */
+#define _CW_LOAD_OBSERVATION_FIELDS 5 /* numbers of an observation */
+#define _CW_LOAD_ID_FIELDS 2          /* first fields of an entry: the host, 0 for the sender, and the server */
+#define _CW_LOAD_ENTRY_FIELDS                                                                                          \
+    12 /* fields of an entry before its rate and backlogs; the last one is the backlogs' bit set */
+#define _CW_LOAD_RATE_FIELDS 2 /* numbers of a server's rate: its value and its age */
+#define _CW_LOAD_LEAVING 1U    /* flags of an entry */
+#define _CW_LOAD_RATE_ADVERTISED 2U
+#define _CW_LOAD_RATE_WITHDRAWN 4U
+#define _CW_LOAD_BACKLOG_MAX_MS                                                                                        \
+    UINT16_MAX /* ms, longer than any request waits: longer backlogs are sent as this value */
 
 uint32_t cw_load_quiet_ms(uint32_t rank, uint32_t live) {
-    uint32_t stretched_ms = live * _CW_LOAD_QUIET_STEP_MS;
-    return rank < _CW_LOAD_FIRST_RANKS || stretched_ms < _CW_LOAD_QUIET_MS ? _CW_LOAD_QUIET_MS : stretched_ms;
+    uint32_t fleet_ms = live * _CW_LOAD_HEARTBEAT_STEP_MS;
+    return rank < _CW_LOAD_FIRST_RANKS || fleet_ms < _CW_LOAD_HEARTBEAT_MS ? _CW_LOAD_HEARTBEAT_MS : fleet_ms;
 }
 
-static uint32_t _cw_load_older(uint32_t age_ms, uint32_t ms) {
+static uint32_t _cw_load_add_age(uint32_t age_ms, uint32_t ms) {
     return age_ms < UINT32_MAX - ms ? age_ms + ms : UINT32_MAX;
 }
 
 void cw_knowledge_age(cw_knowledge_t* knowledge, uint32_t ms) {
-    knowledge->revision_age_ms = _cw_load_older(knowledge->revision_age_ms, ms);
-    knowledge->servers_age_ms = _cw_load_older(knowledge->servers_age_ms, ms);
+    knowledge->revision_age_ms = _cw_load_add_age(knowledge->revision_age_ms, ms);
+    knowledge->servers_age_ms = _cw_load_add_age(knowledge->servers_age_ms, ms);
 }
 
-/* What each urgency's prompts add to the backlog of those before it, ms. Few do: the others are left out. Returns how
-   many do; bit i of which: urgency i does. */
+/* Backlog, ms, that each urgency's prompts add to that of the more urgent ones. Only urgencies that add any, usually
+   few, are encoded. Returns their number; bit i of which is set for urgency i. */
 static uint32_t _cw_load_backlog(const cw_load_t* load, uint32_t own_ms[CW_URGENCIES], uint32_t* which) {
     uint32_t count = 0;
     uint32_t before_ms = 0;
     *which = 0;
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
-        uint32_t until_ms = load->backlog_ms[i] < _CW_LOAD_BACKLOG_MAX ? load->backlog_ms[i] : _CW_LOAD_BACKLOG_MAX;
+        uint32_t until_ms =
+            load->backlog_ms[i] < _CW_LOAD_BACKLOG_MAX_MS ? load->backlog_ms[i] : _CW_LOAD_BACKLOG_MAX_MS;
         if (until_ms > before_ms) {
             own_ms[count++] = until_ms - before_ms;
             *which |= 1U << i;
@@ -133,16 +136,16 @@
 }
 
 static uint32_t _cw_load_flags(const cw_load_entry_t* e) {
-    return (e->leaving ? _CW_LOAD_LEAVING : 0U) | (e->load.rate == CW_RATE_NAMED ? _CW_LOAD_RATE_NAMED : 0U) |
-           (e->load.rate == CW_RATE_LIFTED ? _CW_LOAD_RATE_LIFTED : 0U);
+    return (e->leaving ? _CW_LOAD_LEAVING : 0U) | (e->load.rate == CW_RATE_NAMED ? _CW_LOAD_RATE_ADVERTISED : 0U) |
+           (e->load.rate == CW_RATE_LIFTED ? _CW_LOAD_RATE_WITHDRAWN : 0U);
 }
 
 static void _cw_load_pack_entry(msgpack_packer* p, const cw_load_entry_t* e, uint64_t sender) {
     uint32_t own_ms[CW_URGENCIES];
     uint32_t which;
     uint32_t backlogs = _cw_load_backlog(&e->load, own_ms, &which);
-    uint32_t rate_fields = e->load.rate ? _CW_LOAD_RATE : 0;
-    msgpack_pack_array(p, _CW_LOAD_FIELDS + rate_fields + backlogs + 2 * e->part_count);
+    uint32_t rate_fields = e->load.rate ? _CW_LOAD_RATE_FIELDS : 0;
+    msgpack_pack_array(p, _CW_LOAD_ENTRY_FIELDS + rate_fields + backlogs + 2 * e->part_count);
     msgpack_pack_uint64(p, e->host == sender ? 0 : e->host);
     msgpack_pack_uint64(p, e->server);
     msgpack_pack_uint32(p, _cw_load_flags(e));
@@ -168,9 +171,9 @@
     }
 }
 
-/* All marks in one flat array: kind, workspace, content, life, age. */
-static void _cw_load_pack_marks(msgpack_packer* p, const cw_load_message_t* message) {
-    msgpack_pack_array(p, (size_t)_CW_LOAD_MARK * message->mark_count);
+/* Packs the observations as one flat array: kind, workspace, content, incarnation, age. */
+static void _cw_load_pack_observations(msgpack_packer* p, const cw_load_message_t* message) {
+    msgpack_pack_array(p, (size_t)_CW_LOAD_OBSERVATION_FIELDS * message->mark_count);
     for (uint32_t i = 0; i < message->mark_count; i++) {
         const cw_mark_t* mark = &message->marks[i];
         msgpack_pack_uint32(p, mark->kind);
@@ -186,7 +189,7 @@
     msgpack_packer packer;
     msgpack_sbuffer_init(&buffer);
     msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
-    msgpack_pack_array(&packer, _CW_LOAD_HEAD + message->count);
+    msgpack_pack_array(&packer, _CW_LOAD_HEAD_FIELDS + message->count);
     msgpack_pack_uint32(&packer, CW_LOAD_VERSION);
     msgpack_pack_uint64(&packer, message->cluster);
     msgpack_pack_uint64(&packer, message->host);
@@ -195,7 +198,7 @@
     msgpack_pack_uint32(&packer, message->knowledge.revision_age_ms);
     msgpack_pack_uint32(&packer, message->knowledge.servers_age_ms);
     msgpack_pack_uint32(&packer, message->scope);
-    _cw_load_pack_marks(&packer, message);
+    _cw_load_pack_observations(&packer, message);
     for (uint32_t i = 0; i < message->count; i++) {
         _cw_load_pack_entry(&packer, &message->entries[i], message->host);
     }
@@ -205,7 +208,7 @@
     return written;
 }
 
-static bool _cw_load_number(const msgpack_object_array* a, uint32_t at, uint64_t max, uint64_t* out) {
+static bool _cw_load_read_number(const msgpack_object_array* a, uint32_t at, uint64_t max, uint64_t* out) {
     if (at >= a->size || a->ptr[at].type != MSGPACK_OBJECT_POSITIVE_INTEGER || a->ptr[at].via.u64 > max) {
         return false;
     }
@@ -213,12 +216,12 @@
     return true;
 }
 
-/* Reads the backlogs that follow at *at, and moves it behind them. */
+/* Reads the backlogs that start at *at, and advances *at past them. */
 static bool _cw_load_read_backlog(const msgpack_object_array* a, uint64_t which, cw_load_t* load, uint32_t* at) {
     uint64_t until_ms = 0;
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
         uint64_t own_ms = 0;
-        if ((which >> i & 1U) && !_cw_load_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX, &own_ms)) {
+        if ((which >> i & 1U) && !_cw_load_read_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX_MS, &own_ms)) {
             return false;
         }
         until_ms += own_ms;
@@ -227,33 +230,33 @@
     return true;
 }
 
-/* Reads a server's rate, where the flags say that it follows at *at, and moves it behind. */
+/* Reads a server's rate that starts at *at, if the flags announce one, and advances *at past it. */
 static bool _cw_load_read_rate(const msgpack_object_array* a, uint64_t flags, cw_load_t* load, uint32_t* at) {
     uint64_t per_ks = 0;
     uint64_t ago_ms = 0;
-    load->rate = flags & _CW_LOAD_RATE_NAMED    ? CW_RATE_NAMED
-                 : flags & _CW_LOAD_RATE_LIFTED ? CW_RATE_LIFTED
-                                                : CW_RATE_UNKNOWN;
+    load->rate = flags & _CW_LOAD_RATE_ADVERTISED  ? CW_RATE_NAMED
+                 : flags & _CW_LOAD_RATE_WITHDRAWN ? CW_RATE_LIFTED
+                                                   : CW_RATE_UNKNOWN;
     if (load->rate == CW_RATE_UNKNOWN) {
         return true;
     }
-    if (!_cw_load_number(a, *at, UINT32_MAX, &per_ks) || !_cw_load_number(a, *at + 1, UINT32_MAX, &ago_ms)) {
+    if (!_cw_load_read_number(a, *at, UINT32_MAX, &per_ks) || !_cw_load_read_number(a, *at + 1, UINT32_MAX, &ago_ms)) {
         return false;
     }
     load->rate_per_ks = (uint32_t)per_ks;
     load->rate_ago_ms = (uint32_t)ago_ms;
-    *at += _CW_LOAD_RATE;
+    *at += _CW_LOAD_RATE_FIELDS;
     return true;
 }
 
 static bool _cw_load_read_entry(const msgpack_object* o, cw_load_entry_t* e, uint64_t sender) {
-    uint64_t v[_CW_LOAD_FIELDS];
+    uint64_t v[_CW_LOAD_ENTRY_FIELDS];
     *e = (cw_load_entry_t){0};
     if (o->type != MSGPACK_OBJECT_ARRAY) {
         return false;
     }
-    for (uint32_t i = 0; i < _CW_LOAD_FIELDS; i++) {
-        if (!_cw_load_number(&o->via.array, i, i < _CW_LOAD_IDS ? UINT64_MAX : UINT32_MAX, &v[i])) {
+    for (uint32_t i = 0; i < _CW_LOAD_ENTRY_FIELDS; i++) {
+        if (!_cw_load_read_number(&o->via.array, i, i < _CW_LOAD_ID_FIELDS ? UINT64_MAX : UINT32_MAX, &v[i])) {
             return false;
         }
     }
@@ -268,16 +271,16 @@
                           .pace_us = (uint32_t)v[8],
                           .failed_ago_ms = (uint32_t)v[9],
                           .alive_ago_ms = (uint32_t)v[10]};
-    uint32_t at = _CW_LOAD_FIELDS;
+    uint32_t at = _CW_LOAD_ENTRY_FIELDS;
     if (!_cw_load_read_rate(&o->via.array, v[2], &e->load, &at) ||
-        !_cw_load_read_backlog(&o->via.array, v[_CW_LOAD_FIELDS - 1], &e->load, &at)) {
+        !_cw_load_read_backlog(&o->via.array, v[_CW_LOAD_ENTRY_FIELDS - 1], &e->load, &at)) {
         return false;
     }
     for (; at + 1 < o->via.array.size && e->part_count < CW_LOAD_PARTS; at += 2) {
         uint64_t tokens = 0;
         cw_work_part_t* part = &e->parts[e->part_count];
-        if (!_cw_load_number(&o->via.array, at, UINT64_MAX, &part->id) ||
-            !_cw_load_number(&o->via.array, at + 1, UINT32_MAX, &tokens)) {
+        if (!_cw_load_read_number(&o->via.array, at, UINT64_MAX, &part->id) ||
+            !_cw_load_read_number(&o->via.array, at + 1, UINT32_MAX, &tokens)) {
             return false;
         }
         part->tokens = (uint32_t)tokens;
@@ -286,30 +289,33 @@
     return true;
 }
 
-static bool _cw_load_read_knowledge(cw_knowledge_t* k, const msgpack_object_array* a) {
+static bool _cw_load_read_source_state(cw_knowledge_t* k, const msgpack_object_array* a) {
     uint64_t revision_age_ms = 0;
     uint64_t servers_age_ms = 0;
-    bool ok = _cw_load_number(a, 3, INT64_MAX, &k->revision) && _cw_load_number(a, 4, UINT64_MAX, &k->servers) &&
-              _cw_load_number(a, 5, UINT32_MAX, &revision_age_ms) && _cw_load_number(a, 6, UINT32_MAX, &servers_age_ms);
+    bool ok = _cw_load_read_number(a, 3, INT64_MAX, &k->revision) &&
+              _cw_load_read_number(a, 4, UINT64_MAX, &k->servers) &&
+              _cw_load_read_number(a, 5, UINT32_MAX, &revision_age_ms) &&
+              _cw_load_read_number(a, 6, UINT32_MAX, &servers_age_ms);
     k->revision_age_ms = (uint32_t)revision_age_ms;
     k->servers_age_ms = (uint32_t)servers_age_ms;
     return ok;
 }
 
-static bool _cw_load_read_marks(cw_load_message_t* message, const msgpack_object* o) {
-    if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size % _CW_LOAD_MARK ||
-        o->via.array.size / _CW_LOAD_MARK > CW_LOAD_MARKS) {
+static bool _cw_load_read_observations(cw_load_message_t* message, const msgpack_object* o) {
+    if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size % _CW_LOAD_OBSERVATION_FIELDS ||
+        o->via.array.size / _CW_LOAD_OBSERVATION_FIELDS > CW_LOAD_MARKS) {
         return false;
     }
     const msgpack_object_array* a = &o->via.array;
-    for (uint32_t at = 0; at < a->size; at += _CW_LOAD_MARK) {
+    for (uint32_t at = 0; at < a->size; at += _CW_LOAD_OBSERVATION_FIELDS) {
         cw_mark_t* mark = &message->marks[message->mark_count++];
         uint64_t kind = 0;
         uint64_t age_ms = 0;
-        if (!_cw_load_number(a, at, CW_MARK_KINDS - 1, &kind) ||
-            !_cw_load_number(a, at + 1, UINT64_MAX, &mark->request.workspace) ||
-            !_cw_load_number(a, at + 2, UINT64_MAX, &mark->request.content) ||
-            !_cw_load_number(a, at + 3, UINT64_MAX, &mark->life) || !_cw_load_number(a, at + 4, UINT32_MAX, &age_ms)) {
+        if (!_cw_load_read_number(a, at, CW_MARK_KINDS - 1, &kind) ||
+            !_cw_load_read_number(a, at + 1, UINT64_MAX, &mark->request.workspace) ||
+            !_cw_load_read_number(a, at + 2, UINT64_MAX, &mark->request.content) ||
+            !_cw_load_read_number(a, at + 3, UINT64_MAX, &mark->life) ||
+            !_cw_load_read_number(a, at + 4, UINT32_MAX, &age_ms)) {
             return false;
         }
         mark->kind = (cw_mark_kind_t)kind;
@@ -321,16 +327,17 @@
 static bool _cw_load_read(cw_load_message_t* message, const msgpack_object* o) {
     uint64_t version = 0;
     uint64_t scope = 0;
-    if (o->type != MSGPACK_OBJECT_ARRAY || !_cw_load_number(&o->via.array, 0, UINT32_MAX, &version) ||
-        version != CW_LOAD_VERSION || !_cw_load_number(&o->via.array, 1, UINT64_MAX, &message->cluster) ||
-        !_cw_load_number(&o->via.array, 2, UINT64_MAX, &message->host) ||
-        !_cw_load_read_knowledge(&message->knowledge, &o->via.array) ||
-        !_cw_load_number(&o->via.array, 7, CW_LOAD_SCOPE_COUNT - 1, &scope) || o->via.array.size < _CW_LOAD_HEAD ||
-        !_cw_load_read_marks(message, &o->via.array.ptr[_CW_LOAD_HEAD - 1])) {
+    if (o->type != MSGPACK_OBJECT_ARRAY || !_cw_load_read_number(&o->via.array, 0, UINT32_MAX, &version) ||
+        version != CW_LOAD_VERSION || !_cw_load_read_number(&o->via.array, 1, UINT64_MAX, &message->cluster) ||
+        !_cw_load_read_number(&o->via.array, 2, UINT64_MAX, &message->host) ||
+        !_cw_load_read_source_state(&message->knowledge, &o->via.array) ||
+        !_cw_load_read_number(&o->via.array, 7, CW_LOAD_SCOPE_COUNT - 1, &scope) ||
+        o->via.array.size < _CW_LOAD_HEAD_FIELDS ||
+        !_cw_load_read_observations(message, &o->via.array.ptr[_CW_LOAD_HEAD_FIELDS - 1])) {
         return false;
     }
     message->scope = (cw_load_scope_t)scope;
-    for (uint32_t i = _CW_LOAD_HEAD; i < o->via.array.size && message->count < CW_LOAD_ENTRIES; i++) {
+    for (uint32_t i = _CW_LOAD_HEAD_FIELDS; i < o->via.array.size && message->count < CW_LOAD_ENTRIES; i++) {
         if (!_cw_load_read_entry(&o->via.array.ptr[i], &message->entries[message->count++], message->host)) {
             return false;
         }
@@ -347,7 +354,7 @@
     bool ok = msgpack_unpack_next(&unpacked, (const char*)data, size, &at) == MSGPACK_UNPACK_SUCCESS && at == size &&
               _cw_load_read(message, &unpacked.data);
     msgpack_unpacked_destroy(&unpacked);
-    return ok ? CW_OK : cw_fail(err, CW_ERR_PROTOCOL, "load", NULL, "%zu bytes are no load message", size);
+    return ok ? CW_OK : cw_fail(err, CW_ERR_PROTOCOL, "load", NULL, "datagram of %zu bytes is not a load report", size);
 }
 
 #endif /* CHALKWAY_LOAD_IMPL_INCLUDED */
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -4,14 +4,15 @@
     chalkway_pick.h -- choice of one upstream among those of a shard
 
     WHAT IT IS
-        The table of a shard's upstreams with what is known of each: the
-        slots in use (exact for the owner of the table), the last load
-        report (late), the learned time for one unit of cost, errors in a
-        row. cw_pick_choose returns the upstream with the lowest expected
-        finish among those with a free slot. A request with a prefix goes to
-        the upstream that rendezvous hashing names for it while that one's
-        load stays within a bound of the mean. After errors in a row an
-        upstream is ejected, for longer each time, and comes back slowly.
+        The table of a shard's upstreams with the state of each: slots in use
+        (exact for the owner of the table), the last load report (delayed),
+        the learned time for one unit of cost, and the number of consecutive
+        errors. cw_pick_choose returns the upstream with the earliest
+        expected finish among those with a free slot. A request with a prefix
+        goes to the upstream that rendezvous hashing selects for it, while
+        the load of that upstream stays within a bound over the mean. After
+        several consecutive errors an upstream is ejected, for longer each
+        time, and its limit then grows back slowly.
 
     HOW TO USE IT
             cw_pick_t* pick = cw_pick_setup(&(cw_pick_desc_t){0});
@@ -24,8 +25,8 @@
             }
 
     WHAT IT DOES NOT DO
-        It keeps no queue and knows no tiers: see chalkway_shard.h. It
-        sends nothing; reports are handed to it.
+        It has no queue and no tiers: see chalkway_shard.h. It does not
+        communicate; load reports are passed in.
 
     LICENCE
         MIT, see LICENSE.
@@ -35,50 +36,50 @@
 #define CW_PICK_MAX 128 /* upstreams in one shard */
 #define CW_PICK_NONE UINT32_MAX
 
-/* What the published configuration says of an upstream. */
+/* An upstream as published in the configuration. */
 typedef struct cw_pick_spec_t {
     uint64_t id;
     uint64_t hall;
     uint32_t slots; /* requests it may run at once */
-    bool leaving;   /* no new work */
+    bool leaving;   /* gets no new requests */
 } cw_pick_spec_t;
 
 typedef enum cw_pick_result_t {
-    CW_PICK_SERVED = 0, /* the whole answer came */
-    CW_PICK_FAILED,     /* reset, cut, time-out or an error status */
-    CW_PICK_UNUSED,     /* the slot was given back without a byte sent */
-    CW_PICK_DRAINING,   /* the upstream said that it is leaving */
-    CW_PICK_CANCELLED   /* ended by us or by the caller: says nothing of the upstream */
+    CW_PICK_SERVED = 0, /* the whole response arrived */
+    CW_PICK_FAILED,     /* reset, truncated response, time-out or an error status */
+    CW_PICK_UNUSED,     /* the slot was released without a byte sent */
+    CW_PICK_DRAINING,   /* the upstream reported that it is draining */
+    CW_PICK_CANCELLED   /* ended by this side or the caller: no evidence about the upstream */
 } cw_pick_result_t;
 
 typedef struct cw_pick_query_t {
     uint64_t prefix;  /* hash of the prompt's start, 0: none */
     uint64_t hall;    /* hall to prefer, 0: none */
     uint64_t exclude; /* upstream to avoid, 0: none */
-    uint32_t keep;    /* slots of the shard that must stay free after this one */
+    uint32_t keep;    /* slots of the shard that must stay free after this request took one */
 } cw_pick_query_t;
 
 typedef struct cw_pick_desc_t {
-    uint32_t eject_after;   /* errors in a row, default 3 */
-    uint32_t eject_ms;      /* first ejection, doubled each time, default 2000 */
-    uint32_t eject_max_ms;  /* default 60000 */
-    uint32_t return_ms;     /* time in which the limit grows back to full, default 10000 */
-    uint32_t report_age_ms; /* a load report older than this counts for nothing, default 10000 */
-    bool by_report;         /* others use the upstreams too: reported work counts against the limit */
-    bool rotate;            /* plain round robin over the upstreams, no limit */
-    double prefix_bound;    /* load over the mean that affinity may cost, default 0.25 */
+    uint32_t eject_after;   /* consecutive errors until ejection, default 3 */
+    uint32_t eject_ms;      /* duration of the first ejection, doubled each time, default 2000 */
+    uint32_t eject_max_ms;  /* longest ejection, default 60000 */
+    uint32_t return_ms;     /* slow start after an ejection: time until the full limit is restored, default 10000 */
+    uint32_t report_age_ms; /* load reports older than this are ignored, default 10000 */
+    bool by_report;         /* upstreams are shared with others: reported requests count against the limit */
+    bool rotate;            /* plain round robin over the upstreams, without limit */
+    double prefix_bound;    /* load above the mean that prefix affinity may cause, default 0.25 */
     cw_allocator_t allocator;
 } cw_pick_desc_t;
 
 typedef struct cw_pick_upstream_t {
     cw_pick_spec_t spec;
     uint32_t inflight;     /* slots taken through this table */
-    uint32_t reported;     /* running by its own last report */
+    uint32_t reported;     /* running requests by its own last load report */
     int64_t reported_ms;   /* 0: never */
-    bool draining;         /* it said so itself */
-    double ms_per_cost;    /* learned, 0: unknown */
-    uint32_t errors;       /* in a row */
-    uint32_t ejections;    /* without a success since */
+    bool draining;         /* by its own report */
+    double ms_per_cost;    /* learned; 0: unknown */
+    uint32_t errors;       /* consecutive */
+    uint32_t ejections;    /* since the last success */
     int64_t ejected_until; /* 0: not ejected */
 } cw_pick_upstream_t;
 
@@ -86,28 +87,28 @@
 
 cw_pick_t* cw_pick_setup(const cw_pick_desc_t* desc);
 void cw_pick_shutdown(cw_pick_t* pick);
-/* Replaces the list (at most CW_PICK_MAX); what is known of an upstream that stays is kept. Returns CW_ERR_FULL
-   when the list is too long. Indexes change: call cw_pick_find again. */
+/* Replaces the list (at most CW_PICK_MAX); upstreams that stay in it keep their state. Returns CW_ERR_FULL when the
+   list is too long. Indexes change: call cw_pick_find again. */
 cw_status_t cw_pick_set(cw_pick_t* pick, const cw_pick_spec_t* specs, uint32_t count);
 uint32_t cw_pick_count(const cw_pick_t* pick);
 cw_pick_upstream_t cw_pick_at(const cw_pick_t* pick, uint32_t index);
 uint32_t cw_pick_find(const cw_pick_t* pick, uint64_t id);
-/* Share (0..1] of every limit that this table may use: a partition's or a take-over's caution. */
+/* Sets the share (0..1] of every limit that this table may use: less than 1 during a partition or a take-over. */
 void cw_pick_scale(cw_pick_t* pick, double scale);
 /* Index of the best upstream with a free slot, or CW_PICK_NONE. */
 uint32_t cw_pick_choose(const cw_pick_t* pick, int64_t now_ms, const cw_pick_query_t* query);
 void cw_pick_begin(cw_pick_t* pick, uint32_t index);
-/* Gives the slot back. cost and took_ms are used when result is CW_PICK_SERVED. */
+/* Releases the slot. cost and took_ms are used only with CW_PICK_SERVED. */
 void cw_pick_end(cw_pick_t* pick, int64_t now_ms, uint32_t index, cw_pick_result_t result, uint32_t took_ms,
                  uint32_t cost);
-/* A load report of the upstream itself. */
+/* Records a load report of the upstream itself. */
 void cw_pick_report(cw_pick_t* pick, int64_t now_ms, uint64_t id, uint32_t running, bool draining);
 /* Slots that this table may use now, in use or not. */
 uint32_t cw_pick_limit(const cw_pick_t* pick, int64_t now_ms);
-/* Slots that can serve now, whatever share of them this table may use. */
+/* Slots that can serve now, regardless of the share that this table may use. */
 uint32_t cw_pick_capacity(const cw_pick_t* pick, int64_t now_ms);
 uint32_t cw_pick_inflight(const cw_pick_t* pick);
-/* Mean learned ms for a unit of cost over the upstreams, 0 when nothing is known. */
+/* Mean learned time for a unit of cost over the upstreams, ms; 0 when unknown. */
 double cw_pick_ms_per_cost(const cw_pick_t* pick);
 
 #endif /* CHALKWAY_PICK_H */
@@ -120,16 +121,16 @@
 #include <assert.h>
 #include <string.h>
 
-#define _CW_PICK_LEARN 0.1         /* weight of a new service time */
-#define _CW_PICK_OTHER_HALL 1.05   /* expected finish counts as this much later */
-#define _CW_PICK_MAX_EJECTIONS 10U /* doublings */
+#define _CW_PICK_SERVICE_TIME_WEIGHT 0.1 /* weight of a new sample of the service time */
+#define _CW_PICK_OTHER_HALL_FACTOR 1.05  /* factor on the expected finish in another hall */
+#define _CW_PICK_EJECT_DOUBLINGS_MAX 10U /* doublings of the ejection time */
 
 struct cw_pick_t {
     cw_pick_desc_t desc;
     cw_pick_upstream_t ups[CW_PICK_MAX];
     uint32_t count;
     uint32_t inflight;
-    uint32_t turn; /* of round robin */
+    uint32_t next_index; /* next index of the round robin */
     double scale;
 };
 
@@ -198,7 +199,8 @@
 }
 
 /* Slots of one upstream that may be used now. */
-static uint32_t _cw_pick_scaled(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up, double scale) {
+static uint32_t _cw_pick_scaled_slots(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up,
+                                      double scale) {
     if (up->spec.leaving || up->draining || now_ms < up->ejected_until) {
         return 0;
     }
@@ -211,24 +213,24 @@
 }
 
 static uint32_t _cw_pick_slots(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
-    return _cw_pick_scaled(pick, now_ms, up, pick->scale);
+    return _cw_pick_scaled_slots(pick, now_ms, up, pick->scale);
 }
 
-/* Work that the last report shows beyond what this table gave out. */
-static uint32_t _cw_pick_foreign(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
+/* Running requests in the last load report beyond those of this table. */
+static uint32_t _cw_pick_external(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
     bool fresh = up->reported_ms && now_ms - up->reported_ms < pick->desc.report_age_ms;
     return (fresh && up->reported > up->inflight) ? up->reported - up->inflight : 0;
 }
 
 static double _cw_pick_load(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up, uint32_t slots) {
-    return (double)(up->inflight + _cw_pick_foreign(pick, now_ms, up)) / slots;
+    return (double)(up->inflight + _cw_pick_external(pick, now_ms, up)) / slots;
 }
 
-/* Expected time to finish one unit of cost there. */
+/* Expected time to finish one unit of cost at the upstream. */
 static double _cw_pick_score(const cw_pick_upstream_t* up, const cw_pick_query_t* query, double load, double mean) {
     double ms = up->ms_per_cost > 0 ? up->ms_per_cost : mean;
     double score = ms * (0.5 + load);
-    return (query->hall && query->hall != up->spec.hall) ? score * _CW_PICK_OTHER_HALL : score;
+    return (query->hall && query->hall != up->spec.hall) ? score * _CW_PICK_OTHER_HALL_FACTOR : score;
 }
 
 uint32_t cw_pick_limit(const cw_pick_t* pick, int64_t now_ms) {
@@ -242,7 +244,7 @@
 uint32_t cw_pick_capacity(const cw_pick_t* pick, int64_t now_ms) {
     uint32_t capacity = 0;
     for (uint32_t i = 0; i < pick->count; i++) {
-        capacity += _cw_pick_scaled(pick, now_ms, &pick->ups[i], 1.0);
+        capacity += _cw_pick_scaled_slots(pick, now_ms, &pick->ups[i], 1.0);
     }
     return capacity;
 }
@@ -263,10 +265,10 @@
     return known ? sum / known : 0;
 }
 
-/* The next upstream in turn that serves at all. */
+/* The next upstream of the round robin that has a slot limit above 0. */
 static uint32_t _cw_pick_rotate(const cw_pick_t* pick, int64_t now_ms) {
     for (uint32_t k = 0; k < pick->count; k++) {
-        uint32_t i = (pick->turn + k) % pick->count;
+        uint32_t i = (pick->next_index + k) % pick->count;
         if (_cw_pick_slots(pick, now_ms, &pick->ups[i])) {
             return i;
         }
@@ -279,12 +281,12 @@
         return _cw_pick_rotate(pick, now_ms);
     }
     uint32_t best = CW_PICK_NONE;
-    uint32_t home = CW_PICK_NONE;
+    uint32_t affinity = CW_PICK_NONE;
     uint32_t excluded = CW_PICK_NONE;
     uint32_t free_slots = 0;
-    uint64_t home_hash = 0;
+    uint64_t affinity_hash = 0;
     double best_score = 0;
-    double home_load = 0;
+    double affinity_load = 0;
     double load_sum = 0;
     uint32_t usable = 0;
     double mean = cw_pick_ms_per_cost(pick);
@@ -298,7 +300,7 @@
         double load = _cw_pick_load(pick, now_ms, up, slots);
         usable++;
         load_sum += load;
-        uint32_t taken = up->inflight + (pick->desc.by_report ? _cw_pick_foreign(pick, now_ms, up) : 0);
+        uint32_t taken = up->inflight + (pick->desc.by_report ? _cw_pick_external(pick, now_ms, up) : 0);
         if (taken >= slots) {
             continue;
         }
@@ -313,17 +315,17 @@
             best_score = score;
         }
         uint64_t hash = query->prefix ? cw_mix(query->prefix, up->spec.id) : 0;
-        if (hash > home_hash) {
-            home_hash = hash;
-            home = i;
-            home_load = load;
+        if (hash > affinity_hash) {
+            affinity_hash = hash;
+            affinity = i;
+            affinity_load = load;
         }
     }
     if (free_slots <= query->keep) {
         return CW_PICK_NONE;
     }
-    if (home != CW_PICK_NONE && home_load <= load_sum / usable + pick->desc.prefix_bound) {
-        return home;
+    if (affinity != CW_PICK_NONE && affinity_load <= load_sum / usable + pick->desc.prefix_bound) {
+        return affinity;
     }
     return best != CW_PICK_NONE ? best : excluded;
 }
@@ -332,15 +334,15 @@
     assert(index < pick->count);
     pick->ups[index].inflight++;
     pick->inflight++;
-    pick->turn = index + 1;
+    pick->next_index = index + 1;
 }
 
-static void _cw_pick_failed(cw_pick_t* pick, int64_t now_ms, cw_pick_upstream_t* up) {
+static void _cw_pick_record_failure(cw_pick_t* pick, int64_t now_ms, cw_pick_upstream_t* up) {
     up->errors++;
     if (up->errors < pick->desc.eject_after || now_ms < up->ejected_until) {
         return;
     }
-    uint32_t doublings = up->ejections < _CW_PICK_MAX_EJECTIONS ? up->ejections : _CW_PICK_MAX_EJECTIONS;
+    uint32_t doublings = up->ejections < _CW_PICK_EJECT_DOUBLINGS_MAX ? up->ejections : _CW_PICK_EJECT_DOUBLINGS_MAX;
     uint64_t ms = (uint64_t)pick->desc.eject_ms << doublings;
     ms = ms > pick->desc.eject_max_ms ? pick->desc.eject_max_ms : ms;
     up->ejected_until = now_ms + (int64_t)ms;
@@ -358,11 +360,11 @@
     }
     if (result == CW_PICK_SERVED) {
         double ms = (double)(took_ms ? took_ms : 1) / (cost ? cost : 1);
-        up->ms_per_cost += (up->ms_per_cost > 0 ? _CW_PICK_LEARN : 1.0) * (ms - up->ms_per_cost);
+        up->ms_per_cost += (up->ms_per_cost > 0 ? _CW_PICK_SERVICE_TIME_WEIGHT : 1.0) * (ms - up->ms_per_cost);
         up->errors = 0;
         up->ejections = 0;
     } else if (result == CW_PICK_FAILED) {
-        _cw_pick_failed(pick, now_ms, up);
+        _cw_pick_record_failure(pick, now_ms, up);
     } else if (result == CW_PICK_DRAINING) {
         up->draining = true;
     }
--- a/chalkway_place.h
+++ b/chalkway_place.h
@@ -1,13 +1,13 @@
 #ifndef CHALKWAY_PLACE_H
 #define CHALKWAY_PLACE_H
 /*
-    chalkway_place.h -- who does what, by rendezvous hashing
+    chalkway_place.h -- assignments by rendezvous hashing
 
     WHAT IT IS
-        Rules by which every host finds the same answer without asking:
-        which shard an upstream belongs to, which host allocates a shard,
-        which hosts of a hall read the platform. A change of one host or
-        upstream moves only what that one held.
+        Assignments that every host computes alike without communication:
+        the shard of an upstream, the host that allocates a shard, the hosts
+        of a hall that poll the platform. When a host or upstream joins or
+        leaves, only its own assignments change.
 
     HOW TO USE IT
             uint32_t shards = cw_place_shard_count(upstreams, 24);
@@ -15,23 +15,23 @@
             uint64_t host = cw_place_owner(shard, hosts, host_count);
 
     WHAT IT DOES NOT DO
-        It does not know who is alive; hosts are passed in.
+        It does not detect which hosts are live; they are passed in.
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_core.h"
 
-/* Number of shards of a pool with so many upstreams. */
+/* Number of shards of a pool with this number of upstreams. */
 uint32_t cw_place_shard_count(uint32_t upstreams, uint32_t shard_size);
-/* Id of shard number index of a pool. */
+/* Id of the pool's shard with this index. */
 uint64_t cw_place_shard_id(uint64_t pool, uint32_t index);
-/* Id of the shard that the upstream belongs to. upstreams are the ids of all of the pool, this one among them; they are
-   cut into shards that differ by one at most. Another upstream moves at most one over each border. */
+/* Id of the upstream's shard. upstreams: the ids of all upstreams of the pool, this one among them. The sizes of shards
+   differ by at most one. An upstream that joins moves at most one other upstream across each border of shards. */
 uint64_t cw_place_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count, uint32_t shards);
-/* Host with the highest score for the key; 0 when there are no hosts. */
+/* Owner of the key: the host with the highest score; 0 when there are no hosts. */
 uint64_t cw_place_owner(uint64_t key, const uint64_t* hosts, uint32_t count);
-/* Rank of host for the key among hosts: 0 is the owner. count when host is not among them. */
+/* Rank of the host for the key among all hosts: 0 for the owner, count when the host is not among them. */
 uint32_t cw_place_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count);
 
 #endif /* CHALKWAY_PLACE_H */
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -1,62 +1,66 @@
 #ifndef CHALKWAY_PREFIX_H
 #define CHALKWAY_PREFIX_H
 /*
-    chalkway_prefix.h -- where the parts of a prompt are kept, and where they belong
+    chalkway_prefix.h -- servers that cache or own the parts of a prompt
 
     WHAT IT IS
-        A prompt begins with parts that other prompts begin with too. An
-        engine that keeps them need not read them; one that doesn't may fetch
-        them from one that does. For one prompt this notes which server keeps
-        most of its start, and which servers own its last shared part: the
-        first ones for it by rendezvous hashing over those that may be chosen,
-        so that all hosts name the same without asking, and one that goes
-        passes its parts on to the next.
+        A prompt begins with parts that it shares with other prompts. An
+        engine that has them cached need not prefill them; another one may
+        fetch them from it. For one prompt this module finds the server that
+        has most of its start cached, and the owners of its last shared part.
+        Owners are the first servers for the part by rendezvous hashing over
+        those that may be chosen: all hosts agree on them without
+        communication, and when a server leaves, the next one in the order
+        takes over its parts.
 
     HOW TO USE IT
             cw_prefix_t p = cw_prefix_new(parts, count);
-            for (each server that may be chosen) { cw_prefix_see(&p, server, cw_prefix_kept(kept, &memory, parts,
-   count)); } if (cw_prefix_owns(&p, server)) { ... }
+            for (each server that may be chosen) {
+                uint32_t cached = cw_prefix_kept(cache, &capacity, parts, count);
+                cw_prefix_see(&p, server, cached, may_own);
+            }
+            if (cw_prefix_owns(&p, server)) { ... }
 
     WHAT IT DOES NOT DO
-        It doesn't say what a part's place is worth (chalkway_balance.h).
+        It does not weigh cached parts against load (chalkway_balance.h).
 
     LICENCE
         MIT, see LICENSE.
 */
 #include "chalkway_kept.h"
 
-#define CW_PREFIX_OWNERS 2 /* one may be busy, or gone */
+#define CW_PREFIX_OWNERS 2 /* more than one, since one may be busy or gone */
 
-/* A part of a prompt: its name's id and its length. */
+/* A part of a prompt: the id of its name, and its length. */
 typedef struct cw_work_part_t {
     uint64_t id;
     uint32_t tokens;
 } cw_work_part_t;
 
-/* A server's memory for prompt parts. */
+/* A server's prefix cache. */
 typedef struct cw_prefix_memory_t {
     uint64_t server;
-    uint64_t read_tokens; /* all that was read there, as far as known */
-    double room_tokens;   /* for parts that no running request uses */
+    uint64_t read_tokens; /* all tokens prefilled there, as far as known */
+    double room_tokens;   /* capacity for parts that no running request uses */
 } cw_prefix_memory_t;
 
-/* What is known of one prompt's parts. */
+/* Cached and shared parts of one prompt. */
 typedef struct cw_prefix_t {
-    uint64_t holder;                  /* the server that keeps most of the prompt, 0: none keeps any */
-    uint32_t held;                    /* tokens that it keeps */
+    uint64_t holder;                  /* the server with most of the prompt cached, 0: none has any */
+    uint32_t held;                    /* tokens cached there */
     uint32_t shared;                  /* tokens before the last part, which is the request's own */
     uint64_t part;                    /* the last shared part */
     uint64_t owner[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
 } cw_prefix_t;
 
-/* Tokens at the start of the prompt that the server keeps. */
+/* Tokens at the start of the prompt that the server has cached. */
 uint32_t cw_prefix_kept(const cw_kept_t* kept, const cw_prefix_memory_t* memory, const cw_work_part_t* parts,
                         uint32_t count);
 cw_prefix_t cw_prefix_new(const cw_work_part_t* parts, uint32_t count);
-/* A server that may be chosen, and keeps so many tokens of the prompt's start. may_own: it takes all that it has room
-   for, so that prompts may be sent to it for the parts that they share. */
+/* Adds a server that may be chosen and has kept tokens of the prompt's start cached. may_own: it is neither unreachable
+   nor throttling, so prompts may be sent there for their shared parts. */
 void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t kept, bool may_own);
-/* Whether the server, one of those seen that may own, owns the last shared part. */
+/* Whether the server, which was added with may_own, owns the last shared part. */
 bool cw_prefix_owns(const cw_prefix_t* p, uint64_t server);
 
 #endif /* CHALKWAY_PREFIX_H */
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -1,39 +1,44 @@
 #ifndef CHALKWAY_RATE_H
 #define CHALKWAY_RATE_H
 /*
-    chalkway_rate.h -- a rate that a server named for all hosts together
+    chalkway_rate.h -- rate limit that a server advertises for all hosts together
 
     WHAT IT IS
-        What one host knows of the rate, and its part of it. A few hosts, the
-        first ones for the server by rendezvous hashing over those that live,
-        own equal parts of the rate; the others send nothing there. Parts sum
-        to no more than the rate without a message between hosts. Owners
-        begin with an empty bucket, so one that takes over from another adds
-        nothing to what that one has just sent.
-
-        Hosts that vanished without a sign of an end may be cut off and go
-        on as owners by a list of their own: the parts shrink as if they
-        were still there, so that both sides together keep the rate.
-
-        The rate holds while answers name it. Answers overtake each other, so
-        one counts as newer only if its request was sent after the other had
-        come, or it came CW_RATE_DELAY_MS later. A rate that no answer has
-        named or denied for long is forgotten; until then owners send a
-        request now and then even under a rate of 0, and so hear of its end.
+        One host's state of the advertised rate, and its share of it. A few
+        owner hosts, the first ones for the server by rendezvous hashing over
+        the live hosts, have equal shares of the rate; other hosts send no
+        requests to the server. The sum of the shares never exceeds the rate,
+        without any message between hosts. Owners start with an empty token
+        bucket, so a host that takes over from another one adds nothing to
+        what that one has just sent.
+
+        Hosts that vanished without a clean stop may run on behind a network
+        partition and take themselves for owners by their own list of hosts.
+        Shares are therefore computed as if they were still present, so that
+        both sides of the partition together keep the rate.
+
+        The rate is active while responses advertise it. Responses can
+        overtake each other, so one counts as newer than another only if its
+        request was sent after the other one had arrived, or if it arrived
+        more than CW_RATE_DELAY_MS later. A rate that no response has
+        confirmed or withdrawn for CW_RATE_FORGET_MS expires. Until then,
+        owners send a request from time to time even with a rate of 0, so
+        that they notice its withdrawal.
 
     HOW TO USE IT
-            cw_rate_t rate = {0};                            // no rate was named
-            cw_rate_named(&rate, sent_ms, now_ms, 2.5);      // an answer names it
-            cw_rate_set_hosts(&rate, now_ms, &hosts);        // after any change of either
+            cw_rate_t rate = {0};                            // no rate is advertised
+            cw_rate_named(&rate, sent_ms, now_ms, 2.5);      // a response advertises one
+            cw_rate_set_hosts(&rate, now_ms, &hosts);        // after any change of the rate or the hosts
             if (!cw_rate_wait_ms(&rate, now_ms)) {
                 cw_rate_take(&rate, now_ms);                 // and send
             }
-            cw_rate_lifted(&rate, sent_ms, now_ms);          // an answer names none
+            cw_rate_lifted(&rate, sent_ms, now_ms);          // a response advertises none
 
     WHAT IT DOES NOT DO
-        It sends nothing: what other hosts heard comes through cw_rate_heard.
-        Hosts whose lists differ for a moment may both take themselves for
-        owners; their sum is bounded by twice the rate.
+        It does not communicate: observations of other hosts are passed in
+        with cw_rate_heard. Hosts whose lists of hosts differ for a moment
+        may both take themselves for owners; the sum of their shares is
+        bounded by twice the rate.
 
     LICENCE
         MIT, see LICENSE.
@@ -41,22 +46,23 @@
 #include "chalkway_limit.h"
 #include "chalkway_place.h"
 
-#define CW_RATE_DELAY_MS 500    /* longest time that an answer's head is taken to be under way */
-#define CW_RATE_FORGET_MS 30000 /* a rate that no answer has spoken of for so long is over */
+#define CW_RATE_DELAY_MS 500    /* assumed longest transit time of a response's head */
+#define CW_RATE_FORGET_MS 30000 /* a rate expires when no response has mentioned it for so long */
 #define CW_RATE_NEVER UINT32_MAX
 
 typedef enum cw_rate_said_t {
-    CW_RATE_UNKNOWN = 0, /* nothing was said */
+    CW_RATE_UNKNOWN = 0, /* no response has advertised a rate */
     CW_RATE_NAMED,
-    CW_RATE_LIFTED, /* answers name none any more */
+    CW_RATE_LIFTED, /* responses no longer advertise it */
     CW_RATE_SAID_COUNT
 } cw_rate_said_t;
 
-/* What answers said of a server's rate. */
+/* State of a server's rate as observed in a response. */
 typedef struct cw_rate_word_t {
     cw_rate_said_t said;
-    double per_s; /* requests a second, of all hosts together */
-    /* When it was true: the latest moment at which it can have been named, or the earliest after which none was. */
+    double per_s; /* requests per second, of all hosts together */
+    /* Time of the observation: the latest one at which the server can have advertised the rate, or the earliest one
+       from which it certainly no longer did. */
     int64_t at_ms;
 } cw_rate_word_t;
 
@@ -64,36 +70,36 @@
 typedef struct cw_rate_hosts_t {
     uint64_t server;
     uint64_t own;
-    const uint64_t* ids; /* that live, own among them */
+    const uint64_t* ids; /* live hosts, own among them */
     uint32_t count;      /* 0: this host is alone */
-    uint32_t missing;    /* further ones that may be cut off and go on */
+    uint32_t missing;    /* other hosts that may run on behind a network partition */
 } cw_rate_hosts_t;
 
-/* All zero: no rate was named. */
+/* All zero: no rate is advertised. */
 typedef struct cw_rate_t {
-    cw_rate_word_t word; /* in force, whoever heard it */
-    cw_rate_word_t own;  /* what this host's own answers said last */
+    cw_rate_word_t word; /* the active one, whichever host observed it */
+    cw_rate_word_t own;  /* the last one in this host's own responses */
     int64_t named_ms, lifted_ms;
     uint32_t owners;
-    bool mine; /* this host is one of them */
+    bool mine; /* this host is one of the owners */
     cw_bucket_t part;
 } cw_rate_t;
 
-/* An answer that has just come names a rate, or none; its request was sent at sent_ms. True: what is in force changed.
- */
+/* Records a response that has just arrived and advertises a rate, or none; its request was sent at sent_ms. True: the
+   active rate changed. */
 bool cw_rate_named(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s);
 bool cw_rate_lifted(cw_rate_t* r, int64_t sent_ms, int64_t now_ms);
-/* What another host's answers said; reach_ms: longest time that its word was under way. */
+/* Records the observation of another host; reach_ms: longest time that it was in transit. True: as above. */
 bool cw_rate_heard(cw_rate_t* r, const cw_rate_word_t* word, uint32_t reach_ms);
-/* Whether a rate is in force. */
+/* Whether a rate is active. */
 bool cw_rate_holds(const cw_rate_t* r, int64_t now_ms);
-/* What this host has to tell the others; nothing where their word is newer, or all is long ago. */
+/* Observation that this host has to send to its peers; CW_RATE_UNKNOWN where theirs is newer or its own has expired. */
 cw_rate_word_t cw_rate_tell(const cw_rate_t* r, int64_t now_ms);
-/* Finds this host's part anew. */
+/* Recomputes this host's share. */
 void cw_rate_set_hosts(cw_rate_t* r, int64_t now_ms, const cw_rate_hosts_t* hosts);
-/* Time until this host may send a request there: 0 now, CW_RATE_NEVER while the rate is others'. */
+/* Time until this host may send a request to the server; 0: now, CW_RATE_NEVER: not while other hosts own the rate. */
 uint32_t cw_rate_wait_ms(const cw_rate_t* r, int64_t now_ms);
-/* A request is sent there. */
+/* Records that a request is sent to the server. */
 void cw_rate_take(cw_rate_t* r, int64_t now_ms);
 
 #endif /* CHALKWAY_RATE_H */
@@ -105,13 +111,13 @@
 
 #include <math.h>
 
-#define _CW_RATE_OWNER_PER_S 2.0 /* of the rate that one owner takes: its callers alone must be able to use it */
+#define _CW_RATE_OWNER_PER_S 2.0 /* share of one owner: small enough that its own callers can use it up */
 #define _CW_RATE_BURST 2.0
-#define _CW_RATE_TOLD_MS 1000    /* another host's word that is newer by so much makes one's own needless */
-#define _CW_RATE_LEAST_PER_S 0.1 /* by which owners hear of the end of a lower rate */
+#define _CW_RATE_REDUNDANT_MS 1000 /* a peer's observation that is newer by so much makes the own one redundant */
+#define _CW_RATE_MIN_PER_S 0.1     /* least rate that is used, so that owners notice the withdrawal of a lower one */
 
-/* The earliest moment at which the head of an answer that comes now can have been written. */
-static int64_t _cw_rate_from_ms(int64_t sent_ms, int64_t now_ms) {
+/* The earliest time at which the server can have written the head of a response that arrives now. */
+static int64_t _cw_rate_earliest_ms(int64_t sent_ms, int64_t now_ms) {
     int64_t delayed_ms = now_ms - CW_RATE_DELAY_MS;
     return sent_ms > delayed_ms ? sent_ms : delayed_ms;
 }
@@ -120,21 +126,22 @@
     return r->word.said == CW_RATE_NAMED && now_ms - r->named_ms <= CW_RATE_FORGET_MS;
 }
 
-/* A rate named between from_ms and until_ms. Where that can't be told from one named before, the lower one holds. */
-static bool _cw_rate_take_named(cw_rate_t* r, int64_t from_ms, int64_t until_ms, double per_s) {
+/* Applies a rate that was advertised between from_ms and until_ms. If it is undecided whether this was after the active
+   rate, the lower one of the two is used. */
+static bool _cw_rate_apply_advertised(cw_rate_t* r, int64_t from_ms, int64_t until_ms, double per_s) {
     if (until_ms <= r->lifted_ms) {
         return false;
     }
-    bool held = cw_rate_holds(r, until_ms);
-    bool newer = !held || from_ms > r->named_ms;
-    double value = newer || per_s < r->word.per_s ? per_s : r->word.per_s;
-    bool changed = !held || value != r->word.per_s;
+    bool was_active = cw_rate_holds(r, until_ms);
+    bool is_newer = !was_active || from_ms > r->named_ms;
+    double value = is_newer || per_s < r->word.per_s ? per_s : r->word.per_s;
+    bool changed = !was_active || value != r->word.per_s;
     r->named_ms = until_ms > r->named_ms ? until_ms : r->named_ms;
     r->word = (cw_rate_word_t){.said = CW_RATE_NAMED, .per_s = value, .at_ms = r->named_ms};
     return changed;
 }
 
-static bool _cw_rate_take_lifted(cw_rate_t* r, int64_t from_ms) {
+static bool _cw_rate_apply_withdrawn(cw_rate_t* r, int64_t from_ms) {
     if (from_ms <= r->named_ms || from_ms <= r->lifted_ms) {
         return false;
     }
@@ -145,17 +152,17 @@
 }
 
 bool cw_rate_named(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s) {
-    bool changed = _cw_rate_take_named(r, _cw_rate_from_ms(sent_ms, now_ms), now_ms, per_s);
+    bool changed = _cw_rate_apply_advertised(r, _cw_rate_earliest_ms(sent_ms, now_ms), now_ms, per_s);
     r->own = (cw_rate_word_t){.said = CW_RATE_NAMED, .per_s = r->word.per_s, .at_ms = now_ms};
     return changed;
 }
 
 bool cw_rate_lifted(cw_rate_t* r, int64_t sent_ms, int64_t now_ms) {
-    int64_t from_ms = _cw_rate_from_ms(sent_ms, now_ms);
+    int64_t from_ms = _cw_rate_earliest_ms(sent_ms, now_ms);
     if (!r->named_ms) {
         return false;
     }
-    bool changed = _cw_rate_take_lifted(r, from_ms);
+    bool changed = _cw_rate_apply_withdrawn(r, from_ms);
     if (r->word.said == CW_RATE_LIFTED) {
         r->own = r->word;
     }
@@ -167,27 +174,27 @@
         return false;
     }
     return word->said == CW_RATE_NAMED
-               ? _cw_rate_take_named(r, word->at_ms - CW_RATE_DELAY_MS, word->at_ms, word->per_s)
-               : _cw_rate_take_lifted(r, word->at_ms - reach_ms);
+               ? _cw_rate_apply_advertised(r, word->at_ms - CW_RATE_DELAY_MS, word->at_ms, word->per_s)
+               : _cw_rate_apply_withdrawn(r, word->at_ms - reach_ms);
 }
 
 cw_rate_word_t cw_rate_tell(const cw_rate_t* r, int64_t now_ms) {
-    bool newest = r->own.at_ms + _CW_RATE_TOLD_MS >= r->word.at_ms;
-    bool fresh = r->own.said != CW_RATE_UNKNOWN && newest && now_ms - r->own.at_ms <= CW_RATE_FORGET_MS;
-    return fresh ? r->own : (cw_rate_word_t){0};
+    bool is_newest = r->own.at_ms + _CW_RATE_REDUNDANT_MS >= r->word.at_ms;
+    bool is_current = r->own.said != CW_RATE_UNKNOWN && is_newest && now_ms - r->own.at_ms <= CW_RATE_FORGET_MS;
+    return is_current ? r->own : (cw_rate_word_t){0};
 }
 
 void cw_rate_set_hosts(cw_rate_t* r, int64_t now_ms, const cw_rate_hosts_t* hosts) {
     if (r->word.said != CW_RATE_NAMED) {
         return;
     }
-    double per_s = r->word.per_s > _CW_RATE_LEAST_PER_S ? r->word.per_s : _CW_RATE_LEAST_PER_S;
+    double per_s = r->word.per_s > _CW_RATE_MIN_PER_S ? r->word.per_s : _CW_RATE_MIN_PER_S;
     uint32_t count = hosts->count ? hosts->count : 1;
-    double wanted = ceil(per_s / _CW_RATE_OWNER_PER_S);
-    bool was_mine = r->mine;
-    r->owners = wanted < count ? (uint32_t)wanted : count;
+    double owners_needed = ceil(per_s / _CW_RATE_OWNER_PER_S);
+    bool was_owner = r->mine;
+    r->owners = owners_needed < count ? (uint32_t)owners_needed : count;
     r->mine = !hosts->count || cw_place_rank(hosts->server, hosts->own, hosts->ids, count) < r->owners;
-    if (!was_mine) {
+    if (!was_owner) {
         r->part = (cw_bucket_t){.started = true, .at_ms = now_ms};
     }
     double share = (double)count / (count + hosts->missing);
--- a/chalkway_reading.h
+++ b/chalkway_reading.h
@@ -1,19 +1,19 @@
 #ifndef CHALKWAY_READING_H
 #define CHALKWAY_READING_H
 /*
-    chalkway_reading.h -- learned time in which an engine reads a prompt
+    chalkway_reading.h -- learned prefill time of an engine
 
     WHAT IT IS
-        The time to the first event of a prompt before which nothing stood,
-        as a fixed part and a part for each token, learned from the first
-        events of a host's own requests.
+        The time from sending a prompt to the first event of its response,
+        without a wait: a fixed part and a part for each token, learned from
+        the first events of a host's own requests.
 
-        Whatever else a sample holds (a place that others took, a prompt of
-        another host that is not known yet, the host's own delay) makes it
-        longer, never shorter. So both parts follow a low quantile: each
-        sample moves them by a small step up or down, however far it lies
-        off, and more samples must lie above than below. A sample that may
-        hold a wait can only say that reading is faster than believed.
+        All other influences on a sample (a wait for a slot, a prompt of
+        another host that is not known yet, a delay of the host itself) make
+        it longer, never shorter. Both parts therefore follow a low quantile:
+        a sample moves them by a small step up or down, regardless of its
+        distance, and the steps balance when more samples lie above than
+        below. A sample that may include a wait can only lower the estimate.
 
     HOW TO USE IT
             cw_reading_t r = cw_reading_new();
@@ -21,8 +21,8 @@
             cw_reading_learn(&r, tokens, took_ms, quiet);
 
     WHAT IT DOES NOT DO
-        It knows no servers; how much slower one of them is than the others
-        is learned beside it (chalkway_balance.h).
+        It does not distinguish servers; the slowdown of each server relative
+        to the others is learned separately (chalkway_balance.h).
 
     LICENCE
         MIT, see LICENSE.
@@ -34,12 +34,12 @@
     double token_ms; /* for each token */
 } cw_reading_t;
 
-/* Before anything was learned. */
+/* The estimate before the first sample. */
 cw_reading_t cw_reading_new(void);
-/* Time to the first event of a prompt of so many tokens. */
+/* Predicted time to the first event for a prompt of so many tokens. */
 double cw_reading_ms(const cw_reading_t* r, uint32_t tokens);
-/* A first event came took_ms after so many tokens began to be read. quiet: nothing is known that it may have waited
-   for; otherwise only a sample shorter than believed counts. */
+/* Records a time to the first event for a prompt of so many tokens. quiet: nothing is known that the prompt may have
+   waited for; otherwise only a sample below the prediction counts. */
 void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool quiet);
 
 #endif /* CHALKWAY_READING_H */
@@ -49,17 +49,18 @@
 #ifndef CHALKWAY_READING_IMPL_INCLUDED
 #define CHALKWAY_READING_IMPL_INCLUDED
 
-#define _CW_READING_TOKEN_MS                                                                                           \
-    0.02                        /* before anything was learned; of the order of a large model on eight accelerators    \
-                                 */
-#define _CW_READING_BASE_MS 5.0 /* the same, one step of an engine */
-#define _CW_READING_UP 0.02     /* share by which a sample above moves a part */
-#define _CW_READING_DOWN 0.04   /* by which one below does: a third of the samples end below what is believed */
-#define _CW_READING_BASE_MIN_MS 1.0   /* no answer is faster */
-#define _CW_READING_TOKEN_MIN_MS 1e-4 /* no engine is */
+/* Initial estimate: the order of magnitude of a large model on eight accelerators, and one step of an engine. */
+#define _CW_PREFILL_INITIAL_MS_PER_TOKEN 0.02
+#define _CW_PREFILL_INITIAL_BASE_MS 5.0
+/* Steps of a part for a sample above and below the prediction. With this ratio, a third of the samples lie below. */
+#define _CW_PREFILL_STEP_UP 0.02
+#define _CW_PREFILL_STEP_DOWN 0.04
+/* Lower bounds: no response and no engine is faster. */
+#define _CW_PREFILL_BASE_MIN_MS 1.0
+#define _CW_PREFILL_MIN_MS_PER_TOKEN 1e-4
 
 cw_reading_t cw_reading_new(void) {
-    return (cw_reading_t){.base_ms = _CW_READING_BASE_MS, .token_ms = _CW_READING_TOKEN_MS};
+    return (cw_reading_t){.base_ms = _CW_PREFILL_INITIAL_BASE_MS, .token_ms = _CW_PREFILL_INITIAL_MS_PER_TOKEN};
 }
 
 double cw_reading_ms(const cw_reading_t* r, uint32_t tokens) {
@@ -68,18 +69,18 @@
 
 void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool quiet) {
     double expected_ms = cw_reading_ms(r, tokens);
-    bool above = took_ms > expected_ms;
-    if (above && !quiet) {
+    bool is_above = took_ms > expected_ms;
+    if (is_above && !quiet) {
         return;
     }
-    /* Each part answers for its share of what was expected: short prompts tell of the fixed one, long ones of the rest.
-     */
-    double of_tokens = r->token_ms * tokens / expected_ms;
-    double step = above ? _CW_READING_UP : -_CW_READING_DOWN;
-    r->token_ms *= 1 + step * of_tokens;
-    r->base_ms *= 1 + step * (1 - of_tokens);
-    r->token_ms = r->token_ms > _CW_READING_TOKEN_MIN_MS ? r->token_ms : _CW_READING_TOKEN_MIN_MS;
-    r->base_ms = r->base_ms > _CW_READING_BASE_MIN_MS ? r->base_ms : _CW_READING_BASE_MIN_MS;
+    /* Each part is corrected by its share of the prediction: short prompts mainly correct the fixed part, long ones the
+       part for each token. */
+    double token_share = r->token_ms * tokens / expected_ms;
+    double step = is_above ? _CW_PREFILL_STEP_UP : -_CW_PREFILL_STEP_DOWN;
+    r->token_ms *= 1 + step * token_share;
+    r->base_ms *= 1 + step * (1 - token_share);
+    r->token_ms = r->token_ms > _CW_PREFILL_MIN_MS_PER_TOKEN ? r->token_ms : _CW_PREFILL_MIN_MS_PER_TOKEN;
+    r->base_ms = r->base_ms > _CW_PREFILL_BASE_MIN_MS ? r->base_ms : _CW_PREFILL_BASE_MIN_MS;
 }
 
 #endif /* CHALKWAY_READING_IMPL_INCLUDED */
