--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -1,7 +1,6 @@
-/* What a host does for each server and each other host of a large fleet: the list of servers put in force, a change of
-   it, a change of the fleet, a choice; and what members tell each other at their start and while some restart.
-
-   Ways of the clock: processor time of this process for the first, a fake clock for the second. */
+/* Costs of a host in a large fleet: processor time to apply the first list of servers, a changed list and a changed
+   fleet, and to choose a server; and traffic between members at the start of a fleet and during a rolling restart. The
+   former is measured on this process's processor clock, the latter on a simulated clock. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <time.h>
@@ -9,12 +8,12 @@
 #include "../chalkway_balance.h"
 #include "../tests/fleet.h"
 
-#define TIMES 20
+#define ROUNDS 20
 #define HALLS 6
-#define ROLL_MS 500 /* between two restarts */
-#define ROLL_TURNS 16
+#define RESTART_INTERVAL_MS 500 /* between two restarts */
+#define RESTARTS 16
 
-static const cw_members_desc_t times = {.period_ms = 250, .timeout_ms = 100, .suspect_ms = 700, .retry_ms = 250};
+static const cw_members_desc_t member_times = {.period_ms = 250, .timeout_ms = 100, .suspect_ms = 700, .retry_ms = 250};
 
 static double now_ms(void) {
     return (double)clock() * 1000.0 / CLOCKS_PER_SEC;
@@ -37,21 +36,21 @@
     cw_balance_set(b, 1000, specs, servers);
     printf("%6u %6u %10.2f", servers, hosts, now_ms() - start_ms);
     start_ms = now_ms();
-    for (int i = 0; i < TIMES; i++) {
+    for (int i = 0; i < ROUNDS; i++) {
         specs[0].id++;
         cw_balance_set(b, 1000, specs, servers);
     }
-    printf(" %10.2f", (now_ms() - start_ms) / TIMES);
+    printf(" %10.2f", (now_ms() - start_ms) / ROUNDS);
     start_ms = now_ms();
-    for (int i = 0; i < TIMES; i++) {
+    for (int i = 0; i < ROUNDS; i++) {
         cw_balance_set_fleet(b, 1000, &fleet);
     }
-    printf(" %10.2f", (now_ms() - start_ms) / TIMES);
+    printf(" %10.2f", (now_ms() - start_ms) / ROUNDS);
     start_ms = now_ms();
-    for (int i = 0; i < TIMES; i++) {
+    for (int i = 0; i < ROUNDS; i++) {
         cw_balance_choose(b, 1000, &work, NULL, 0);
     }
-    printf(" %10.3f\n", (now_ms() - start_ms) / TIMES);
+    printf(" %10.3f\n", (now_ms() - start_ms) / ROUNDS);
     cw_balance_shutdown(b);
     free(specs);
     free(ids);
@@ -60,34 +59,34 @@
 static void measure_members(uint32_t hosts) {
     static fleet_t fleet;
     int64_t complete_ms = 0;
-    fleet_setup_with(&fleet, hosts, 1, &times);
+    fleet_setup_with(&fleet, hosts, 1, &member_times);
     for (; complete_ms < 20000 && !fleet_complete(&fleet); complete_ms += 250) {
         fleet_run(&fleet, 250);
     }
     double start_kb = (double)fleet.bytes / hosts / 1000;
     fleet.bytes = 0;
-    for (uint32_t turn = 0; turn < ROLL_TURNS; turn++) {
-        uint32_t host = turn * 37 % hosts;
+    for (uint32_t restart = 0; restart < RESTARTS; restart++) {
+        uint32_t host = restart * 37 % hosts;
         cw_members_shutdown(fleet.hosts[host]);
         fleet_start(&fleet, host);
-        fleet_run(&fleet, ROLL_MS);
+        fleet_run(&fleet, RESTART_INTERVAL_MS);
     }
     printf("%6u %10lld %10.1f %10.1f\n", hosts, (long long)complete_ms, start_kb,
-           (double)fleet.bytes / hosts / (ROLL_TURNS * ROLL_MS));
+           (double)fleet.bytes / hosts / (RESTARTS * RESTART_INTERVAL_MS));
     fleet_shutdown(&fleet);
 }
 
 int main(void) {
     static const uint32_t servers[] = {100, 1000, 10000};
     static const uint32_t hosts[] = {9, 100, 1000};
-    printf("processor ms of a host\n%6s %6s %10s %10s %10s %10s\n", "servers", "hosts", "first list", "a change",
-           "of fleet", "a choice");
+    printf("processor time of a host, ms\n%6s %6s %10s %10s %10s %10s\n", "servers", "hosts", "first list", "new list",
+           "new fleet", "choice");
     for (size_t i = 0; i < sizeof(servers) / sizeof(servers[0]); i++) {
         for (size_t k = 0; k < sizeof(hosts) / sizeof(hosts[0]); k++) {
             measure_balance(servers[i], hosts[k]);
         }
     }
-    printf("members, for each host\n%6s %10s %10s %10s\n", "hosts", "all, ms", "start, kB", "roll, kB/s");
+    printf("membership, for each host\n%6s %10s %10s %10s\n", "hosts", "joined, ms", "start, kB", "roll, kB/s");
     for (size_t k = 0; k < sizeof(hosts) / sizeof(hosts[0]); k++) {
         measure_members(hosts[k]);
     }
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -1,13 +1,13 @@
 #ifndef CW_TEST_RATE_MODEL_H
 #define CW_TEST_RATE_MODEL_H
 /*
-    Many hosts before one server that names its rate, on one clock and without a network. Callers' requests come to each
-    host by chance, by seed; one that may not be sent waits for a while and then gives up. Hosts hear of each other's
-   words late, or not at all, and learn late which hosts live. The judge knows what the server named and when, and which
-   host had been told.
+    Simulation of many hosts in front of one server that advertises a rate, on one clock and without a network.
+    Requests arrive at each host at random, by seed; one that may not be sent waits for a while and is then dropped.
+    Observations of the rate reach the other hosts late or not at all, and hosts detect late which others are live. The
+    evaluation knows which rate the server advertised at each time, and which hosts had received it.
 
-    Three ways to share the rate, to be compared: few owners by hashing (chalkway_rate.h), equal parts for all hosts
-   that were ever known, and sends told to all and summed by each.
+    It compares three strategies to share the rate: few owner hosts by rendezvous hashing (chalkway_rate.h), equal
+    shares for all hosts that were ever known, and broadcasts of each request sent, which every host sums up.
 */
 #include <math.h>
 #include <stdlib.h>
@@ -18,47 +18,53 @@
 
 #define RATE_HOSTS_MAX 300
 #define RATE_STEP_MS 5
-#define RATE_ANSWER_MS 20 /* from a request to the head of its answer */
-#define RATE_PATIENCE_MS 500
-#define RATE_REPEAT_MS 500  /* a host's own word is told again after so long */
-#define RATE_NOTICE_MS 1500 /* until a host that ended or is cut off is missed */
-#define RATE_WINDOW_MS 4000
-#define RATE_CONTACT_MS 3000
-#define RATE_TOLD_MS 500
+#define RATE_RESPONSE_MS 20    /* from a request to the head of its response */
+#define RATE_WAIT_MAX_MS 500   /* longest wait of a request */
+#define RATE_REPEAT_MS 500     /* interval in which a host repeats its own observation */
+#define RATE_DETECTION_MS 1500 /* until a killed or partitioned host is detected */
+#define RATE_WINDOW_MS 4000    /* window in which arrivals are counted */
+#define RATE_LEARN_MAX_MS 3000 /* time until all hosts have to know that a rate is advertised */
+#define RATE_INFORMED_MS 500   /* a host's requests count from so long after it received the rate itself */
 #define RATE_EVENTS_MAX 1000000
 #define RATE_SENDS_MAX 100000
 #define RATE_QUEUE_MAX 64
 
-typedef enum rate_way_t { RATE_OWNERS = 0, RATE_EQUAL_PARTS, RATE_SUMMED, RATE_WAY_COUNT } rate_way_t;
+typedef enum rate_strategy_t {
+    RATE_OWNERS = 0,
+    RATE_EQUAL_SHARES,
+    RATE_BROADCAST,
+    RATE_STRATEGY_COUNT
+} rate_strategy_t;
 
 typedef struct rate_model_t {
-    rate_way_t way;
+    rate_strategy_t strategy;
     uint32_t hosts;
-    double per_s;       /* that the server names */
-    double other_per_s; /* it changes to this one and back each second, 0: never */
-    int64_t named_from_ms, named_until_ms;
+    double per_s;       /* advertised by the server */
+    double other_per_s; /* the rate alternates with this one every second, 0: it is constant */
+    int64_t advertised_from_ms, advertised_until_ms;
     double host_demand_per_s;
-    uint32_t news_ms, loss_percent;
-    uint32_t killed; /* of the hosts, the first ones, at kill_ms */
+    uint32_t message_delay_ms, loss_percent; /* of messages between hosts */
+    uint32_t killed;                         /* number of hosts, the first ones, that are killed at kill_ms */
     int64_t kill_ms;
-    uint32_t cut; /* of the hosts, the first ones, from cut_ms until heal_ms */
-    int64_t cut_ms, heal_ms;
-    int64_t play_ms;
+    uint32_t partitioned; /* number of hosts, the first ones, that are partitioned from partition_ms until heal_ms */
+    int64_t partition_ms, heal_ms;
+    int64_t duration_ms;
     uint64_t seed;
     /* results */
-    double worst;        /* arrivals in a window as a share of what is allowed */
-    double use;          /* arrivals as a share of the rate, while it was named and all was calm */
-    int64_t all_know_ms; /* from the naming until all hosts know, -1: never */
-    int64_t all_free_ms; /* from its end until all hosts know of that, -1: never */
+    double worst_ratio;      /* most arrivals in a window, as a share of those allowed */
+    double utilization;      /* arrivals as a share of the rate, from 2 * RATE_LEARN_MAX_MS after its start */
+    int64_t all_informed_ms; /* from the start of the rate until all hosts know it, -1: never */
+    int64_t all_released_ms; /* from its withdrawal until all hosts know of that, -1: never */
     uint64_t messages;
 } rate_model_t;
 
-/* All answers take the same time, and all news does, so that each stands in a queue in the order in which it is due. */
+/* A message to a host. All responses take the same time, and so do all messages between hosts, so each of the two
+   queues is in the order of due_ms. */
 typedef struct rate_event_t {
     int64_t due_ms;
     uint32_t host;
-    bool answer; /* else another host's word */
-    bool limited;
+    bool is_response; /* of the server; otherwise a message of another host */
+    bool has_rate;    /* it advertises a rate */
     double per_s;
     int64_t sent_ms;
     cw_rate_word_t word;
@@ -67,18 +73,18 @@
 typedef struct rate_host_t {
     cw_rate_t rate;
     cw_bucket_t part;
-    int64_t sends_ms[256]; /* heard of and own, RATE_SUMMED */
+    int64_t sends_ms[256]; /* requests sent by all hosts, as far as known; only with RATE_BROADCAST */
     uint32_t send_count;
     int64_t queue_ms[RATE_QUEUE_MAX];
     uint32_t queued;
     uint64_t ids[RATE_HOSTS_MAX];
     uint32_t live, missing;
-    int64_t told_ms, repeat_ms;
+    int64_t informed_ms, repeat_ms; /* informed_ms: first own response that advertised a rate, 0: none */
 } rate_host_t;
 
 typedef struct rate_send_t {
     int64_t at_ms;
-    bool counts;
+    bool is_counted;
 } rate_send_t;
 
 typedef struct rate_queue_t {
@@ -86,15 +92,15 @@
     uint32_t first, count;
 } rate_queue_t;
 
-typedef struct rate_world_t {
+typedef struct rate_simulation_t {
     rate_model_t* m;
     rate_host_t* host;
-    rate_queue_t answers, news;
+    rate_queue_t responses, peer_messages;
     rate_send_t* sends;
     uint32_t send_count;
     rng_t rng;
     int64_t now_ms;
-} rate_world_t;
+} rate_simulation_t;
 
 static inline uint64_t rate_id(uint32_t i) {
     return cw_mix(77, 1 + i);
@@ -105,26 +111,26 @@
     return other ? m->other_per_s : m->per_s;
 }
 
-static inline bool rate_is_named(const rate_model_t* m, int64_t now_ms) {
-    return now_ms >= m->named_from_ms && now_ms < m->named_until_ms;
+static inline bool rate_is_advertised(const rate_model_t* m, int64_t now_ms) {
+    return now_ms >= m->advertised_from_ms && now_ms < m->advertised_until_ms;
 }
 
 static inline bool rate_is_dead(const rate_model_t* m, uint32_t host, int64_t now_ms) {
     return host < m->killed && now_ms >= m->kill_ms;
 }
 
-static inline bool rate_is_cut(const rate_model_t* m, uint32_t host, int64_t now_ms) {
-    return host < m->cut && now_ms >= m->cut_ms && now_ms < m->heal_ms;
+static inline bool rate_is_partitioned(const rate_model_t* m, uint32_t host, int64_t now_ms) {
+    return host < m->partitioned && now_ms >= m->partition_ms && now_ms < m->heal_ms;
 }
 
-static inline void rate_put(rate_queue_t* q, const rate_event_t* e) {
+static inline void rate_enqueue(rate_queue_t* q, const rate_event_t* e) {
     if (q->count == RATE_EVENTS_MAX) {
         abort();
     }
     q->events[(q->first + q->count++) % RATE_EVENTS_MAX] = *e;
 }
 
-static inline bool rate_next(rate_queue_t* q, int64_t now_ms, rate_event_t* out) {
+static inline bool rate_dequeue(rate_queue_t* q, int64_t now_ms, rate_event_t* out) {
     if (!q->count || q->events[q->first].due_ms > now_ms) {
         return false;
     }
@@ -134,31 +140,32 @@
     return true;
 }
 
-/* The host tells all others what its own answers said. */
-static inline void rate_tell(rate_world_t* w, uint32_t from, const cw_rate_word_t* word) {
+/* Sends the host's own observation to all others. */
+static inline void rate_send_observation(rate_simulation_t* w, uint32_t from, const cw_rate_word_t* word) {
     const rate_model_t* m = w->m;
     for (uint32_t i = 0; i < m->hosts; i++) {
-        bool apart = rate_is_cut(m, i, w->now_ms) != rate_is_cut(m, from, w->now_ms);
-        if (i == from || apart || rate_is_dead(m, i, w->now_ms) || rng_below(&w->rng, 100) < m->loss_percent) {
+        bool is_separated = rate_is_partitioned(m, i, w->now_ms) != rate_is_partitioned(m, from, w->now_ms);
+        if (i == from || is_separated || rate_is_dead(m, i, w->now_ms) || rng_below(&w->rng, 100) < m->loss_percent) {
             continue;
         }
         w->m->messages++;
-        rate_put(&w->news, &(rate_event_t){.due_ms = w->now_ms + m->news_ms, .host = i, .word = *word});
+        rate_enqueue(&w->peer_messages,
+                     &(rate_event_t){.due_ms = w->now_ms + m->message_delay_ms, .host = i, .word = *word});
     }
 }
 
-/* Which hosts the host takes to live, and how many may be cut off. */
-static inline void rate_look(rate_world_t* w, uint32_t host) {
+/* Updates the host's list of live hosts and the number of those that may be partitioned from it. */
+static inline void rate_update_hosts(rate_simulation_t* w, uint32_t host) {
     const rate_model_t* m = w->m;
     rate_host_t* h = &w->host[host];
-    int64_t seen_ms = w->now_ms - RATE_NOTICE_MS;
+    int64_t seen_ms = w->now_ms - RATE_DETECTION_MS;
     h->live = h->missing = 0;
     for (uint32_t i = 0; i < m->hosts; i++) {
-        bool apart = rate_is_cut(m, i, seen_ms) != rate_is_cut(m, host, seen_ms);
+        bool is_separated = rate_is_partitioned(m, i, seen_ms) != rate_is_partitioned(m, host, seen_ms);
         if (rate_is_dead(m, i, seen_ms)) {
             continue;
         }
-        if (apart) {
+        if (is_separated) {
             h->missing++;
         } else {
             h->ids[h->live++] = rate_id(i);
@@ -166,7 +173,7 @@
     }
 }
 
-static inline void rate_share(rate_world_t* w, uint32_t host) {
+static inline void rate_update_share(rate_simulation_t* w, uint32_t host) {
     rate_host_t* h = &w->host[host];
     cw_rate_set_hosts(
         &h->rate, w->now_ms,
@@ -178,7 +185,7 @@
     cw_bucket_set_rate(&h->part, w->now_ms, per_s / w->m->hosts, 1);
 }
 
-static inline uint32_t rate_sum(rate_host_t* h, int64_t now_ms) {
+static inline uint32_t rate_count_recent_sends(rate_host_t* h, int64_t now_ms) {
     uint32_t kept = 0;
     for (uint32_t i = 0; i < h->send_count; i++) {
         if (now_ms - h->sends_ms[i] < RATE_WINDOW_MS) {
@@ -189,84 +196,86 @@
     return kept;
 }
 
-static inline bool rate_may(rate_world_t* w, rate_host_t* h) {
+static inline bool rate_can_send(rate_simulation_t* w, rate_host_t* h) {
     if (!cw_rate_holds(&h->rate, w->now_ms)) {
         return true;
     }
-    switch (w->m->way) {
+    switch (w->m->strategy) {
         case RATE_OWNERS:
             return !cw_rate_wait_ms(&h->rate, w->now_ms);
-        case RATE_EQUAL_PARTS:
+        case RATE_EQUAL_SHARES:
             return !cw_bucket_wait_ms(&h->part, w->now_ms, 1);
         default:
-            return rate_sum(h, w->now_ms) + 1 <= h->rate.word.per_s * RATE_WINDOW_MS / 1000 + 1;
+            return rate_count_recent_sends(h, w->now_ms) + 1 <= h->rate.word.per_s * RATE_WINDOW_MS / 1000 + 1;
     }
 }
 
-static inline void rate_count_send(rate_host_t* h, int64_t at_ms) {
+static inline void rate_record_send(rate_host_t* h, int64_t at_ms) {
     if (h->send_count < sizeof(h->sends_ms) / sizeof(*h->sends_ms)) {
         h->sends_ms[h->send_count++] = at_ms;
     }
 }
 
-/* A send told to all, RATE_SUMMED. */
-static inline void rate_tell_send(rate_world_t* w, uint32_t from) {
+/* Tells all other hosts that the host sends a request; only with RATE_BROADCAST. */
+static inline void rate_broadcast_send(rate_simulation_t* w, uint32_t from) {
     for (uint32_t i = 0; i < w->m->hosts; i++) {
-        bool apart = rate_is_cut(w->m, i, w->now_ms) != rate_is_cut(w->m, from, w->now_ms);
-        if (i != from && !apart && rng_below(&w->rng, 100) >= w->m->loss_percent) {
+        bool is_separated = rate_is_partitioned(w->m, i, w->now_ms) != rate_is_partitioned(w->m, from, w->now_ms);
+        if (i != from && !is_separated && rng_below(&w->rng, 100) >= w->m->loss_percent) {
             w->m->messages++;
-            rate_put(&w->news, &(rate_event_t){.due_ms = w->now_ms + w->m->news_ms, .host = i, .sent_ms = w->now_ms});
+            rate_enqueue(
+                &w->peer_messages,
+                &(rate_event_t){.due_ms = w->now_ms + w->m->message_delay_ms, .host = i, .sent_ms = w->now_ms});
         }
     }
 }
 
-static inline void rate_send(rate_world_t* w, uint32_t host) {
+static inline void rate_send(rate_simulation_t* w, uint32_t host) {
     rate_model_t* m = w->m;
     rate_host_t* h = &w->host[host];
-    bool limited = rate_is_named(m, w->now_ms);
+    bool has_rate = rate_is_advertised(m, w->now_ms);
     if (w->send_count == RATE_SENDS_MAX) {
         abort();
     }
-    bool told = h->told_ms && w->now_ms - h->told_ms >= RATE_TOLD_MS;
-    w->sends[w->send_count++] =
-        (rate_send_t){.at_ms = w->now_ms, .counts = told && !(host < m->cut && w->now_ms >= m->cut_ms)};
+    bool is_informed = h->informed_ms && w->now_ms - h->informed_ms >= RATE_INFORMED_MS;
+    w->sends[w->send_count++] = (rate_send_t){
+        .at_ms = w->now_ms, .is_counted = is_informed && !(host < m->partitioned && w->now_ms >= m->partition_ms)};
     cw_rate_take(&h->rate, w->now_ms);
     cw_bucket_take(&h->part, w->now_ms, 1);
-    if (m->way == RATE_SUMMED && cw_rate_holds(&h->rate, w->now_ms)) {
-        rate_count_send(h, w->now_ms);
-        rate_tell_send(w, host);
+    if (m->strategy == RATE_BROADCAST && cw_rate_holds(&h->rate, w->now_ms)) {
+        rate_record_send(h, w->now_ms);
+        rate_broadcast_send(w, host);
     }
-    rate_put(&w->answers, &(rate_event_t){.due_ms = w->now_ms + RATE_ANSWER_MS,
-                                          .host = host,
-                                          .answer = true,
-                                          .limited = limited,
-                                          .per_s = rate_per_s(m, w->now_ms),
-                                          .sent_ms = w->now_ms});
+    rate_enqueue(&w->responses, &(rate_event_t){.due_ms = w->now_ms + RATE_RESPONSE_MS,
+                                                .host = host,
+                                                .is_response = true,
+                                                .has_rate = has_rate,
+                                                .per_s = rate_per_s(m, w->now_ms),
+                                                .sent_ms = w->now_ms});
 }
 
-static inline void rate_on_event(rate_world_t* w, const rate_event_t* e) {
+static inline void rate_on_event(rate_simulation_t* w, const rate_event_t* e) {
     rate_host_t* h = &w->host[e->host];
     bool changed = false;
-    if (e->answer && e->limited) {
-        h->told_ms = h->told_ms ? h->told_ms : w->now_ms;
+    if (e->is_response && e->has_rate) {
+        h->informed_ms = h->informed_ms ? h->informed_ms : w->now_ms;
         changed = cw_rate_named(&h->rate, e->sent_ms, w->now_ms, e->per_s);
-    } else if (e->answer) {
+    } else if (e->is_response) {
         changed = cw_rate_lifted(&h->rate, e->sent_ms, w->now_ms);
     } else if (e->word.said != CW_RATE_UNKNOWN) {
-        changed = cw_rate_heard(&h->rate, &e->word, w->m->news_ms);
+        changed = cw_rate_heard(&h->rate, &e->word, w->m->message_delay_ms);
     } else {
-        rate_count_send(h, e->sent_ms);
+        rate_record_send(h, e->sent_ms);
     }
     if (changed) {
-        rate_share(w, e->host);
+        rate_update_share(w, e->host);
         cw_rate_word_t word = cw_rate_tell(&h->rate, w->now_ms);
-        if (e->answer && word.said != CW_RATE_UNKNOWN) {
-            rate_tell(w, e->host, &word);
+        if (e->is_response && word.said != CW_RATE_UNKNOWN) {
+            rate_send_observation(w, e->host, &word);
         }
     }
 }
 
-static inline void rate_host_step(rate_world_t* w, uint32_t host) {
+static inline void rate_host_step(rate_simulation_t* w, uint32_t host) {
     rate_model_t* m = w->m;
     rate_host_t* h = &w->host[host];
     if ((double)rng_below(&w->rng, 1000000) < m->host_demand_per_s * RATE_STEP_MS * 1000 &&
@@ -275,9 +284,9 @@
     }
     uint32_t kept = 0;
     for (uint32_t i = 0; i < h->queued; i++) {
-        if (rate_may(w, h)) {
+        if (rate_can_send(w, h)) {
             rate_send(w, host);
-        } else if (w->now_ms - h->queue_ms[i] < RATE_PATIENCE_MS) {
+        } else if (w->now_ms - h->queue_ms[i] < RATE_WAIT_MAX_MS) {
             h->queue_ms[kept++] = h->queue_ms[i];
         }
     }
@@ -286,14 +295,14 @@
         h->repeat_ms = w->now_ms;
         cw_rate_word_t word = cw_rate_tell(&h->rate, w->now_ms);
         if (word.said != CW_RATE_UNKNOWN) {
-            rate_tell(w, host, &word);
+            rate_send_observation(w, host, &word);
         }
-        rate_look(w, host);
-        rate_share(w, host);
+        rate_update_hosts(w, host);
+        rate_update_share(w, host);
     }
 }
 
-/* What the server takes in a window that ends then. */
+/* Most arrivals that the server permits in a window that ends at end_ms. */
 static inline double rate_allowed(const rate_model_t* m, int64_t end_ms) {
     double sum = 0;
     for (int64_t at = end_ms - RATE_WINDOW_MS; at < end_ms; at += 100) {
@@ -302,56 +311,56 @@
     return 1.5 * sum + 5;
 }
 
-static inline void rate_judge(rate_world_t* w) {
+static inline void rate_evaluate(rate_simulation_t* w) {
     rate_model_t* m = w->m;
-    int64_t from_ms = m->named_from_ms + RATE_CONTACT_MS;
+    int64_t from_ms = m->advertised_from_ms + RATE_LEARN_MAX_MS;
     uint32_t used = 0;
     for (uint32_t i = 0; i < w->send_count; i++) {
         int64_t end_ms = w->sends[i].at_ms;
-        if (end_ms < from_ms || end_ms >= m->named_until_ms) {
+        if (end_ms < from_ms || end_ms >= m->advertised_until_ms) {
             continue;
         }
-        used += end_ms >= from_ms + RATE_CONTACT_MS;
+        used += end_ms >= from_ms + RATE_LEARN_MAX_MS;
         uint32_t arrivals = 0;
         for (uint32_t k = i; k != UINT32_MAX && w->sends[k].at_ms > end_ms - RATE_WINDOW_MS; k--) {
-            arrivals += w->sends[k].counts && w->sends[k].at_ms >= from_ms;
+            arrivals += w->sends[k].is_counted && w->sends[k].at_ms >= from_ms;
         }
         double share = arrivals / rate_allowed(m, end_ms + 1);
-        m->worst = share > m->worst ? share : m->worst;
+        m->worst_ratio = share > m->worst_ratio ? share : m->worst_ratio;
     }
-    double span_s = (double)(m->named_until_ms - from_ms - RATE_CONTACT_MS) / 1000;
+    double span_s = (double)(m->advertised_until_ms - from_ms - RATE_LEARN_MAX_MS) / 1000;
     double mean = m->other_per_s > 0 ? (m->per_s + m->other_per_s) / 2 : m->per_s;
-    m->use = mean > 0 ? used / (mean * span_s) : 0;
+    m->utilization = mean > 0 ? used / (mean * span_s) : 0;
 }
 
-/* Whether all hosts that live know that the server names a rate, or that it names none. */
-static inline bool rate_all_know(const rate_world_t* w, bool limited) {
+/* Whether all live hosts know that the server advertises a rate (limited), or that it advertises none. */
+static inline bool rate_all_informed(const rate_simulation_t* w, bool has_rate) {
     for (uint32_t i = 0; i < w->m->hosts; i++) {
-        if (!rate_is_dead(w->m, i, w->now_ms) && cw_rate_holds(&w->host[i].rate, w->now_ms) != limited) {
+        if (!rate_is_dead(w->m, i, w->now_ms) && cw_rate_holds(&w->host[i].rate, w->now_ms) != has_rate) {
             return false;
         }
     }
     return true;
 }
 
-static inline void rate_play(rate_model_t* m) {
-    rate_world_t w = {.m = m, .rng = {.state = m->seed}, .now_ms = 1000};
+static inline void rate_simulate(rate_model_t* m) {
+    rate_simulation_t w = {.m = m, .rng = {.state = m->seed}, .now_ms = 1000};
     w.host = calloc(m->hosts, sizeof(*w.host));
-    w.answers.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
-    w.news.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
+    w.responses.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
+    w.peer_messages.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
     w.sends = malloc(RATE_SENDS_MAX * sizeof(*w.sends));
-    if (!w.host || !w.answers.events || !w.news.events || !w.sends) {
+    if (!w.host || !w.responses.events || !w.peer_messages.events || !w.sends) {
         abort();
     }
-    m->worst = 0;
-    m->all_know_ms = m->all_free_ms = -1;
+    m->worst_ratio = 0;
+    m->all_informed_ms = m->all_released_ms = -1;
     for (uint32_t i = 0; i < m->hosts; i++) {
         w.host[i].repeat_ms = w.now_ms - rng_below(&w.rng, RATE_REPEAT_MS);
-        rate_look(&w, i);
+        rate_update_hosts(&w, i);
     }
-    for (; w.now_ms < m->play_ms; w.now_ms += RATE_STEP_MS) {
+    for (; w.now_ms < m->duration_ms; w.now_ms += RATE_STEP_MS) {
         rate_event_t e;
-        while (rate_next(&w.answers, w.now_ms, &e) || rate_next(&w.news, w.now_ms, &e)) {
+        while (rate_dequeue(&w.responses, w.now_ms, &e) || rate_dequeue(&w.peer_messages, w.now_ms, &e)) {
             if (!rate_is_dead(m, e.host, w.now_ms)) {
                 rate_on_event(&w, &e);
             }
@@ -361,17 +370,17 @@
                 rate_host_step(&w, i);
             }
         }
-        if (m->all_know_ms < 0 && rate_is_named(m, w.now_ms) && rate_all_know(&w, true)) {
-            m->all_know_ms = w.now_ms - m->named_from_ms;
+        if (m->all_informed_ms < 0 && rate_is_advertised(m, w.now_ms) && rate_all_informed(&w, true)) {
+            m->all_informed_ms = w.now_ms - m->advertised_from_ms;
         }
-        if (m->all_free_ms < 0 && w.now_ms >= m->named_until_ms && rate_all_know(&w, false)) {
-            m->all_free_ms = w.now_ms - m->named_until_ms;
+        if (m->all_released_ms < 0 && w.now_ms >= m->advertised_until_ms && rate_all_informed(&w, false)) {
+            m->all_released_ms = w.now_ms - m->advertised_until_ms;
         }
     }
-    rate_judge(&w);
+    rate_evaluate(&w);
     free(w.host);
-    free(w.answers.events);
-    free(w.news.events);
+    free(w.responses.events);
+    free(w.peer_messages.events);
     free(w.sends);
 }
 
--- a/tests/test_rate.c
+++ b/tests/test_rate.c
@@ -1,31 +1,31 @@
 /*
-    The rate that a server names for all hosts together: what one host makes of answers that overtake each other, and
-   that many hosts keep the rate without asking each other (tests/rate_model.h).
+    The rate that a server advertises for all hosts together: one host's state when responses overtake each other, and
+    the sum over many hosts, which keep the rate without communication (tests/rate_model.h).
 */
 #include "rate_model.h"
 #include "test.h"
 
 /* -- one host's view ------------------------------------------------------ */
 
-START_TEST(an_answer_without_a_rate_ends_it_only_if_it_is_newer) {
+START_TEST(a_response_without_a_rate_withdraws_it_only_if_it_is_newer) {
     cw_rate_t r = {0};
     ck_assert(cw_rate_named(&r, 1000, 1020, 2));
-    ck_assert(!cw_rate_lifted(&r, 1010, 1030)); /* its request was sent before the rate had come */
+    ck_assert(!cw_rate_lifted(&r, 1010, 1030)); /* its request was sent before the rate had arrived */
     ck_assert(cw_rate_holds(&r, 1030));
     ck_assert(cw_rate_lifted(&r, 1021, 1040));
     ck_assert(!cw_rate_holds(&r, 1040));
 }
 END_TEST
 
-/* A request that runs for long: its head comes late, but has not been under way for as long. */
-START_TEST(a_late_head_without_a_rate_ends_it_too) {
+/* The head of a long-running request's response arrives late, but its transit time is bounded. */
+START_TEST(a_late_response_head_without_a_rate_withdraws_it) {
     cw_rate_t r = {0};
     cw_rate_named(&r, 1000, 1020, 2);
     ck_assert(cw_rate_lifted(&r, 1010, 1020 + CW_RATE_DELAY_MS + 1));
 }
 END_TEST
 
-START_TEST(of_two_rates_that_cant_be_told_apart_the_lower_one_holds) {
+START_TEST(the_lower_of_two_rates_in_undecided_order_is_active) {
     cw_rate_t r = {0};
     cw_rate_named(&r, 1000, 1020, 2);
     cw_rate_named(&r, 1010, 1030, 5);
@@ -35,7 +35,7 @@
 }
 END_TEST
 
-START_TEST(an_older_word_of_another_host_undoes_nothing) {
+START_TEST(an_older_observation_of_another_host_changes_nothing) {
     cw_rate_t r = {0};
     cw_rate_named(&r, 1000, 1020, 2);
     cw_rate_lifted(&r, 1100, 1120);
@@ -43,24 +43,24 @@
     ck_assert(!cw_rate_heard(&r, &named, 10));
     cw_rate_word_t lifted = {.said = CW_RATE_LIFTED, .at_ms = 1205};
     cw_rate_named(&r, 1180, 1200, 2);
-    ck_assert(!cw_rate_heard(&r, &lifted, 10)); /* it may be from before: it was under way for up to 10 ms */
+    ck_assert(!cw_rate_heard(&r, &lifted, 10)); /* it may be older: it was in transit for up to 10 ms */
     lifted.at_ms = 1211;
     ck_assert(cw_rate_heard(&r, &lifted, 10));
 }
 END_TEST
 
-START_TEST(a_rate_that_no_answer_speaks_of_any_more_is_forgotten) {
+START_TEST(a_rate_without_further_observations_expires) {
     cw_rate_t r = {0};
     cw_rate_hosts_t alone = {.server = 5, .own = 1};
     cw_rate_named(&r, 1000, 1020, 0);
     cw_rate_set_hosts(&r, 1020, &alone);
     ck_assert_uint_gt(cw_rate_wait_ms(&r, 1020), 0);
     ck_assert_uint_eq(cw_rate_wait_ms(&r, 1020 + CW_RATE_FORGET_MS + 1), 0);
-    ck_assert(cw_rate_named(&r, 50000, 50020, 0)); /* named again it is news again */
+    ck_assert(cw_rate_named(&r, 50000, 50020, 0)); /* after its expiry, the same rate is a change */
 }
 END_TEST
 
-/* An owner that takes over begins with nothing: what the one before it has just sent may be all that is allowed. */
+/* An owner that takes over starts with an empty bucket, since the previous owner may just have used up the rate. */
 START_TEST(an_owner_that_takes_over_waits_first) {
     uint64_t ids[2] = {rate_id(0), rate_id(1)};
     uint32_t second = cw_place_rank(5, ids[0], ids, 2) ? 0 : 1;
@@ -80,80 +80,80 @@
 
 static const double rates[] = {0, 0.5, 1.7, 4, 20};
 
-static rate_model_t model(uint32_t hosts, double per_s, uint32_t loss_percent) {
+static rate_model_t make_model(uint32_t hosts, double per_s, uint32_t loss_percent) {
     return (rate_model_t){.hosts = hosts,
                           .per_s = per_s,
-                          .named_from_ms = 3000,
-                          .named_until_ms = 20000,
+                          .advertised_from_ms = 3000,
+                          .advertised_until_ms = 20000,
                           .host_demand_per_s = 4,
-                          .news_ms = hosts > 16 ? 100 : 5,
+                          .message_delay_ms = hosts > 16 ? 100 : 5,
                           .loss_percent = loss_percent,
-                          .play_ms = 24000,
+                          .duration_ms = 24000,
                           .seed = 7 + hosts + loss_percent};
 }
 
-static void expect_kept(const rate_model_t* m) {
-    ck_assert_msg(m->worst <= 1, "%u hosts, rate %.1f, loss %u: %.2f of what is allowed", m->hosts, m->per_s,
-                  m->loss_percent, m->worst);
-    ck_assert_msg(m->all_know_ms >= 0 && m->all_know_ms <= RATE_CONTACT_MS, "known after %lld ms",
-                  (long long)m->all_know_ms);
+static void expect_rate_kept(const rate_model_t* m) {
+    ck_assert_msg(m->worst_ratio <= 1, "%u hosts, rate %.1f, loss %u: %.2f of what is allowed", m->hosts, m->per_s,
+                  m->loss_percent, m->worst_ratio);
+    ck_assert_msg(m->all_informed_ms >= 0 && m->all_informed_ms <= RATE_LEARN_MAX_MS, "known after %lld ms",
+                  (long long)m->all_informed_ms);
 }
 
-/* The rate is kept, and used where callers ask for more. */
+/* The rate is kept, and used up when the demand exceeds it. */
 START_TEST(many_hosts_keep_a_rate_and_use_it) {
     static const uint32_t fleets[] = {6, 81, 300};
     for (uint32_t f = 0; f < 3; f++) {
         for (uint32_t r = 0; r < sizeof(rates) / sizeof(*rates); r++) {
-            rate_model_t m = model(fleets[f], rates[r], 15 * (r % 3));
-            rate_play(&m);
-            expect_kept(&m);
-            ck_assert_msg(rates[r] <= 0 || m.use >= 0.8, "%u hosts use %.2f of a rate of %.1f", m.hosts, m.use,
-                          m.per_s);
+            rate_model_t m = make_model(fleets[f], rates[r], 15 * (r % 3));
+            rate_simulate(&m);
+            expect_rate_kept(&m);
+            ck_assert_msg(rates[r] <= 0 || m.utilization >= 0.8, "%u hosts use %.2f of a rate of %.1f", m.hosts,
+                          m.utilization, m.per_s);
         }
     }
 }
 END_TEST
 
-/* Two thirds of the hosts end at once; a third is cut off for five seconds and goes on; the server changes its rate
-   each second. */
-START_TEST(the_rate_is_kept_when_hosts_end_or_are_cut_off_and_when_it_changes) {
+/* Faults: two thirds of the hosts are killed at once; a third is partitioned for five seconds and runs on; the server
+   changes its rate every second. */
+START_TEST(the_rate_is_kept_when_hosts_are_killed_or_partitioned_and_when_it_changes) {
     for (uint32_t r = 0; r < sizeof(rates) / sizeof(*rates); r++) {
-        for (int trouble = 0; trouble < 3; trouble++) {
-            rate_model_t m = model(r % 2 ? 81 : 9, rates[r], 10);
-            m.killed = trouble == 0 ? m.hosts * 2 / 3 : 0;
+        for (int fault = 0; fault < 3; fault++) {
+            rate_model_t m = make_model(r % 2 ? 81 : 9, rates[r], 10);
+            m.killed = fault == 0 ? m.hosts * 2 / 3 : 0;
             m.kill_ms = 11000;
-            m.cut = trouble == 1 ? m.hosts / 3 : 0;
-            m.cut_ms = 10000;
+            m.partitioned = fault == 1 ? m.hosts / 3 : 0;
+            m.partition_ms = 10000;
             m.heal_ms = 15000;
-            m.other_per_s = trouble == 2 ? 2 * rates[r] : 0;
-            rate_play(&m);
-            expect_kept(&m);
+            m.other_per_s = fault == 2 ? 2 * rates[r] : 0;
+            rate_simulate(&m);
+            expect_rate_kept(&m);
         }
     }
 }
 END_TEST
 
-/* The rest of a fleet that lost most of its hosts uses the whole rate, not the part that it had. */
-START_TEST(what_is_left_of_a_fleet_uses_the_whole_rate) {
-    rate_model_t m = model(9, 4, 0);
+/* The remaining hosts of a fleet that lost most of its hosts use the whole rate, not only their former shares. */
+START_TEST(the_remaining_hosts_use_the_whole_rate) {
+    rate_model_t m = make_model(9, 4, 0);
     m.killed = 6;
     m.kill_ms = 3500;
-    rate_play(&m);
-    expect_kept(&m);
-    ck_assert_double_ge(m.use, 0.8);
+    rate_simulate(&m);
+    expect_rate_kept(&m);
+    ck_assert_double_ge(m.utilization, 0.8);
 }
 END_TEST
 
 static void add_tests(TCase* t) {
-    tcase_add_test(t, an_answer_without_a_rate_ends_it_only_if_it_is_newer);
-    tcase_add_test(t, a_late_head_without_a_rate_ends_it_too);
-    tcase_add_test(t, of_two_rates_that_cant_be_told_apart_the_lower_one_holds);
-    tcase_add_test(t, an_older_word_of_another_host_undoes_nothing);
-    tcase_add_test(t, a_rate_that_no_answer_speaks_of_any_more_is_forgotten);
+    tcase_add_test(t, a_response_without_a_rate_withdraws_it_only_if_it_is_newer);
+    tcase_add_test(t, a_late_response_head_without_a_rate_withdraws_it);
+    tcase_add_test(t, the_lower_of_two_rates_in_undecided_order_is_active);
+    tcase_add_test(t, an_older_observation_of_another_host_changes_nothing);
+    tcase_add_test(t, a_rate_without_further_observations_expires);
     tcase_add_test(t, an_owner_that_takes_over_waits_first);
     tcase_add_test(t, many_hosts_keep_a_rate_and_use_it);
-    tcase_add_test(t, the_rate_is_kept_when_hosts_end_or_are_cut_off_and_when_it_changes);
-    tcase_add_test(t, what_is_left_of_a_fleet_uses_the_whole_rate);
+    tcase_add_test(t, the_rate_is_kept_when_hosts_are_killed_or_partitioned_and_when_it_changes);
+    tcase_add_test(t, the_remaining_hosts_use_the_whole_rate);
 }
 
 int main(void) {
