--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -24,7 +24,7 @@
         prefill time of a token is learned from the time to the first byte
         (chalkway_reading.h). Prompt parts that a server has prefilled count as
         cached there until as many further tokens were prefilled as fit into
-        its prompt cache.
+        its prefix cache.
 
     HOW TO USE IT
             cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.hall = hall, .seed = host});
@@ -95,7 +95,7 @@
     uint32_t pace_us;                  /* learned event interval there while no prompt is prefilled; 0: unknown */
     uint32_t failed_ago_ms;            /* since one of its connections to the server last failed; 0: not recently */
     uint32_t alive_ago_ms;             /* since it last sent a request there that was answered; 0: not recently */
-    cw_rate_said_t rate;               /* state of the server's advertised rate by its own recent responses */
+    cw_rate_said_t rate;               /* state of the server's advertised rate in the daemon's own recent responses */
     uint32_t rate_per_ks;              /* that rate, requests per 1,000 s */
     uint32_t rate_ago_ms;              /* age of that observation */
 } cw_load_t;
@@ -147,7 +147,7 @@
 typedef struct cw_choice_t {
     uint32_t server;     /* CW_BALANCE_NONE: no server has capacity */
     uint64_t id;         /* of the server */
-    double cost_ms;      /* the least of all servers */
+    double cost_ms;      /* cost by which servers are compared */
     double reserved;     /* free slots reserved for requests with priority over this one, over all servers */
     double wait_ms;      /* backlog of the server for the request's urgency, all daemons */
     double read_ms;      /* predicted prefill time of this prompt */
@@ -225,12 +225,14 @@
      request would release its own. */
 cw_choice_t cw_balance_choose(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, const uint64_t* tried,
                               uint32_t tried_count);
+/* Records that the request is sent to the server. The result has to be passed to cw_balance_end. */
 cw_run_t cw_balance_begin(cw_balance_t* b, int64_t now_ms, uint32_t server, const cw_work_t* work);
 /* Records the first byte of the response. True: it ends a suspicion of the server, which should be reported to the
    peers at once. */
 bool cw_balance_first(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
 /* Records a further event of a streamed response. */
 void cw_balance_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
+/* Records the end of the request. */
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result);
 /* Sets whether this daemon has an idle connection to the server; without one a request opens a new one. */
 void cw_balance_warm(cw_balance_t* b, uint64_t id, bool has_idle_connection);
@@ -271,7 +273,7 @@
 const cw_holding_t* cw_balance_holding(const cw_balance_t* b);
 /* Learned gap between events of a stream while a prompt of so many tokens is prefilled on its server, ms. */
 double cw_balance_pause(const cw_balance_t* b, uint32_t tokens);
-/* Learned prefill time of one token, ms. */
+/* Learned prefill time per token, ms. */
 double cw_balance_read_rate(const cw_balance_t* b);
 
 #endif /* CHALKWAY_BALANCE_H */
@@ -572,8 +574,8 @@
     }
     for (uint32_t i = 0; i < b->entry_count; i++) {
         _cw_server_t* s = &b->servers[i];
-        bool holds_back = now_ms < s->backoff.until_ms || cw_rate_holds(&s->rate, now_ms);
-        if (s->is_used && !s->is_listed && !s->running && !holds_back) {
+        bool is_throttling = now_ms < s->backoff.until_ms || cw_rate_holds(&s->rate, now_ms);
+        if (s->is_used && !s->is_listed && !s->running && !is_throttling) {
             _cw_balance_remove(b, i);
         }
     }
@@ -682,9 +684,9 @@
     b->fastest_interval_ms = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* other = &b->servers[i];
-        bool known = other->is_listed && other->interval_samples >= _CW_INTERVAL_SAMPLES_MIN;
+        bool is_known = other->is_listed && other->interval_samples >= _CW_INTERVAL_SAMPLES_MIN;
         b->fastest_interval_ms =
-            known && (b->fastest_interval_ms <= 0 || other->event_interval_ms < b->fastest_interval_ms)
+            is_known && (b->fastest_interval_ms <= 0 || other->event_interval_ms < b->fastest_interval_ms)
                 ? other->event_interval_ms
                 : b->fastest_interval_ms;
     }
@@ -692,22 +694,22 @@
 
 /* Updates the shortest event interval after the server's changed. A full search is needed only where this server was
    the fastest and no longer is. */
-static void _cw_balance_update_fastest(cw_balance_t* b, const _cw_server_t* s, double before_ms) {
+static void _cw_balance_update_fastest(cw_balance_t* b, const _cw_server_t* s, double old_interval_ms) {
     if (!s->is_listed || s->interval_samples < _CW_INTERVAL_SAMPLES_MIN) {
         return;
     }
     if (b->fastest_interval_ms <= 0 || s->event_interval_ms <= b->fastest_interval_ms) {
         b->fastest_interval_ms = s->event_interval_ms;
-    } else if (before_ms <= b->fastest_interval_ms) {
+    } else if (old_interval_ms <= b->fastest_interval_ms) {
         _cw_balance_find_fastest(b);
     }
 }
 
 static void _cw_balance_learn_interval(cw_balance_t* b, _cw_server_t* s, double pause_ms) {
-    double before_ms = s->event_interval_ms;
+    double old_interval_ms = s->event_interval_ms;
     s->event_interval_ms += (s->interval_samples ? _CW_INTERVAL_WEIGHT : 1) * (pause_ms - s->event_interval_ms);
     s->interval_samples++;
-    _cw_balance_update_fastest(b, s, before_ms);
+    _cw_balance_update_fastest(b, s, old_interval_ms);
 }
 
 /* Takes over the event interval that another daemon has learned, as long as this one has few samples of its own. */
@@ -715,10 +717,10 @@
     if (!pace_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
         return;
     }
-    double before_ms = s->event_interval_ms;
+    double old_interval_ms = s->event_interval_ms;
     s->event_interval_ms = pace_us / 1000.0;
     s->interval_samples = _CW_INTERVAL_SAMPLES_MIN;
-    _cw_balance_update_fastest(b, s, before_ms);
+    _cw_balance_update_fastest(b, s, old_interval_ms);
 }
 
 static double _cw_balance_slowdown(const _cw_server_t* s, int64_t now_ms) {
@@ -757,9 +759,9 @@
 /* Tokens that the server gets faster from the holder's cache than by prefill; 0: none. */
 static uint32_t _cw_balance_fetched_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_prefix_t* prefix,
                                            uint32_t kept) {
-    uint32_t more = prefix->held > kept ? prefix->held - kept : 0;
-    bool cheaper = s->spec.move_ms > 0 && s->spec.move_ms < b->prefill.token_ms;
-    return cheaper && more >= _CW_FETCH_TOKENS_MIN ? more : 0;
+    uint32_t missing_tokens = prefix->held > kept ? prefix->held - kept : 0;
+    bool is_cheaper = s->spec.move_ms > 0 && s->spec.move_ms < b->prefill.token_ms;
+    return is_cheaper && missing_tokens >= _CW_FETCH_TOKENS_MIN ? missing_tokens : 0;
 }
 
 /* Predicted time of a plain call: longer at a nearly full server, and proportional to the load once calls wait for a
@@ -772,8 +774,8 @@
 
 /* Event interval of the server relative to the fastest one's, 1 while unknown. */
 static double _cw_balance_interval_ratio(const cw_balance_t* b, const _cw_server_t* s) {
-    bool known = s->interval_samples >= _CW_INTERVAL_SAMPLES_MIN && b->fastest_interval_ms > 0;
-    return known ? s->event_interval_ms / b->fastest_interval_ms : 1;
+    bool is_known = s->interval_samples >= _CW_INTERVAL_SAMPLES_MIN && b->fastest_interval_ms > 0;
+    return is_known ? s->event_interval_ms / b->fastest_interval_ms : 1;
 }
 
 /* Position in the order in which gap-sensitive streams fill the servers: slow ones come last. */
@@ -908,8 +910,8 @@
 static bool _cw_balance_is_late_for_more_urgent(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
                                                 uint32_t urgency, double wait_ms) {
     for (uint32_t i = 0; i < urgency; i++) {
-        bool possible = b->backlog_limit_ms[i] > 0 && wait_ms > b->backlog_limit_ms[i];
-        if (possible && _cw_balance_total_load(b, s, now_ms, i).wait_ms > b->backlog_limit_ms[i]) {
+        bool may_exceed = b->backlog_limit_ms[i] > 0 && wait_ms > b->backlog_limit_ms[i];
+        if (may_exceed && _cw_balance_total_load(b, s, now_ms, i).wait_ms > b->backlog_limit_ms[i]) {
             return true;
         }
     }
@@ -940,8 +942,8 @@
 
 /* Learns the targets and prompt lengths of the pool's requests. */
 static void _cw_balance_learn_work(cw_balance_t* b, const cw_work_t* work, double wait_ms) {
-    double before_ms = b->short_target_ms > 0 ? b->short_target_ms : work->target_ms;
-    b->short_target_ms = cw_quantile_learn(before_ms, work->target_ms, _CW_SHORT_TARGET_UP, _CW_SHORT_TARGET_DOWN);
+    double old_target_ms = b->short_target_ms > 0 ? b->short_target_ms : work->target_ms;
+    b->short_target_ms = cw_quantile_learn(old_target_ms, work->target_ms, _CW_SHORT_TARGET_UP, _CW_SHORT_TARGET_DOWN);
     b->long_prompt_tokens =
         cw_quantile_learn(b->long_prompt_tokens, work->prompt_tokens, _CW_LONG_PROMPT_UP, _CW_LONG_PROMPT_DOWN);
     if (work->prompt_tokens > b->long_prompt_tokens / 2) {
@@ -1012,8 +1014,8 @@
 
 double cw_balance_limit_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    bool holds = at != CW_BALANCE_NONE && cw_rate_holds(&b->servers[at].rate, now_ms);
-    return holds ? b->servers[at].rate.word.per_s : -1;
+    bool is_active = at != CW_BALANCE_NONE && cw_rate_holds(&b->servers[at].rate, now_ms);
+    return is_active ? b->servers[at].rate.word.per_s : -1;
 }
 
 cw_held_back_t cw_balance_held_back(const cw_balance_t* b, int64_t now_ms) {
@@ -1079,29 +1081,29 @@
    only, which use them in random time slices (chalkway_contention.h). */
 static bool _cw_balance_can_use(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
                                 double free_places) {
-    bool large = b->fleet.count > CW_HOME_FLEET;
-    bool last_places = large && free_places <= _CW_OWNER_FREE_SHARE * s->spec.slots;
-    if (free_places <= 0 || (last_places && !_cw_balance_is_owner_host(b, s))) {
+    bool is_large_fleet = b->fleet.count > CW_HOME_FLEET;
+    bool is_last_slots = is_large_fleet && free_places <= _CW_OWNER_FREE_SHARE * s->spec.slots;
+    if (free_places <= 0 || (is_last_slots && !_cw_balance_is_owner_host(b, s))) {
         return false;
     }
     cw_contention_use_t use = {.server = s->spec.id,
                                .free_places = free_places,
                                .urgency = cw_work_turn_urgency(work),
-                               .hosts = last_places ? CW_HOME_HOSTS : b->fleet.count,
-                               .delay_ms = last_places ? b->fleet.direct_ms : b->fleet.reach_ms};
+                               .hosts = is_last_slots ? CW_HOME_HOSTS : b->fleet.count,
+                               .delay_ms = is_last_slots ? b->fleet.direct_ms : b->fleet.reach_ms};
     return cw_contention_open(&b->contention, now_ms, &use);
 }
 
 /* -- choice --------------------------------------------------------------- */
 
 /* Whether the server is suspected, and it is not this host's time slice to probe it. */
-static bool _cw_balance_excludes_suspect(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
+static bool _cw_balance_is_excluded_suspect(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
     return cw_suspect_holds(&s->suspicion, now_ms) &&
            !cw_suspect_may_try(&s->suspicion, now_ms, b->desc.seed, s->spec.id, b->fleet.count);
 }
 
 /* Whether suspected servers are excluded: not when so many are suspected that the fault is more likely this side's. */
-static bool _cw_balance_excludes_suspects(const cw_balance_t* b, int64_t now_ms) {
+static bool _cw_balance_can_exclude_suspects(const cw_balance_t* b, int64_t now_ms) {
     uint32_t suspected = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
@@ -1112,9 +1114,9 @@
 
 /* Time, ms, until a throttling server accepts a request of this host; 0: now, CW_RATE_NEVER: unknown. */
 static uint32_t _cw_balance_throttle_ms(const _cw_server_t* s, int64_t now_ms) {
-    uint32_t rest_ms = cw_rest_wait_ms(&s->backoff, now_ms);
+    uint32_t backoff_ms = cw_rest_wait_ms(&s->backoff, now_ms);
     uint32_t rate_ms = cw_rate_wait_ms(&s->rate, now_ms);
-    return rest_ms > rate_ms ? rest_ms : rate_ms;
+    return backoff_ms > rate_ms ? backoff_ms : rate_ms;
 }
 
 uint32_t cw_balance_opens_in_ms(const cw_balance_t* b, int64_t now_ms) {
@@ -1143,7 +1145,7 @@
     if (cw_rate_wait_ms(&s->rate, now_ms)) {
         return &exclusions->limited;
     }
-    return exclude_suspects && _cw_balance_excludes_suspect(b, s, now_ms) ? &exclusions->suspected : NULL;
+    return exclude_suspects && _cw_balance_is_excluded_suspect(b, s, now_ms) ? &exclusions->suspected : NULL;
 }
 
 /* Whether a choice is better than the best one so far. */
@@ -1164,7 +1166,7 @@
     uint32_t candidates = 0;
     double free_places = 0; /* at all engines that are not excluded */
     cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
-    bool exclude_suspects = _cw_balance_excludes_suspects(b, now_ms);
+    bool exclude_suspects = _cw_balance_can_exclude_suspects(b, now_ms);
     double share = _cw_balance_slot_share(b, work);
     _cw_balance_learn_backlog_limit(b, work);
     for (uint32_t i = 0; i < b->entry_count; i++) {
@@ -1475,14 +1477,14 @@
     if (s->report_count < s->report_capacity) {
         return;
     }
-    uint32_t room = s->report_capacity ? 2 * s->report_capacity : _CW_REPORTS_CAPACITY;
-    _cw_load_report_t* reports = cw_alloc(&b->desc.allocator, room, sizeof(*reports));
+    uint32_t new_capacity = s->report_capacity ? 2 * s->report_capacity : _CW_REPORTS_CAPACITY;
+    _cw_load_report_t* reports = cw_alloc(&b->desc.allocator, new_capacity, sizeof(*reports));
     if (s->reports) {
         memcpy(reports, s->reports, s->report_count * sizeof(*reports));
         cw_free(&b->desc.allocator, s->reports);
     }
     s->reports = reports;
-    s->report_capacity = room;
+    s->report_capacity = new_capacity;
 }
 
 static bool _cw_balance_has_load(const cw_load_t* load) {
--- a/chalkway_kept.h
+++ b/chalkway_kept.h
@@ -13,7 +13,7 @@
 
     HOW TO USE IT
             cw_kept_t* k = cw_kept_setup(131072, NULL);
-            cw_kept_add(k, server, part, tokens_read);
+            cw_kept_add(k, server, part, prefilled_tokens);
             if (cw_kept_has(k, server, part, tokens_read_now, room_tokens)) { ... }
             cw_kept_shutdown(k);
 
@@ -32,10 +32,10 @@
 /* A table for about capacity pairs. allocator may be NULL. */
 cw_kept_t* cw_kept_setup(uint32_t capacity, const cw_allocator_t* allocator);
 void cw_kept_shutdown(cw_kept_t* k);
-/* Records that the server uses the part. tokens_read: all tokens that it has prefilled so far. */
-void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read);
+/* Records that the server uses the part. prefilled_tokens: all tokens that it has prefilled so far. */
+void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens);
 /* Whether the part is still cached at the server, whose cache holds room_tokens. */
-bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read, double room_tokens);
+bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens, double room_tokens);
 
 #endif /* CHALKWAY_KEPT_H */
 
@@ -48,9 +48,9 @@
 
 /* Counters are modulo 2^32: only their differences matter. */
 typedef struct _cw_prefix_cache_entry_t {
-    uint32_t tag;         /* of server and part, 0: free */
-    uint32_t tokens_read; /* by the server, at the last use */
-    uint32_t last_use;    /* value of the table's uses at the last use */
+    uint32_t tag;              /* of server and part, 0: free */
+    uint32_t prefilled_tokens; /* by the server, at the last use */
+    uint32_t last_use;         /* value of the table's uses at the last use */
 } _cw_prefix_cache_entry_t;
 
 struct cw_kept_t {
@@ -97,23 +97,24 @@
     return oldest;
 }
 
-void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read) {
+void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens) {
     uint64_t key = cw_mix(server, part);
     if (!k->entries) {
         k->entries = cw_alloc(&k->allocator, k->count, sizeof(*k->entries));
     }
     _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
     *entry = (_cw_prefix_cache_entry_t){
-        .tag = _cw_prefix_cache_tag(key), .tokens_read = (uint32_t)tokens_read, .last_use = ++k->uses};
+        .tag = _cw_prefix_cache_tag(key), .prefilled_tokens = (uint32_t)prefilled_tokens, .last_use = ++k->uses};
 }
 
-bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t tokens_read, double room_tokens) {
+bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens, double room_tokens) {
     if (!k->entries) {
         return false;
     }
     uint64_t key = cw_mix(server, part);
     const _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
-    return entry->tag == _cw_prefix_cache_tag(key) && (uint32_t)tokens_read - entry->tokens_read < room_tokens;
+    return entry->tag == _cw_prefix_cache_tag(key) &&
+           (uint32_t)prefilled_tokens - entry->prefilled_tokens < room_tokens;
 }
 
 #endif /* CHALKWAY_KEPT_IMPL_INCLUDED */
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -9,7 +9,7 @@
         cannot multiply a load that is already too high.
 
     HOW TO USE IT
-            cw_bucket_t bucket = {.rate = 5, .burst = 10};     // 5 a second
+            cw_bucket_t bucket = {.rate = 5, .burst = 10};     // 5 per second
             if (cw_bucket_take(&bucket, now_ms, 1)) { ... }
 
             cw_retry_budget_t budget = {.share = 0.1, .burst = 10};
@@ -82,13 +82,13 @@
    that length is covered. */
 static void _cw_retry_window_advance(cw_retry_window_t* w, int64_t now_ms) {
     uint32_t window_ms = w->window_ms ? w->window_ms : _CW_RETRY_WINDOW_MS;
-    int64_t part = now_ms * CW_RETRY_WINDOW_PARTS / window_ms;
-    int64_t first_new = part - w->part_at > CW_RETRY_WINDOW_PARTS ? part - CW_RETRY_WINDOW_PARTS : w->part_at + 1;
-    for (int64_t i = first_new; i <= part; i++) {
+    int64_t slice = now_ms * CW_RETRY_WINDOW_PARTS / window_ms;
+    int64_t first_new = slice - w->part_at > CW_RETRY_WINDOW_PARTS ? slice - CW_RETRY_WINDOW_PARTS : w->part_at + 1;
+    for (int64_t i = first_new; i <= slice; i++) {
         w->first[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
         w->repeats[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
     }
-    w->part_at = part > w->part_at ? part : w->part_at;
+    w->part_at = slice > w->part_at ? slice : w->part_at;
 }
 
 void cw_retry_window_first(cw_retry_window_t* w, int64_t now_ms) {
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -124,12 +124,12 @@
     uint32_t before_ms = 0;
     *which = 0;
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
-        uint32_t until_ms =
+        uint32_t total_ms =
             load->backlog_ms[i] < _CW_LOAD_BACKLOG_MAX_MS ? load->backlog_ms[i] : _CW_LOAD_BACKLOG_MAX_MS;
-        if (until_ms > before_ms) {
-            own_ms[count++] = until_ms - before_ms;
+        if (total_ms > before_ms) {
+            own_ms[count++] = total_ms - before_ms;
             *which |= 1U << i;
-            before_ms = until_ms;
+            before_ms = total_ms;
         }
     }
     return count;
@@ -218,14 +218,14 @@
 
 /* Reads the backlogs that start at *at, and advances *at past them. */
 static bool _cw_load_read_backlog(const msgpack_object_array* a, uint64_t which, cw_load_t* load, uint32_t* at) {
-    uint64_t until_ms = 0;
+    uint64_t total_ms = 0;
     for (uint32_t i = 0; i < CW_URGENCIES; i++) {
         uint64_t own_ms = 0;
         if ((which >> i & 1U) && !_cw_load_read_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX_MS, &own_ms)) {
             return false;
         }
-        until_ms += own_ms;
-        load->backlog_ms[i] = (uint32_t)until_ms;
+        total_ms += own_ms;
+        load->backlog_ms[i] = (uint32_t)total_ms;
     }
     return true;
 }
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -205,9 +205,9 @@
         return 0;
     }
     double slots = up->spec.slots * scale;
-    int64_t back = now_ms - up->ejected_until;
-    if (up->ejected_until && back < pick->desc.return_ms) {
-        slots = slots * (double)back / pick->desc.return_ms;
+    int64_t since_return_ms = now_ms - up->ejected_until;
+    if (up->ejected_until && since_return_ms < pick->desc.return_ms) {
+        slots = slots * (double)since_return_ms / pick->desc.return_ms;
     }
     return slots < 1.0 ? 1 : (uint32_t)slots;
 }
@@ -218,8 +218,8 @@
 
 /* Running requests in the last load report beyond those of this table. */
 static uint32_t _cw_pick_external(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
-    bool fresh = up->reported_ms && now_ms - up->reported_ms < pick->desc.report_age_ms;
-    return (fresh && up->reported > up->inflight) ? up->reported - up->inflight : 0;
+    bool is_fresh = up->reported_ms && now_ms - up->reported_ms < pick->desc.report_age_ms;
+    return (is_fresh && up->reported > up->inflight) ? up->reported - up->inflight : 0;
 }
 
 static double _cw_pick_load(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up, uint32_t slots) {
@@ -300,11 +300,11 @@
         double load = _cw_pick_load(pick, now_ms, up, slots);
         usable++;
         load_sum += load;
-        uint32_t taken = up->inflight + (pick->desc.by_report ? _cw_pick_external(pick, now_ms, up) : 0);
-        if (taken >= slots) {
+        uint32_t used = up->inflight + (pick->desc.by_report ? _cw_pick_external(pick, now_ms, up) : 0);
+        if (used >= slots) {
             continue;
         }
-        free_slots += slots - taken;
+        free_slots += slots - used;
         if (up->spec.id == query->exclude) {
             excluded = i;
             continue;
--- a/chalkway_turn.h
+++ b/chalkway_turn.h
@@ -21,9 +21,9 @@
         little.
 
     HOW TO USE IT
-            cw_turn_wait_t wait = cw_turn_wait(&ask); // when there is no free slot
-            cw_turn_t turn = {.urgency = urgency, .light = light, .arrived_ms = arrived_ms};
-            if (cw_turn_before(&turn, &other)) { ... }
+            cw_turn_wait_t wait = cw_turn_wait(&desc);// when there is no free slot
+            cw_turn_t key = {.urgency = urgency, .light = light, .arrived_ms = arrived_ms};
+            if (cw_turn_before(&key, &other)) { ... }
 
     WHAT IT DOES NOT DO
         It has no queue of its own and no knowledge of servers.
@@ -58,7 +58,7 @@
 /* Whether x gets a slot before y. */
 bool cw_turn_before(const cw_turn_t* x, const cw_turn_t* y);
 /* Time limits of a request that finds no free slot now. */
-cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* ask);
+cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* desc);
 
 #endif /* CHALKWAY_TURN_H */
 
@@ -81,14 +81,14 @@
     return x->urgency != y->urgency ? x->urgency < y->urgency : x->arrived_ms < y->arrived_ms;
 }
 
-cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* ask) {
-    bool has_shorter = ask->shortest_target_ms > 0 && ask->shortest_target_ms < ask->target_ms;
-    double in_time_ms = _CW_QUEUE_IN_TIME_SHARE * (has_shorter ? ask->shortest_target_ms : ask->target_ms);
+cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* desc) {
+    bool has_shorter = desc->shortest_target_ms > 0 && desc->shortest_target_ms < desc->target_ms;
+    double in_time_ms = _CW_QUEUE_IN_TIME_SHARE * (has_shorter ? desc->shortest_target_ms : desc->target_ms);
     int64_t late_ms =
-        ask->now_ms + (int64_t)(in_time_ms > _CW_QUEUE_IN_TIME_MIN_MS ? in_time_ms : _CW_QUEUE_IN_TIME_MIN_MS);
+        desc->now_ms + (int64_t)(in_time_ms > _CW_QUEUE_IN_TIME_MIN_MS ? in_time_ms : _CW_QUEUE_IN_TIME_MIN_MS);
     /* A request sent with less than its target left would run for a caller that is gone. */
-    int64_t last_ms = ask->leaves_ms - ask->target_ms;
-    return (cw_turn_wait_t){.late_ms = late_ms, .until_ms = !ask->patient && last_ms > late_ms ? last_ms : late_ms};
+    int64_t last_ms = desc->leaves_ms - desc->target_ms;
+    return (cw_turn_wait_t){.late_ms = late_ms, .until_ms = !desc->patient && last_ms > late_ms ? last_ms : late_ms};
 }
 
 #endif /* CHALKWAY_TURN_IMPL_INCLUDED */
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -21,7 +21,7 @@
 #define MODEL_CLASSES_MAX 4
 #define MODEL_RUNS_MAX 8192
 #define MODEL_REPORTS_MAX 65536
-#define MODEL_REPEAT_MS 480 /* interval in which unchanged load reports are repeated */
+#define MODEL_REPEAT_MS 480 /* interval in which load reports are repeated */
 #define MODEL_BREAK_MS 3    /* until a host notices that a connection to a dead engine broke */
 
 /* A class of requests. */
@@ -125,28 +125,28 @@
     }
 }
 
-static inline void model_enqueue(model_channel_t* channel, const model_report_t* reports) {
+static inline void model_enqueue(model_channel_t* channel, const model_report_t* report) {
     if (channel->count == MODEL_REPORTS_MAX) {
         abort();
     }
-    channel->reports[(channel->first + channel->count++) % MODEL_REPORTS_MAX] = *reports;
+    channel->reports[(channel->first + channel->count++) % MODEL_REPORTS_MAX] = *report;
 }
 
 /* Sends the host's load at the engine to the others. */
 static inline void model_send_report(model_t* m, uint32_t host, uint32_t engine) {
     uint32_t at = cw_balance_find(m->balance[host], m->engine[engine].id);
-    model_report_t reports = {.at_ms = m->now_ms + m->direct_delay_ms,
-                              .host = host,
-                              .engine = engine,
-                              .load = cw_balance_load(m->balance[host], m->now_ms, at)};
+    model_report_t report = {.at_ms = m->now_ms + m->direct_delay_ms,
+                             .host = host,
+                             .engine = engine,
+                             .load = cw_balance_load(m->balance[host], m->now_ms, at)};
     if (m->is_owner_host[engine][host]) {
-        model_enqueue(&m->channel[0], &reports);
+        model_enqueue(&m->channel[0], &report);
     }
-    reports.at_ms = m->now_ms + m->report_delay_ms;
-    model_enqueue(&m->channel[1], &reports);
+    report.at_ms = m->now_ms + m->report_delay_ms;
+    model_enqueue(&m->channel[1], &report);
 }
 
-/* Repeats unchanged load reports, one host after the other. */
+/* Repeats the load reports of engines with running requests, at staggered times of the hosts. */
 static inline void model_repeat_reports(model_t* m) {
     for (uint32_t i = 0; i < m->hosts; i++) {
         if ((m->now_ms + i * MODEL_REPEAT_MS / m->hosts) % MODEL_REPEAT_MS) {
@@ -240,9 +240,9 @@
 /* Whether x has priority over y in a host's queue. */
 static inline bool model_has_priority(const model_t* m, const model_run_t* x, const model_run_t* y) {
     (void)m;
-    cw_turn_t turn_x = {x->work.urgency, x->work.light, x->work.late, x->arrived_ms};
-    cw_turn_t turn_y = {y->work.urgency, y->work.light, y->work.late, y->arrived_ms};
-    return cw_turn_before(&turn_x, &turn_y);
+    cw_turn_t key_x = {x->work.urgency, x->work.light, x->work.late, x->arrived_ms};
+    cw_turn_t key_y = {y->work.urgency, y->work.light, y->work.late, y->arrived_ms};
+    return cw_turn_before(&key_x, &key_y);
 }
 
 /* Whether a request with priority over r waits at the same host: r then has to wait behind it. */
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -72,7 +72,7 @@
 
 typedef struct rate_host_t {
     cw_rate_t rate;
-    cw_bucket_t part;
+    cw_bucket_t share_bucket;
     int64_t sends_ms[256]; /* requests sent by all hosts, as far as known; only with RATE_BROADCAST */
     uint32_t send_count;
     int64_t queue_ms[RATE_QUEUE_MAX];
@@ -141,24 +141,25 @@
 }
 
 /* Sends the host's own observation to all others. */
-static inline void rate_send_observation(rate_simulation_t* w, uint32_t from, const cw_rate_word_t* word) {
-    const rate_model_t* m = w->m;
+static inline void rate_send_observation(rate_simulation_t* sim, uint32_t from, const cw_rate_word_t* word) {
+    const rate_model_t* m = sim->m;
     for (uint32_t i = 0; i < m->hosts; i++) {
-        bool is_separated = rate_is_partitioned(m, i, w->now_ms) != rate_is_partitioned(m, from, w->now_ms);
-        if (i == from || is_separated || rate_is_dead(m, i, w->now_ms) || rng_below(&w->rng, 100) < m->loss_percent) {
+        bool is_separated = rate_is_partitioned(m, i, sim->now_ms) != rate_is_partitioned(m, from, sim->now_ms);
+        if (i == from || is_separated || rate_is_dead(m, i, sim->now_ms) ||
+            rng_below(&sim->rng, 100) < m->loss_percent) {
             continue;
         }
-        w->m->messages++;
-        rate_enqueue(&w->peer_messages,
-                     &(rate_event_t){.due_ms = w->now_ms + m->message_delay_ms, .host = i, .word = *word});
+        sim->m->messages++;
+        rate_enqueue(&sim->peer_messages,
+                     &(rate_event_t){.due_ms = sim->now_ms + m->message_delay_ms, .host = i, .word = *word});
     }
 }
 
 /* Updates the host's list of live hosts and the number of those that may be partitioned from it. */
-static inline void rate_update_hosts(rate_simulation_t* w, uint32_t host) {
-    const rate_model_t* m = w->m;
-    rate_host_t* h = &w->host[host];
-    int64_t seen_ms = w->now_ms - RATE_DETECTION_MS;
+static inline void rate_update_hosts(rate_simulation_t* sim, uint32_t host) {
+    const rate_model_t* m = sim->m;
+    rate_host_t* h = &sim->host[host];
+    int64_t seen_ms = sim->now_ms - RATE_DETECTION_MS;
     h->live = h->missing = 0;
     for (uint32_t i = 0; i < m->hosts; i++) {
         bool is_separated = rate_is_partitioned(m, i, seen_ms) != rate_is_partitioned(m, host, seen_ms);
@@ -173,40 +174,40 @@
     }
 }
 
-static inline void rate_update_share(rate_simulation_t* w, uint32_t host) {
-    rate_host_t* h = &w->host[host];
+static inline void rate_update_share(rate_simulation_t* sim, uint32_t host) {
+    rate_host_t* h = &sim->host[host];
     cw_rate_set_hosts(
-        &h->rate, w->now_ms,
+        &h->rate, sim->now_ms,
         &(cw_rate_hosts_t){.server = 5, .own = rate_id(host), .ids = h->ids, .count = h->live, .missing = h->missing});
-    if (h->rate.word.said == CW_RATE_NAMED && !h->part.started) {
-        h->part = (cw_bucket_t){.started = true, .at_ms = w->now_ms};
+    if (h->rate.word.said == CW_RATE_NAMED && !h->share_bucket.started) {
+        h->share_bucket = (cw_bucket_t){.started = true, .at_ms = sim->now_ms};
     }
     double per_s = h->rate.word.per_s > 0.1 ? h->rate.word.per_s : 0.1;
-    cw_bucket_set_rate(&h->part, w->now_ms, per_s / w->m->hosts, 1);
+    cw_bucket_set_rate(&h->share_bucket, sim->now_ms, per_s / sim->m->hosts, 1);
 }
 
 static inline uint32_t rate_count_recent_sends(rate_host_t* h, int64_t now_ms) {
-    uint32_t kept = 0;
+    uint32_t remaining = 0;
     for (uint32_t i = 0; i < h->send_count; i++) {
         if (now_ms - h->sends_ms[i] < RATE_WINDOW_MS) {
-            h->sends_ms[kept++] = h->sends_ms[i];
+            h->sends_ms[remaining++] = h->sends_ms[i];
         }
     }
-    h->send_count = kept;
-    return kept;
+    h->send_count = remaining;
+    return remaining;
 }
 
-static inline bool rate_can_send(rate_simulation_t* w, rate_host_t* h) {
-    if (!cw_rate_holds(&h->rate, w->now_ms)) {
+static inline bool rate_can_send(rate_simulation_t* sim, rate_host_t* h) {
+    if (!cw_rate_holds(&h->rate, sim->now_ms)) {
         return true;
     }
-    switch (w->m->strategy) {
+    switch (sim->m->strategy) {
         case RATE_OWNERS:
-            return !cw_rate_wait_ms(&h->rate, w->now_ms);
+            return !cw_rate_wait_ms(&h->rate, sim->now_ms);
         case RATE_EQUAL_SHARES:
-            return !cw_bucket_wait_ms(&h->part, w->now_ms, 1);
+            return !cw_bucket_wait_ms(&h->share_bucket, sim->now_ms, 1);
         default:
-            return rate_count_recent_sends(h, w->now_ms) + 1 <= h->rate.word.per_s * RATE_WINDOW_MS / 1000 + 1;
+            return rate_count_recent_sends(h, sim->now_ms) + 1 <= h->rate.word.per_s * RATE_WINDOW_MS / 1000 + 1;
     }
 }
 
@@ -217,88 +218,89 @@
 }
 
 /* Tells all other hosts that the host sends a request; only with RATE_BROADCAST. */
-static inline void rate_broadcast_send(rate_simulation_t* w, uint32_t from) {
-    for (uint32_t i = 0; i < w->m->hosts; i++) {
-        bool is_separated = rate_is_partitioned(w->m, i, w->now_ms) != rate_is_partitioned(w->m, from, w->now_ms);
-        if (i != from && !is_separated && rng_below(&w->rng, 100) >= w->m->loss_percent) {
-            w->m->messages++;
+static inline void rate_broadcast_send(rate_simulation_t* sim, uint32_t from) {
+    for (uint32_t i = 0; i < sim->m->hosts; i++) {
+        bool is_separated =
+            rate_is_partitioned(sim->m, i, sim->now_ms) != rate_is_partitioned(sim->m, from, sim->now_ms);
+        if (i != from && !is_separated && rng_below(&sim->rng, 100) >= sim->m->loss_percent) {
+            sim->m->messages++;
             rate_enqueue(
-                &w->peer_messages,
-                &(rate_event_t){.due_ms = w->now_ms + w->m->message_delay_ms, .host = i, .sent_ms = w->now_ms});
+                &sim->peer_messages,
+                &(rate_event_t){.due_ms = sim->now_ms + sim->m->message_delay_ms, .host = i, .sent_ms = sim->now_ms});
         }
     }
 }
 
-static inline void rate_send(rate_simulation_t* w, uint32_t host) {
-    rate_model_t* m = w->m;
-    rate_host_t* h = &w->host[host];
-    bool has_rate = rate_is_advertised(m, w->now_ms);
-    if (w->send_count == RATE_SENDS_MAX) {
+static inline void rate_send(rate_simulation_t* sim, uint32_t host) {
+    rate_model_t* m = sim->m;
+    rate_host_t* h = &sim->host[host];
+    bool has_rate = rate_is_advertised(m, sim->now_ms);
+    if (sim->send_count == RATE_SENDS_MAX) {
         abort();
     }
-    bool is_informed = h->informed_ms && w->now_ms - h->informed_ms >= RATE_INFORMED_MS;
-    w->sends[w->send_count++] = (rate_send_t){
-        .at_ms = w->now_ms, .is_counted = is_informed && !(host < m->partitioned && w->now_ms >= m->partition_ms)};
-    cw_rate_take(&h->rate, w->now_ms);
-    cw_bucket_take(&h->part, w->now_ms, 1);
-    if (m->strategy == RATE_BROADCAST && cw_rate_holds(&h->rate, w->now_ms)) {
-        rate_record_send(h, w->now_ms);
-        rate_broadcast_send(w, host);
+    bool is_informed = h->informed_ms && sim->now_ms - h->informed_ms >= RATE_INFORMED_MS;
+    sim->sends[sim->send_count++] = (rate_send_t){
+        .at_ms = sim->now_ms, .is_counted = is_informed && !(host < m->partitioned && sim->now_ms >= m->partition_ms)};
+    cw_rate_take(&h->rate, sim->now_ms);
+    cw_bucket_take(&h->share_bucket, sim->now_ms, 1);
+    if (m->strategy == RATE_BROADCAST && cw_rate_holds(&h->rate, sim->now_ms)) {
+        rate_record_send(h, sim->now_ms);
+        rate_broadcast_send(sim, host);
     }
-    rate_enqueue(&w->responses, &(rate_event_t){.due_ms = w->now_ms + RATE_RESPONSE_MS,
-                                                .host = host,
-                                                .is_response = true,
-                                                .has_rate = has_rate,
-                                                .per_s = rate_per_s(m, w->now_ms),
-                                                .sent_ms = w->now_ms});
+    rate_enqueue(&sim->responses, &(rate_event_t){.due_ms = sim->now_ms + RATE_RESPONSE_MS,
+                                                  .host = host,
+                                                  .is_response = true,
+                                                  .has_rate = has_rate,
+                                                  .per_s = rate_per_s(m, sim->now_ms),
+                                                  .sent_ms = sim->now_ms});
 }
 
-static inline void rate_on_event(rate_simulation_t* w, const rate_event_t* e) {
-    rate_host_t* h = &w->host[e->host];
+static inline void rate_on_event(rate_simulation_t* sim, const rate_event_t* e) {
+    rate_host_t* h = &sim->host[e->host];
     bool changed = false;
     if (e->is_response && e->has_rate) {
-        h->informed_ms = h->informed_ms ? h->informed_ms : w->now_ms;
-        changed = cw_rate_named(&h->rate, e->sent_ms, w->now_ms, e->per_s);
+        h->informed_ms = h->informed_ms ? h->informed_ms : sim->now_ms;
+        changed = cw_rate_named(&h->rate, e->sent_ms, sim->now_ms, e->per_s);
     } else if (e->is_response) {
-        changed = cw_rate_lifted(&h->rate, e->sent_ms, w->now_ms);
+        changed = cw_rate_lifted(&h->rate, e->sent_ms, sim->now_ms);
     } else if (e->word.said != CW_RATE_UNKNOWN) {
-        changed = cw_rate_heard(&h->rate, &e->word, w->m->message_delay_ms);
+        changed = cw_rate_heard(&h->rate, &e->word, sim->m->message_delay_ms);
     } else {
         rate_record_send(h, e->sent_ms);
     }
     if (changed) {
-        rate_update_share(w, e->host);
-        cw_rate_word_t word = cw_rate_tell(&h->rate, w->now_ms);
+        rate_update_share(sim, e->host);
+        cw_rate_word_t word = cw_rate_tell(&h->rate, sim->now_ms);
         if (e->is_response && word.said != CW_RATE_UNKNOWN) {
-            rate_send_observation(w, e->host, &word);
+            rate_send_observation(sim, e->host, &word);
         }
     }
 }
 
-static inline void rate_host_step(rate_simulation_t* w, uint32_t host) {
-    rate_model_t* m = w->m;
-    rate_host_t* h = &w->host[host];
-    if ((double)rng_below(&w->rng, 1000000) < m->host_demand_per_s * RATE_STEP_MS * 1000 &&
+static inline void rate_host_step(rate_simulation_t* sim, uint32_t host) {
+    rate_model_t* m = sim->m;
+    rate_host_t* h = &sim->host[host];
+    if ((double)rng_below(&sim->rng, 1000000) < m->host_demand_per_s * RATE_STEP_MS * 1000 &&
         h->queued < RATE_QUEUE_MAX) {
-        h->queue_ms[h->queued++] = w->now_ms;
+        h->queue_ms[h->queued++] = sim->now_ms;
     }
-    uint32_t kept = 0;
+    uint32_t remaining = 0;
     for (uint32_t i = 0; i < h->queued; i++) {
-        if (rate_can_send(w, h)) {
-            rate_send(w, host);
-        } else if (w->now_ms - h->queue_ms[i] < RATE_WAIT_MAX_MS) {
-            h->queue_ms[kept++] = h->queue_ms[i];
+        if (rate_can_send(sim, h)) {
+            rate_send(sim, host);
+        } else if (sim->now_ms - h->queue_ms[i] < RATE_WAIT_MAX_MS) {
+            h->queue_ms[remaining++] = h->queue_ms[i];
         }
     }
-    h->queued = kept;
-    if (w->now_ms - h->repeat_ms >= RATE_REPEAT_MS) {
-        h->repeat_ms = w->now_ms;
-        cw_rate_word_t word = cw_rate_tell(&h->rate, w->now_ms);
+    h->queued = remaining;
+    if (sim->now_ms - h->repeat_ms >= RATE_REPEAT_MS) {
+        h->repeat_ms = sim->now_ms;
+        cw_rate_word_t word = cw_rate_tell(&h->rate, sim->now_ms);
         if (word.said != CW_RATE_UNKNOWN) {
-            rate_send_observation(w, host, &word);
+            rate_send_observation(sim, host, &word);
         }
-        rate_update_hosts(w, host);
-        rate_update_share(w, host);
+        rate_update_hosts(sim, host);
+        rate_update_share(sim, host);
     }
 }
 
@@ -311,19 +313,19 @@
     return 1.5 * sum + 5;
 }
 
-static inline void rate_evaluate(rate_simulation_t* w) {
-    rate_model_t* m = w->m;
+static inline void rate_evaluate(rate_simulation_t* sim) {
+    rate_model_t* m = sim->m;
     int64_t from_ms = m->advertised_from_ms + RATE_LEARN_MAX_MS;
     uint32_t used = 0;
-    for (uint32_t i = 0; i < w->send_count; i++) {
-        int64_t end_ms = w->sends[i].at_ms;
+    for (uint32_t i = 0; i < sim->send_count; i++) {
+        int64_t end_ms = sim->sends[i].at_ms;
         if (end_ms < from_ms || end_ms >= m->advertised_until_ms) {
             continue;
         }
         used += end_ms >= from_ms + RATE_LEARN_MAX_MS;
         uint32_t arrivals = 0;
-        for (uint32_t k = i; k != UINT32_MAX && w->sends[k].at_ms > end_ms - RATE_WINDOW_MS; k--) {
-            arrivals += w->sends[k].is_counted && w->sends[k].at_ms >= from_ms;
+        for (uint32_t k = i; k != UINT32_MAX && sim->sends[k].at_ms > end_ms - RATE_WINDOW_MS; k--) {
+            arrivals += sim->sends[k].is_counted && sim->sends[k].at_ms >= from_ms;
         }
         double share = arrivals / rate_allowed(m, end_ms + 1);
         m->worst_ratio = share > m->worst_ratio ? share : m->worst_ratio;
@@ -333,10 +335,10 @@
     m->utilization = mean > 0 ? used / (mean * span_s) : 0;
 }
 
-/* Whether all live hosts know that the server advertises a rate (limited), or that it advertises none. */
-static inline bool rate_all_informed(const rate_simulation_t* w, bool has_rate) {
-    for (uint32_t i = 0; i < w->m->hosts; i++) {
-        if (!rate_is_dead(w->m, i, w->now_ms) && cw_rate_holds(&w->host[i].rate, w->now_ms) != has_rate) {
+/* Whether all live hosts know that the server advertises a rate (has_rate), or that it advertises none. */
+static inline bool rate_all_informed(const rate_simulation_t* sim, bool has_rate) {
+    for (uint32_t i = 0; i < sim->m->hosts; i++) {
+        if (!rate_is_dead(sim->m, i, sim->now_ms) && cw_rate_holds(&sim->host[i].rate, sim->now_ms) != has_rate) {
             return false;
         }
     }
@@ -344,44 +346,44 @@
 }
 
 static inline void rate_simulate(rate_model_t* m) {
-    rate_simulation_t w = {.m = m, .rng = {.state = m->seed}, .now_ms = 1000};
-    w.host = calloc(m->hosts, sizeof(*w.host));
-    w.responses.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
-    w.peer_messages.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
-    w.sends = malloc(RATE_SENDS_MAX * sizeof(*w.sends));
-    if (!w.host || !w.responses.events || !w.peer_messages.events || !w.sends) {
+    rate_simulation_t sim = {.m = m, .rng = {.state = m->seed}, .now_ms = 1000};
+    sim.host = calloc(m->hosts, sizeof(*sim.host));
+    sim.responses.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
+    sim.peer_messages.events = malloc(RATE_EVENTS_MAX * sizeof(rate_event_t));
+    sim.sends = malloc(RATE_SENDS_MAX * sizeof(*sim.sends));
+    if (!sim.host || !sim.responses.events || !sim.peer_messages.events || !sim.sends) {
         abort();
     }
     m->worst_ratio = 0;
     m->all_informed_ms = m->all_released_ms = -1;
     for (uint32_t i = 0; i < m->hosts; i++) {
-        w.host[i].repeat_ms = w.now_ms - rng_below(&w.rng, RATE_REPEAT_MS);
-        rate_update_hosts(&w, i);
+        sim.host[i].repeat_ms = sim.now_ms - rng_below(&sim.rng, RATE_REPEAT_MS);
+        rate_update_hosts(&sim, i);
     }
-    for (; w.now_ms < m->duration_ms; w.now_ms += RATE_STEP_MS) {
+    for (; sim.now_ms < m->duration_ms; sim.now_ms += RATE_STEP_MS) {
         rate_event_t e;
-        while (rate_dequeue(&w.responses, w.now_ms, &e) || rate_dequeue(&w.peer_messages, w.now_ms, &e)) {
-            if (!rate_is_dead(m, e.host, w.now_ms)) {
-                rate_on_event(&w, &e);
+        while (rate_dequeue(&sim.responses, sim.now_ms, &e) || rate_dequeue(&sim.peer_messages, sim.now_ms, &e)) {
+            if (!rate_is_dead(m, e.host, sim.now_ms)) {
+                rate_on_event(&sim, &e);
             }
         }
         for (uint32_t i = 0; i < m->hosts; i++) {
-            if (!rate_is_dead(m, i, w.now_ms)) {
-                rate_host_step(&w, i);
+            if (!rate_is_dead(m, i, sim.now_ms)) {
+                rate_host_step(&sim, i);
             }
         }
-        if (m->all_informed_ms < 0 && rate_is_advertised(m, w.now_ms) && rate_all_informed(&w, true)) {
-            m->all_informed_ms = w.now_ms - m->advertised_from_ms;
+        if (m->all_informed_ms < 0 && rate_is_advertised(m, sim.now_ms) && rate_all_informed(&sim, true)) {
+            m->all_informed_ms = sim.now_ms - m->advertised_from_ms;
         }
-        if (m->all_released_ms < 0 && w.now_ms >= m->advertised_until_ms && rate_all_informed(&w, false)) {
-            m->all_released_ms = w.now_ms - m->advertised_until_ms;
+        if (m->all_released_ms < 0 && sim.now_ms >= m->advertised_until_ms && rate_all_informed(&sim, false)) {
+            m->all_released_ms = sim.now_ms - m->advertised_until_ms;
         }
     }
-    rate_evaluate(&w);
-    free(w.host);
-    free(w.responses.events);
-    free(w.peer_messages.events);
-    free(w.sends);
+    rate_evaluate(&sim);
+    free(sim.host);
+    free(sim.responses.events);
+    free(sim.peer_messages.events);
+    free(sim.sends);
 }
 
 #endif
--- a/tests/test_turns.c
+++ b/tests/test_turns.c
@@ -46,7 +46,7 @@
 START_TEST(a_request_waits_for_a_slot_as_long_as_its_caller_waits) {
     rig_t* r = rig_setup(ROUTES, 1);
     rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}}, 2);
-    ck_assert_ptr_nonnull(strstr(rig_call(r, CALL("/urgent/")), "200")); /* the pool gets such work */
+    ck_assert_ptr_nonnull(strstr(rig_call(r, CALL("/urgent/")), "200")); /* the pool learns this target */
     set_running(r, 8);
     rig_write(r, CALL("/short/"));
     while (!exchanges_stats(r->exchanges).waiting) {
@@ -69,7 +69,7 @@
 START_TEST(a_long_prompt_leaves_the_slots_that_urgent_requests_will_take) {
     cw_server_spec_t spec = {.id = 5, .slots = 64, .memory_tokens = 900000};
     cw_work_t urgent = {.urgency = 1, .prompt_tokens = 800, .output_tokens = 300, .target_ms = 250, .gap_ms = 120};
-    cw_work_t patient = {.urgency = 7, .prompt_tokens = 12000, .output_tokens = 400, .target_ms = 2000, .gap_ms = 500};
+    cw_work_t tolerant = {.urgency = 7, .prompt_tokens = 12000, .output_tokens = 400, .target_ms = 2000, .gap_ms = 500};
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 1});
     int64_t now_ms = 1000;
     cw_balance_set(b, now_ms, &spec, 1);
@@ -82,7 +82,7 @@
         if (i >= 4) {
             cw_balance_end(b, now_ms, &runs[i - 4], CW_TRY_SERVED);
         }
-        cw_choice_t c = cw_balance_choose(b, now_ms, &patient, NULL, 0);
+        cw_choice_t c = cw_balance_choose(b, now_ms, &tolerant, NULL, 0);
         ck_assert_uint_eq(c.server, 0); /* at the usual rate there are slots for long prompts */
     }
     for (uint32_t i = 0; i < 32; i++, now_ms += i % 2 ? 12 : 13) { /* 80 per second need 160 slots; 36 are in use */
@@ -90,7 +90,7 @@
         cw_balance_begin(b, now_ms, 0, &urgent);
     }
     ck_assert_uint_eq(cw_balance_choose(b, now_ms, &urgent, NULL, 0).server, 0);
-    ck_assert_uint_eq(cw_balance_choose(b, now_ms, &patient, NULL, 0).server, CW_BALANCE_NONE);
+    ck_assert_uint_eq(cw_balance_choose(b, now_ms, &tolerant, NULL, 0).server, CW_BALANCE_NONE);
     cw_balance_shutdown(b);
 }
 END_TEST
