--- a/chalkway_backlog.h
+++ b/chalkway_backlog.h
@@ -39,7 +39,7 @@
 } cw_backlog_t;
 
 /* Time until the prompts of the urgency and more urgent ones are prefilled. Once the predicted time has passed, they
-   are assumed to take as long again as they are overdue. */
+   are assumed to take as long again as the delay so far. */
 double cw_backlog_ms(const cw_backlog_t* b, int64_t now_ms, uint32_t urgency);
 cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double prefill_ms);
 /* Removes a prompt that is prefilled, or never will be. */
--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -122,7 +122,8 @@
     uint32_t urgency;
     double read_ms; /* predicted prefill time of the prompt */
     cw_backlog_plan_t plan;
-    double found_ms;       /* backlog of all urgencies at the start: an engine may finish a chunk of any prompt first */
+    /* Backlog of all urgencies at the start, since an engine may finish a chunk of any prompt first. */
+    double found_ms;
     bool quiet;            /* nothing was known there that the prompt may have waited for */
     uint32_t fresh_tokens; /* to be prefilled, neither cached nor fetched */
     uint32_t tokens;
@@ -185,14 +186,14 @@
     uint32_t count;
     uint32_t missing;   /* hosts that vanished without a clean stop: they may run on behind a network partition */
     uint32_t reach_ms;  /* time until a load report has reached all hosts */
-    uint32_t direct_ms; /* time until it has reached the other owner hosts of the server (chalkway_home.h) */
+    uint32_t direct_ms; /* the same for the other owner hosts of the server (chalkway_home.h) */
 } cw_fleet_t;
 
 /* Numbers of servers that throttle this host now. */
 typedef struct cw_held_back_t {
     uint32_t resting; /* asked this host to back off */
     uint32_t limited; /* advertise a rate */
-    uint32_t owned;   /* of the limited ones, those where this host owns a share of the rate */
+    uint32_t owned;   /* of these, servers where this host owns a share of the rate */
 } cw_held_back_t;
 
 typedef struct cw_balance_t cw_balance_t;
@@ -264,8 +265,7 @@
 void cw_balance_news(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load);
 /* Records that another daemon sent a prompt with this part to the server. */
 void cw_balance_kept(cw_balance_t* b, uint64_t server, const cw_work_part_t* part);
-/* Share 0..1 of slots in use, as far as known, over the servers that don't throttle this host; 1 when there are none.
- */
+/* Known share 0..1 of slots in use, over the servers that don't throttle this host; 1 when there are none. */
 double cw_balance_fullness(const cw_balance_t* b, int64_t now_ms);
 /* Learned shortest target of the pool's requests, ms; 0: none seen yet. */
 double cw_balance_shortest_target(const cw_balance_t* b);
--- a/chalkway_gaps.h
+++ b/chalkway_gaps.h
@@ -11,7 +11,7 @@
     HOW TO USE IT
             cw_gaps_t g = {0};
             cw_gaps_count(&g, gap_ms, 1); // and -1 when the stream ends
-            cw_gap_t shortest = cw_gaps_shortest(&g);
+            cw_gap_t strictest = cw_gaps_shortest(&g);
 
     WHAT IT DOES NOT DO
         It does not predict stalls (chalkway_pause.h).
--- a/chalkway_holding.h
+++ b/chalkway_holding.h
@@ -17,8 +17,8 @@
             cw_holding_begin(&h, urgency);
             cw_holding_learn(&h, urgency, held_ms); // the request was served
             cw_holding_end(&h, urgency);
-            double places = cw_holding_places(&h, urgency, rate_per_s);
-            double more = cw_holding_growth(&h, urgency, rate_per_s, within_ms);
+            double slots = cw_holding_places(&h, urgency, rate_per_s);
+            double growth = cw_holding_growth(&h, urgency, rate_per_s, within_ms);
 
     WHAT IT DOES NOT DO
         It has no knowledge of servers and of other hosts.
--- a/chalkway_home.h
+++ b/chalkway_home.h
@@ -14,7 +14,7 @@
         or leaves. In a small fleet all hosts own all servers.
 
     HOW TO USE IT
-            bool home = cw_home_is(server, own_id, ids, count);
+            bool is_owner = cw_home_is(server, own_id, ids, count);
             uint32_t found = cw_home_others(server, own_id, ids, count, others); // indices into ids
 
     WHAT IT DOES NOT DO
@@ -29,15 +29,13 @@
 /* Owner hosts of a server: enough that a host of a large fleet has engines to choose from, few enough to send reports
    to each of them directly. */
 #define CW_HOME_HOSTS 16
-#define CW_HOME_FLEET                                                                                                  \
-    24 /* fleets up to this size: all hosts own all servers, since reports to every host cost less                     \
-        */
+/* In fleets up to this size all hosts own all servers, since reports to every host cost less. */
+#define CW_HOME_FLEET 24
 
 /* Whether own is an owner host of the server; ids: the live hosts. In a large fleet a host that is not among them owns
    no server. */
 bool cw_home_is(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count);
-/* The server's owner hosts except own, as indices into ids; none if own is no owner host of it. Returns their number.
- */
+/* The server's owner hosts except own, as indices into ids; none if own is not among them. Returns their number. */
 uint32_t cw_home_others(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count,
                         uint32_t others[CW_HOME_HOSTS]);
 
--- a/chalkway_kept.h
+++ b/chalkway_kept.h
@@ -14,7 +14,7 @@
     HOW TO USE IT
             cw_kept_t* k = cw_kept_setup(131072, NULL);
             cw_kept_add(k, server, part, prefilled_tokens);
-            if (cw_kept_has(k, server, part, tokens_read_now, room_tokens)) { ... }
+            if (cw_kept_has(k, server, part, prefilled_tokens_now, room_tokens)) { ... }
             cw_kept_shutdown(k);
 
     WHAT IT DOES NOT DO
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -94,14 +94,13 @@
 #define _CW_LOAD_HEAD_FIELDS 9 /* fields before the entries; the last one is the array of quarantine observations */
 #define _CW_LOAD_OBSERVATION_FIELDS 5 /* numbers of an observation */
 #define _CW_LOAD_ID_FIELDS 2          /* first fields of an entry: the host, 0 for the sender, and the server */
-#define _CW_LOAD_ENTRY_FIELDS                                                                                          \
-    12 /* fields of an entry before its rate and backlogs; the last one is the backlogs' bit set */
-#define _CW_LOAD_RATE_FIELDS 2 /* numbers of a server's rate: its value and its age */
-#define _CW_LOAD_LEAVING 1U    /* flags of an entry */
+#define _CW_LOAD_ENTRY_FIELDS 12      /* fixed fields of an entry; the last one is the bit set of its backlogs */
+#define _CW_LOAD_RATE_FIELDS 2        /* numbers of a server's rate: its value and its age */
+#define _CW_LOAD_LEAVING 1U           /* flags of an entry */
 #define _CW_LOAD_RATE_ADVERTISED 2U
 #define _CW_LOAD_RATE_WITHDRAWN 4U
-#define _CW_LOAD_BACKLOG_MAX_MS                                                                                        \
-    UINT16_MAX /* ms, longer than any request waits: longer backlogs are sent as this value */
+/* Longer than any request waits: longer backlogs are sent as this value. */
+#define _CW_LOAD_BACKLOG_MAX_MS UINT16_MAX
 
 uint32_t cw_load_quiet_ms(uint32_t rank, uint32_t live) {
     uint32_t fleet_ms = live * _CW_LOAD_HEARTBEAT_STEP_MS;
--- a/chalkway_pause.h
+++ b/chalkway_pause.h
@@ -13,7 +13,7 @@
     HOW TO USE IT
             cw_pauses_t p = {0};
             cw_pauses_learn(&p, tokens, pause_ms);
-            double harm = cw_pauses_harm(&p, tokens, gap_ms, prefill_ms_per_token, prefill_left_ms);
+            double risk = cw_pauses_harm(&p, tokens, gap_ms, prefill_ms_per_token, prefill_left_ms);
 
     WHAT IT DOES NOT DO
         It has no knowledge of servers and streams.
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -130,7 +130,7 @@
     cw_pick_upstream_t ups[CW_PICK_MAX];
     uint32_t count;
     uint32_t inflight;
-    uint32_t next_index; /* next index of the round robin */
+    uint32_t next_index; /* of the round robin */
     double scale;
 };
 
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -54,12 +54,12 @@
 } cw_prefix_t;
 
 /* Tokens at the start of the prompt that the server has cached. */
-uint32_t cw_prefix_kept(const cw_kept_t* kept, const cw_prefix_memory_t* memory, const cw_work_part_t* parts,
+uint32_t cw_prefix_kept(const cw_kept_t* cache, const cw_prefix_memory_t* capacity, const cw_work_part_t* parts,
                         uint32_t count);
 cw_prefix_t cw_prefix_new(const cw_work_part_t* parts, uint32_t count);
-/* Adds a server that may be chosen and has kept tokens of the prompt's start cached. may_own: it is neither unreachable
-   nor throttling, so prompts may be sent there for their shared parts. */
-void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t kept, bool may_own);
+/* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: it is
+   neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
+void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own);
 /* Whether the server, which was added with may_own, owns the last shared part. */
 bool cw_prefix_owns(const cw_prefix_t* p, uint64_t server);
 
@@ -70,11 +70,11 @@
 #ifndef CHALKWAY_PREFIX_IMPL_INCLUDED
 #define CHALKWAY_PREFIX_IMPL_INCLUDED
 
-uint32_t cw_prefix_kept(const cw_kept_t* kept, const cw_prefix_memory_t* memory, const cw_work_part_t* parts,
+uint32_t cw_prefix_kept(const cw_kept_t* cache, const cw_prefix_memory_t* capacity, const cw_work_part_t* parts,
                         uint32_t count) {
     uint32_t tokens = 0;
     for (uint32_t i = 0; i < count; i++) {
-        if (!cw_kept_has(kept, memory->server, parts[i].id, memory->read_tokens, memory->room_tokens)) {
+        if (!cw_kept_has(cache, capacity->server, parts[i].id, capacity->read_tokens, capacity->room_tokens)) {
             break;
         }
         tokens += parts[i].tokens;
@@ -95,10 +95,10 @@
     return cw_mix(p->part, server);
 }
 
-void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t kept, bool may_own) {
-    if (kept > p->held) {
+void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own) {
+    if (cached_tokens > p->held) {
         p->holder = server;
-        p->held = kept;
+        p->held = cached_tokens;
     }
     uint64_t score = p->shared && may_own ? _cw_prefix_score(p, server) : 0;
     for (uint32_t i = 0; i < CW_PREFIX_OWNERS; i++) {
--- a/chalkway_reading.h
+++ b/chalkway_reading.h
@@ -18,7 +18,7 @@
     HOW TO USE IT
             cw_reading_t r = cw_reading_new();
             double ms = cw_reading_ms(&r, tokens);
-            cw_reading_learn(&r, tokens, took_ms, quiet);
+            cw_reading_learn(&r, tokens, took_ms, is_unqueued);
 
     WHAT IT DOES NOT DO
         It does not distinguish servers; the slowdown of each server relative
@@ -38,9 +38,9 @@
 cw_reading_t cw_reading_new(void);
 /* Predicted time to the first event for a prompt of so many tokens. */
 double cw_reading_ms(const cw_reading_t* r, uint32_t tokens);
-/* Records a time to the first event for a prompt of so many tokens. quiet: nothing is known that the prompt may have
-   waited for; otherwise only a sample below the prediction counts. */
-void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool quiet);
+/* Records a time to the first event for a prompt of so many tokens. is_unqueued: nothing is known that the prompt may
+   have waited for; otherwise only a sample below the prediction counts. */
+void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool is_unqueued);
 
 #endif /* CHALKWAY_READING_H */
 
@@ -67,10 +67,10 @@
     return r->base_ms + r->token_ms * tokens;
 }
 
-void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool quiet) {
+void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool is_unqueued) {
     double expected_ms = cw_reading_ms(r, tokens);
     bool is_above = took_ms > expected_ms;
-    if (is_above && !quiet) {
+    if (is_above && !is_unqueued) {
         return;
     }
     /* Each part is corrected by its share of the prediction: short prompts mainly correct the fixed part, long ones the
--- a/chalkway_rest.h
+++ b/chalkway_rest.h
@@ -13,10 +13,10 @@
         older one that was overtaken.
 
     HOW TO USE IT
-            cw_rest_t rest = {0};
-            cw_rest_ask(&rest, now_ms, 3000);
-            if (!cw_rest_wait_ms(&rest, now_ms)) {
-                cw_rest_take(&rest, now_ms);          // and send
+            cw_rest_t backoff = {0};
+            cw_rest_ask(&backoff, now_ms, 3000);
+            if (!cw_rest_wait_ms(&backoff, now_ms)) {
+                cw_rest_take(&backoff, now_ms);       // and send
             }
 
     WHAT IT DOES NOT DO
--- a/chalkway_subset.h
+++ b/chalkway_subset.h
@@ -18,7 +18,7 @@
         not halved for a while.
 
     HOW TO USE IT
-            cw_subset_t subset = {.least = 1000};
+            cw_subset_t subset = {.min_servers = 1000};
             cw_subset_fit(&subset, now_ms, count);           // after each change of the list
             for each server: if (cw_subset_has(&subset, id)) { use it }
             if (no server has a free slot && cw_subset_widen(&subset, now_ms)) { apply the list again }
@@ -52,13 +52,12 @@
 #define CHALKWAY_SUBSET_IMPL_INCLUDED
 
 #define _CW_SUBSET_SALT 0x5b5e7
-#define _CW_SUBSET_DOUBLE_BELOW 0.8 /* of least: a smaller subset is doubled */
-#define _CW_SUBSET_HALVE_ABOVE 2.5  /* times least: a larger subset is halved */
-#define _CW_SUBSET_EXPANDED_MIN_MS                                                                                     \
-    60000 /* time after a doubling for lack of slots in which the subset is not halved                                 \
-           */
-#define _CW_SUBSET_EXPAND_INTERVAL_MS                                                                                  \
-    100 /* least time between two doublings, so that the slots of the first one are known */
+#define _CW_SUBSET_DOUBLE_BELOW 0.8 /* of min_servers: a smaller subset is doubled */
+#define _CW_SUBSET_HALVE_ABOVE 2.5  /* times min_servers: a larger subset is halved */
+/* Time after a doubling for lack of slots in which the subset is not halved. */
+#define _CW_SUBSET_EXPANDED_MIN_MS 60000
+/* Least time between two doublings, so that the slots of the first one are known. */
+#define _CW_SUBSET_EXPAND_INTERVAL_MS 100
 
 /* Expected number of servers in the subset. */
 static double _cw_subset_size(uint32_t shift, uint32_t count) {
--- a/chalkway_turn.h
+++ b/chalkway_turn.h
@@ -21,8 +21,8 @@
         little.
 
     HOW TO USE IT
-            cw_turn_wait_t wait = cw_turn_wait(&desc);// when there is no free slot
-            cw_turn_t key = {.urgency = urgency, .light = light, .arrived_ms = arrived_ms};
+            cw_turn_wait_t wait = cw_turn_wait(&desc); // when there is no free slot
+            cw_turn_t key = {.urgency = urgency, .is_light = is_light, .arrived_ms = arrived_ms};
             if (cw_turn_before(&key, &other)) { ... }
 
     WHAT IT DOES NOT DO
--- a/tests/test_pause.c
+++ b/tests/test_pause.c
@@ -1,5 +1,4 @@
-/* Stalls of streams while prompts are prefilled: lengths with and without samples, and the bound by the prefill left.
- */
+/* Stalls of streams during prefills: prompt lengths with and without samples, and the bound by the prefill left. */
 #include "../chalkway_pause.h"
 
 #include <math.h>
--- a/tests/test_pool_load.c
+++ b/tests/test_pool_load.c
@@ -1,5 +1,4 @@
-/* Load patterns of a pool in front of a fleet of hosts: many modules together, without a network, on a simulated clock.
- */
+/* Load patterns of a pool and a fleet of hosts: many modules together, without a network, on a simulated clock. */
 #include "pool_model.h"
 #include "test.h"
 
