--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -6,22 +6,22 @@
 
 #include "node.h"
 
-#define IDLE_MS 60000   /* a shard nobody uses is dropped after this */
-#define ACKS_MAX 256    /* wants taken in one turn of the loop that are told they wait */
-#define REPORTS_MAX 128 /* load reports read at once; more wait for the next period */
-#define REPORT_TIMEOUT_MS 2000
-#define REPORT_EACH_MS 400 /* a shard reads one report in this time on average */
-#define REFUSED_RETRY_MS 1000
-
-typedef struct role_t {
+#define IDLE_TIMEOUT_MS 60000 /* a shard nobody uses is dropped after this */
+#define MAX_ACKS 256          /* wants taken in one turn of the loop that are told they wait */
+#define MAX_LOAD_CALLS 128    /* load reports read at once; more wait for the next period */
+#define LOAD_CALL_TIMEOUT_MS 2000
+#define LOAD_CALL_INTERVAL_MS 400 /* a shard reads one report in this time on average */
+#define REFUSAL_RETRY_AFTER_MS 1000
+
+typedef struct owned_shard_t {
     uint64_t id;
     uint64_t pool;
     cw_shard_t* shard;
-    int64_t used_ms;
-    int64_t report_ms; /* next reading of load reports */
-    bool due;          /* has something to send */
-    uint32_t shards;   /* of the pool */
-} role_t;
+    int64_t last_used_ms;
+    int64_t next_report_ms;   /* next reading of load reports */
+    bool has_pending_actions; /* has something to send */
+    uint32_t shard_count;     /* of the pool */
+} owned_shard_t;
 
 /* A want that came in this turn of the loop. It is answered at the turn's end: never from within its arrival. */
 typedef struct ack_t {
@@ -31,68 +31,69 @@
 } ack_t;
 
 /* One reading of an upstream's load. */
-typedef struct report_t {
+typedef struct load_call_t {
     node_t* node;
     cw_call_t* call; /* NULL: free */
     uint64_t shard, upstream;
     char body[512];
     size_t size;
-} report_t;
+} load_call_t;
 
 struct allocator_t {
     node_t* node;
-    role_t roles[NODE_MAX_SHARDS];
+    owned_shard_t owned_shards[NODE_MAX_SHARDS];
     uint32_t count;
-    ack_t acks[ACKS_MAX];
+    ack_t acks[MAX_ACKS];
     uint32_t ack_count;
     ev_prepare prepare;
-    report_t reports[REPORTS_MAX]; /* being read */
+    load_call_t load_calls[MAX_LOAD_CALLS]; /* being read */
     cw_msg_t out;
 };
 
 /* -- shards --------------------------------------------------------------- */
 
-static role_t* role_find(allocator_t* a, uint64_t shard) {
+static owned_shard_t* find_owned_shard(allocator_t* a, uint64_t shard) {
     for (uint32_t i = 0; i < a->count; i++) {
-        if (a->roles[i].id == shard) {
-            return &a->roles[i];
+        if (a->owned_shards[i].id == shard) {
+            return &a->owned_shards[i];
         }
     }
     return NULL;
 }
 
 /* Sets the shard's upstreams from the configuration. */
-static uint32_t role_fill(const node_t* node, role_t* role, const cw_view_t* view, const cw_pool_t* pool) {
+static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_view_t* view,
+                                    const cw_pool_t* pool) {
     cw_pick_spec_t specs[CW_PICK_MAX];
-    pool_layout_t layout = node_layout(view, pool);
-    role->shards = layout.shards;
-    uint32_t count = node_shard_specs(node, view, &layout, role->id, node->policy == POLICY_LEASE, specs);
-    cw_shard_upstreams(role->shard, specs, count);
+    pool_layout_t layout = node_pool_layout(view, pool);
+    owned->shard_count = layout.shard_count;
+    uint32_t count = node_shard_specs(node, view, &layout, owned->id, node->policy == POLICY_LEASE, specs);
+    cw_shard_upstreams(owned->shard, specs, count);
     return count;
 }
 
 /* Partition rule: a host that the platform lists and that is dead in this view may be serving callers on the other side
    of a cut, with an allocator of its own there. This side uses the share of the limits that matches who it sees. */
-static void role_scale(const node_t* node, const role_t* role) {
-    uint32_t listed = 0;
+static void set_visible_share(const node_t* node, const owned_shard_t* owned) {
+    uint32_t router_count = 0;
     uint32_t seen = 0;
-    for (uint32_t i = 0; i < node->listed_count; i++) {
-        const listed_host_t* h = &node->listed[i];
+    for (uint32_t i = 0; i < node->listed_host_count; i++) {
+        const listed_host_t* h = &node->listed_hosts[i];
         if (!h->is_router || h->leaving) {
             continue;
         }
         const cw_member_t* m = cw_members_find(node->members, h->id);
-        listed++;
+        router_count++;
         seen += m && (m->info.state != CW_MEMBER_DEAD || m->refused);
     }
-    cw_shard_visible(role->shard, seen, listed);
+    cw_shard_visible(owned->shard, seen, router_count);
 }
 
 /* Pool that has a shard of this id, or NULL. */
-static const cw_pool_t* pool_of(const cw_view_t* view, uint64_t shard) {
+static const cw_pool_t* find_pool_of_shard(const cw_view_t* view, uint64_t shard) {
     for (uint32_t i = 0; i < view->pool_count; i++) {
-        pool_layout_t layout = node_layout(view, &view->pools[i]);
-        for (uint32_t k = 0; layout.count && k < layout.shards; k++) {
+        pool_layout_t layout = node_pool_layout(view, &view->pools[i]);
+        for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
             if (cw_place_shard_id(view->pools[i].id, k) == shard) {
                 return &view->pools[i];
             }
@@ -101,14 +102,14 @@
     return NULL;
 }
 
-static role_t* role_take(allocator_t* a, uint64_t shard) {
+static owned_shard_t* take_shard(allocator_t* a, uint64_t shard) {
     node_t* node = a->node;
     cw_view_t* view = cw_store_view(node->store);
-    const cw_pool_t* pool = pool_of(view, shard);
-    role_t* role = NULL;
+    const cw_pool_t* pool = find_pool_of_shard(view, shard);
+    owned_shard_t* owned = NULL;
     if (pool && a->count < NODE_MAX_SHARDS) {
-        role = &a->roles[a->count++];
-        int64_t now_ms = node_now();
+        owned = &a->owned_shards[a->count++];
+        int64_t now_ms = node_now_ms();
         uint64_t hosts[NODE_MAX_HOSTS];
         cw_shard_desc_t desc = {
             .epoch = randombytes_random() | 1,
@@ -120,44 +121,44 @@
         for (uint32_t t = 0; t < CW_TIERS; t++) {
             desc.floor[t] = pool->floor[t];
         }
-        *role = (role_t){.id = shard, .pool = pool->id, .shard = cw_shard_setup(&desc)};
-        role->used_ms = now_ms;
-        uint32_t count = role_fill(node, role, view, pool);
-        role_scale(node, role);
-        uint32_t host_count = node->policy == POLICY_SHARED ? node_live_hosts(node, hosts) : 0;
-        cw_shard_cautious(role->shard, now_ms + node->settings.grant_ms, host_count);
+        *owned = (owned_shard_t){.id = shard, .pool = pool->id, .shard = cw_shard_setup(&desc)};
+        owned->last_used_ms = now_ms;
+        uint32_t count = set_shard_upstreams(node, owned, view, pool);
+        set_visible_share(node, owned);
+        uint32_t host_count = node->policy == POLICY_SHARED ? node_list_live_hosts(node, hosts) : 0;
+        cw_shard_cautious(owned->shard, now_ms + node->settings.grant_ms, host_count);
         for (uint32_t i = 0; i < host_count; i++) {
-            cw_shard_ask(role->shard, now_ms, hosts[i]);
+            cw_shard_ask(owned->shard, now_ms, hosts[i]);
         }
         cw_log(&node->log, CW_EVENT_SHARD_TAKEN, "shard=%016llx pool=%s upstreams=%u", (unsigned long long)shard,
                pool->name, count);
     }
     cw_view_release(view);
-    return role;
+    return owned;
 }
 
-static void role_drop(allocator_t* a, role_t* role) {
-    cw_log(&a->node->log, CW_EVENT_SHARD_LEFT, "shard=%016llx", (unsigned long long)role->id);
-    cw_shard_shutdown(role->shard);
-    *role = a->roles[--a->count];
+static void drop_shard(allocator_t* a, owned_shard_t* owned) {
+    cw_log(&a->node->log, CW_EVENT_SHARD_LEFT, "shard=%016llx", (unsigned long long)owned->id);
+    cw_shard_shutdown(owned->shard);
+    *owned = a->owned_shards[--a->count];
 }
 
 /* -- sending -------------------------------------------------------------- */
 
-static void send_action(allocator_t* a, const role_t* role, const cw_shard_action_t* action, int64_t now_ms) {
+static void send_action(allocator_t* a, const owned_shard_t* owned, const cw_shard_action_t* action, int64_t now_ms) {
     a->out.type = CW_MSG_ACTION;
-    a->out.shard = role->id;
+    a->out.shard = owned->id;
     a->out.action = *action;
-    a->out.wait_ms = cw_shard_stats(role->shard, now_ms).wait_ms;
+    a->out.wait_ms = cw_shard_stats(owned->shard, now_ms).wait_ms;
     node_send(a->node, action->entry, &a->out);
 }
 
-static void drain(allocator_t* a, role_t* role) {
-    int64_t now_ms = node_now();
+static void send_pending_actions(allocator_t* a, owned_shard_t* owned) {
+    int64_t now_ms = node_now_ms();
     cw_shard_action_t action;
-    role->due = false;
-    while (cw_shard_next(role->shard, now_ms, &action)) {
-        send_action(a, role, &action, now_ms);
+    owned->has_pending_actions = false;
+    while (cw_shard_next(owned->shard, now_ms, &action)) {
+        send_action(a, owned, &action, now_ms);
     }
 }
 
@@ -169,7 +170,7 @@
                                         .entry = ack->entry,
                                         .seq = ack->seq,
                                         .refusal = ack->refusal,
-                                        .retry_after_ms = REFUSED_RETRY_MS};
+                                        .retry_after_ms = REFUSAL_RETRY_AFTER_MS};
     a->out.wait_ms = 0;
     node_send(a->node, ack->entry, &a->out);
 }
@@ -180,20 +181,20 @@
     (void)events;
     allocator_t* a = w->data;
     for (uint32_t i = 0; i < a->count; i++) {
-        if (a->roles[i].due) {
-            drain(a, &a->roles[i]);
+        if (a->owned_shards[i].has_pending_actions) {
+            send_pending_actions(a, &a->owned_shards[i]);
         }
     }
     uint32_t count = a->ack_count;
     a->ack_count = 0;
     for (uint32_t i = 0; i < count; i++) {
-        role_t* role = role_find(a, a->acks[i].shard);
+        owned_shard_t* owned = find_owned_shard(a, a->acks[i].shard);
         if (a->acks[i].refusal) {
             send_refusal(a, &a->acks[i]);
-        } else if (role && cw_shard_waits(role->shard, a->acks[i].entry, a->acks[i].seq)) {
+        } else if (owned && cw_shard_waits(owned->shard, a->acks[i].entry, a->acks[i].seq)) {
             const cw_shard_action_t action = {
                 .kind = CW_SHARD_QUEUED, .entry = a->acks[i].entry, .seq = a->acks[i].seq};
-            send_action(a, role, &action, node_now());
+            send_action(a, owned, &action, node_now_ms());
         }
     }
 }
@@ -201,89 +202,91 @@
 /* -- messages ------------------------------------------------------------- */
 
 /* Notes that a want is to be told of at the end of the turn. An entry that is not told asks again. */
-static void note_want(allocator_t* a, uint64_t shard, uint64_t entry, uint32_t seq, cw_refusal_t refusal) {
-    if (a->ack_count < ACKS_MAX) {
+static void queue_ack(allocator_t* a, uint64_t shard, uint64_t entry, uint32_t seq, cw_refusal_t refusal) {
+    if (a->ack_count < MAX_ACKS) {
         a->acks[a->ack_count++] = (ack_t){.shard = shard, .entry = entry, .seq = seq, .refusal = refusal};
         ev_feed_event(a->node->loop, &a->prepare, EV_PREPARE);
     }
 }
 
 /* Adds the hard limits of the workspace. Each shard of a pool enforces its even part. */
-static void add_limits(const allocator_t* a, const role_t* role, cw_want_t* want) {
+static void add_workspace_limits(const allocator_t* a, const owned_shard_t* owned, cw_want_t* want) {
     cw_view_t* view = cw_store_view(a->node->store);
     const cw_workspace_t* workspace = cw_view_workspace(view, want->workspace);
     want->max_running = 0;
     want->max_rate = 0;
     if (workspace) {
-        want->max_running = workspace->concurrency ? (workspace->concurrency + role->shards - 1) / role->shards : 0;
-        want->max_rate = workspace->rate / role->shards;
+        want->max_running =
+            workspace->concurrency ? (workspace->concurrency + owned->shard_count - 1) / owned->shard_count : 0;
+        want->max_rate = workspace->rate / owned->shard_count;
     }
     cw_view_release(view);
 }
 
-static void on_want(allocator_t* a, role_t* role, uint64_t from, const cw_want_t* want, int64_t now_ms) {
+static void on_slot_request(allocator_t* a, owned_shard_t* owned, uint64_t from, const cw_want_t* want,
+                            int64_t now_ms) {
     cw_want_t w = *want;
     w.entry = from;
-    add_limits(a, role, &w);
-    cw_status_t status = cw_shard_want(role->shard, now_ms, &w);
-    note_want(a, role->id, from, w.seq, status == CW_OK ? CW_REFUSED_NONE : CW_REFUSED_FULL);
+    add_workspace_limits(a, owned, &w);
+    cw_status_t status = cw_shard_want(owned->shard, now_ms, &w);
+    queue_ack(a, owned->id, from, w.seq, status == CW_OK ? CW_REFUSED_NONE : CW_REFUSED_FULL);
 }
 
 void allocator_on_message(allocator_t* a, uint64_t from, const cw_msg_t* msg) {
-    int64_t now_ms = node_now();
-    role_t* role = role_find(a, msg->shard);
-    if (!role && msg->type != CW_MSG_DONE && msg->type != CW_MSG_CANCEL) {
-        role = role_take(a, msg->shard);
+    int64_t now_ms = node_now_ms();
+    owned_shard_t* owned = find_owned_shard(a, msg->shard);
+    if (!owned && msg->type != CW_MSG_DONE && msg->type != CW_MSG_CANCEL) {
+        owned = take_shard(a, msg->shard);
     }
-    if (!role) {
+    if (!owned) {
         return; /* the entry's configuration is newer or older than this host's: it asks again when it hears nothing */
     }
-    role->used_ms = now_ms;
-    role->due = true;
+    owned->last_used_ms = now_ms;
+    owned->has_pending_actions = true;
     ev_feed_event(a->node->loop, &a->prepare, EV_PREPARE);
     cw_digest_t digest;
     switch (msg->type) {
         case CW_MSG_WANT:
-            on_want(a, role, from, &msg->want, now_ms);
+            on_slot_request(a, owned, from, &msg->want, now_ms);
             break;
         case CW_MSG_CANCEL:
-            cw_shard_cancel(role->shard, from, msg->cancel_seq);
+            cw_shard_cancel(owned->shard, from, msg->cancel_seq);
             break;
         case CW_MSG_DONE:
-            cw_shard_done(role->shard, now_ms, &msg->done);
+            cw_shard_done(owned->shard, now_ms, &msg->done);
             break;
         case CW_MSG_DIGEST:
             digest = msg->digest;
             digest.entry = from;
-            cw_shard_digest(role->shard, now_ms, &digest);
+            cw_shard_digest(owned->shard, now_ms, &digest);
             break;
         case CW_MSG_LIST:
             digest = msg->digest;
             digest.entry = from;
-            cw_shard_list(role->shard, now_ms, &digest, msg->held, msg->held_count);
+            cw_shard_list(owned->shard, now_ms, &digest, msg->held, msg->held_count);
             break;
         default:
             break;
     }
 }
 
-void allocator_on_change(allocator_t* a) {
+void allocator_on_cluster_changed(allocator_t* a) {
     cw_view_t* view = cw_store_view(a->node->store);
-    int64_t now_ms = node_now();
+    int64_t now_ms = node_now_ms();
     for (uint32_t i = a->count; i-- > 0;) {
-        role_t* role = &a->roles[i];
-        const cw_pool_t* pool = cw_view_pool(view, role->pool);
-        if (!pool || pool_of(view, role->id) != pool) {
-            role_drop(a, role);
+        owned_shard_t* owned = &a->owned_shards[i];
+        const cw_pool_t* pool = cw_view_pool(view, owned->pool);
+        if (!pool || find_pool_of_shard(view, owned->id) != pool) {
+            drop_shard(a, owned);
             continue;
         }
-        role_fill(a->node, role, view, pool);
-        role_scale(a->node, role);
-        role->due = true;
+        set_shard_upstreams(a->node, owned, view, pool);
+        set_visible_share(a->node, owned);
+        owned->has_pending_actions = true;
         for (uint32_t m = 1; m < cw_members_count(a->node->members); m++) {
             const cw_member_t* member = cw_members_at(a->node->members, m);
             if (member->info.state == CW_MEMBER_DEAD) {
-                cw_shard_entry_gone(role->shard, now_ms, member->info.id);
+                cw_shard_entry_gone(owned->shard, now_ms, member->info.id);
             }
         }
     }
@@ -292,77 +295,77 @@
 
 /* -- load reports --------------------------------------------------------- */
 
-static bool on_report_data(void* user, const char* data, size_t size) {
-    report_t* r = user;
+static bool on_load_data(void* user, const char* data, size_t size) {
+    load_call_t* r = user;
     for (size_t i = 0; i < size && r->size + 1 < sizeof(r->body); i++) {
         r->body[r->size++] = data[i];
     }
     return true;
 }
 
-static void on_report_done(void* user, const cw_call_result_t* result) {
-    report_t* r = user;
-    role_t* role = role_find(r->node->allocator, r->shard);
-    json_t* root = (role && result->whole) ? json_loadb(r->body, r->size, 0, NULL) : NULL;
+static void on_load_done(void* user, const cw_call_result_t* result) {
+    load_call_t* r = user;
+    owned_shard_t* owned = find_owned_shard(r->node->allocator, r->shard);
+    json_t* root = (owned && result->whole) ? json_loadb(r->body, r->size, 0, NULL) : NULL;
     if (root) {
         bool draining = json_is_true(json_object_get(root, "draining"));
         json_int_t running = json_integer_value(json_object_get(root, "running"));
-        cw_shard_report(role->shard, node_now(), r->upstream, (uint32_t)running, draining);
+        cw_shard_report(owned->shard, node_now_ms(), r->upstream, (uint32_t)running, draining);
         json_decref(root);
     }
     r->call = NULL;
 }
 
-static report_t* report_new(allocator_t* a) {
-    for (uint32_t i = 0; i < REPORTS_MAX; i++) {
-        if (!a->reports[i].call) {
-            return &a->reports[i];
+static load_call_t* find_free_load_call(allocator_t* a) {
+    for (uint32_t i = 0; i < MAX_LOAD_CALLS; i++) {
+        if (!a->load_calls[i].call) {
+            return &a->load_calls[i];
         }
     }
     return NULL;
 }
 
-static void read_reports(allocator_t* a, const role_t* role) {
+static void request_load_reports(allocator_t* a, const owned_shard_t* owned) {
     cw_view_t* view = cw_store_view(a->node->store);
     for (uint32_t i = 0; i < view->upstream_count; i++) {
         const cw_upstream_t* u = &view->upstreams[i];
-        if (u->pool_id != role->pool || !cw_shard_serves(role->shard, u->id)) {
+        if (u->pool_id != owned->pool || !cw_shard_serves(owned->shard, u->id)) {
             continue;
         }
-        report_t* r = report_new(a);
+        load_call_t* r = find_free_load_call(a);
         if (!r) {
             break;
         }
-        *r = (report_t){.node = a->node, .shard = role->id, .upstream = u->id};
+        *r = (load_call_t){.node = a->node, .shard = owned->id, .upstream = u->id};
         char url[CW_ADDRESS_MAX + 32];
         snprintf(url, sizeof(url), "http://%s/v1/load", u->address);
         r->call = cw_client_call(a->node->client, &(cw_call_desc_t){.url = url,
-                                                                    .timeout_ms = REPORT_TIMEOUT_MS,
-                                                                    .on_data = on_report_data,
-                                                                    .on_done = on_report_done,
+                                                                    .timeout_ms = LOAD_CALL_TIMEOUT_MS,
+                                                                    .on_data = on_load_data,
+                                                                    .on_done = on_load_done,
                                                                     .user_data = r});
     }
     cw_view_release(view);
 }
 
 /* A large shard reads its reports less often: the bytes a second stay within their budget. */
-static int64_t report_period(const allocator_t* a, const role_t* role) {
-    int64_t period_ms = (int64_t)cw_shard_upstream_count(role->shard) * REPORT_EACH_MS;
+static int64_t load_report_period_ms(const allocator_t* a, const owned_shard_t* owned) {
+    int64_t period_ms = (int64_t)cw_shard_upstream_count(owned->shard) * LOAD_CALL_INTERVAL_MS;
     return period_ms > a->node->settings.report_ms ? period_ms : a->node->settings.report_ms;
 }
 
 void allocator_tick(allocator_t* a, int64_t now_ms) {
     for (uint32_t i = a->count; i-- > 0;) {
-        role_t* role = &a->roles[i];
-        if (now_ms - role->used_ms > IDLE_MS && !cw_shard_stats(role->shard, now_ms).running) {
-            role_drop(a, role);
+        owned_shard_t* owned = &a->owned_shards[i];
+        if (now_ms - owned->last_used_ms > IDLE_TIMEOUT_MS && !cw_shard_stats(owned->shard, now_ms).running) {
+            drop_shard(a, owned);
             continue;
         }
-        if (now_ms >= role->report_ms) {
-            role->report_ms = now_ms + report_period(a, role);
-            read_reports(a, role);
+        if (now_ms >= owned->next_report_ms) {
+            owned->next_report_ms = now_ms + load_report_period_ms(a, owned);
+            request_load_reports(a, owned);
         }
-        drain(a, role);
+        send_pending_actions(a, owned);
     }
 }
 
@@ -381,7 +384,7 @@
 void allocator_shutdown(allocator_t* a) {
     ev_prepare_stop(a->node->loop, &a->prepare);
     for (uint32_t i = 0; i < a->count; i++) {
-        cw_shard_shutdown(a->roles[i].shard);
+        cw_shard_shutdown(a->owned_shards[i].shard);
     }
     free(a);
 }
@@ -391,7 +394,7 @@
 }
 
 cw_shard_stats_t allocator_stats(const allocator_t* a, uint32_t index, uint64_t* shard, uint64_t* pool) {
-    *shard = a->roles[index].id;
-    *pool = a->roles[index].pool;
-    return cw_shard_stats(a->roles[index].shard, node_now());
+    *shard = a->owned_shards[index].id;
+    *pool = a->owned_shards[index].pool;
+    return cw_shard_stats(a->owned_shards[index].shard, node_now_ms());
 }
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -7,15 +7,15 @@
 
 #include "entry_parts.h"
 
-#define REASK_MS 250             /* a waiting want asks for a sign of life this often */
-#define SILENT_KEEP_MS 250       /* a silent allocator is tried again after this */
-#define DIGEST_MS 20000          /* between two digests; links are reliable, so only a broken one loses a report */
-#define DIGEST_SOON_MS 500       /* after the link to the allocator broke */
-#define WAIT_OLD_MS 5000         /* a shard's load told longer ago counts for nothing */
-#define AFFINITY_MS 200          /* longer wait that prefix affinity may cost */
-#define WASTE_SHARE 0.01         /* of engine work that may be lost at deadlines */
-#define DETACHED_MAX_MS 60000    /* a call whose caller was told may run on for this long */
-#define STREAM_HIGH_WATER 262144 /* bytes held for a slow caller before the upstream is paused */
+#define SLOT_REQUEST_RESEND_MS 250    /* a waiting want asks for a sign of life this often */
+#define ALLOCATOR_RETRY_MS 250        /* a silent allocator is tried again after this */
+#define DIGEST_INTERVAL_MS 20000      /* between two digests; links are reliable, so only a broken one loses a report */
+#define DIGEST_AFTER_LOSS_MS 500      /* after the link to the allocator broke */
+#define REPORTED_WAIT_MAX_AGE_MS 5000 /* a shard's load told longer ago counts for nothing */
+#define AFFINITY_MAX_WAIT_MS 200      /* longer wait that prefix affinity may cost */
+#define DEADLINE_LOSS_SHARE 0.01      /* of engine work that may be lost at deadlines */
+#define DETACHED_MAX_MS 60000         /* a call whose caller was told may run on for this long */
+#define STREAM_HIGH_WATER_BYTES 262144 /* bytes held for a slow caller before the upstream is paused */
 
 #define HTTP_OK 200
 #define HTTP_SERVER_ERROR 500
@@ -28,7 +28,7 @@
 
 /* -- shards --------------------------------------------------------------- */
 
-static uint32_t shard_find(const entry_t* e, uint64_t id) {
+static uint32_t find_shard(const entry_t* e, uint64_t id) {
     for (uint32_t i = 0; i < e->shard_count; i++) {
         if (e->shards[i].id == id) {
             return i;
@@ -37,33 +37,33 @@
     return ENTRY_NONE;
 }
 
-static void send_list(entry_t* e, uint32_t shard, uint64_t to);
-static void send_want(request_t* r);
-static void withdraw(request_t* r);
-static void ask(request_t* r);
+static void send_grant_list(entry_t* e, uint32_t shard, uint64_t to);
+static void send_slot_request(request_t* r);
+static void cancel_slot_request(request_t* r);
+static void request_slot(request_t* r);
 
 /* Takes over the shards and allocators of the present view. */
 static void refresh_shards(entry_t* e) {
     cw_view_t* view = cw_store_view(e->node->store);
     for (uint32_t i = 0; i < e->shard_count; i++) {
-        e->shards[i].valid = false;
+        e->shards[i].is_current = false;
     }
     for (uint32_t p = 0; p < view->pool_count; p++) {
         const cw_pool_t* pool = &view->pools[p];
-        pool_layout_t layout = node_layout(view, pool);
-        for (uint32_t k = 0; layout.count && k < layout.shards; k++) {
+        pool_layout_t layout = node_pool_layout(view, pool);
+        for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
             uint64_t id = cw_place_shard_id(pool->id, k);
-            uint32_t i = shard_find(e, id);
+            uint32_t i = find_shard(e, id);
             if (i == ENTRY_NONE && e->shard_count < ENTRY_MAX_SHARDS) {
                 i = e->shard_count++;
                 e->shards[i] =
-                    (entry_shard_t){.id = id, .pool = pool->id, .direct = cw_pick_setup(&(cw_pick_desc_t){0})};
+                    (entry_shard_t){.id = id, .pool = pool->id, .direct_pick = cw_pick_setup(&(cw_pick_desc_t){0})};
             }
             if (i != ENTRY_NONE) {
-                e->shards[i].valid = true;
+                e->shards[i].is_current = true;
                 cw_pick_spec_t specs[CW_PICK_MAX];
                 uint32_t count = node_shard_specs(e->node, view, &layout, id, true, specs);
-                cw_pick_set(e->shards[i].direct, specs, count);
+                cw_pick_set(e->shards[i].direct_pick, specs, count);
             }
         }
     }
@@ -71,20 +71,20 @@
 }
 
 /* Tells a shard's new allocator what this entry holds and asks it anew for what waits. */
-static void move_shard(entry_t* e, uint32_t shard, uint64_t owner) {
+static void change_shard_owner(entry_t* e, uint32_t shard, uint64_t owner) {
     entry_shard_t* s = &e->shards[shard];
     s->owner = owner;
-    s->last_grant = 0;
-    s->silent_ms = 0;
+    s->last_grant_id = 0;
+    s->unresponsive_since_ms = 0;
     s->wait_ms = 0;
-    if (!s->heard_ms) {
+    if (!s->last_received_ms) {
         return; /* never used here */
     }
-    send_list(e, shard, owner);
+    send_grant_list(e, shard, owner);
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (r->used && r->shard == shard && r->machine.state == CW_REQ_WAITING && r->seq) {
-            send_want(r);
+        if (r->is_used && r->shard == shard && r->machine.state == CW_REQ_WAITING && r->seq) {
+            send_slot_request(r);
         }
     }
 }
@@ -96,12 +96,12 @@
     if (!pool) {
         return ENTRY_NONE;
     }
-    pool_layout_t layout = node_layout(view, pool);
-    return shard_find(e, cw_place_shard(pool->id, upstream, layout.ids, layout.count, layout.shards));
+    pool_layout_t layout = node_pool_layout(view, pool);
+    return find_shard(e, cw_place_shard(pool->id, upstream, layout.ids, layout.count, layout.shard_count));
 }
 
 /* Counts a running request where its upstream is now. */
-static void move_running(entry_t* e, const cw_view_t* view, request_t* r) {
+static void reassign_running(entry_t* e, const cw_view_t* view, request_t* r) {
     uint32_t shard = shard_of_upstream(e, view, r->upstream);
     if (shard == ENTRY_NONE || shard == r->shard) {
         return;
@@ -109,59 +109,60 @@
     const uint32_t both[] = {r->shard, shard};
     r->shard = shard;
     for (int i = 0; i < 2; i++) {
-        e->shards[both[i]].digest_ms = 0; /* both allocators hear of it at once */
-        e->shards[both[i]].reported = true;
+        e->shards[both[i]].next_digest_ms = 0; /* both allocators hear of it at once */
+        e->shards[both[i]].has_reported_grants = true;
     }
 }
 
 /* Moves a waiting request to a shard that is; refuses it when its pool has none any more. */
-static void ask_elsewhere(request_t* r) {
+static void request_slot_at_new_shard(request_t* r) {
     uint32_t shard = dispatch_choose_shard(r->entry, r);
-    withdraw(r);
+    cancel_slot_request(r);
     if (shard == ENTRY_NONE) {
-        request_error(r, HTTP_UNAVAILABLE, "no-upstream", "choose", NULL, "the pool has no upstream any more", 1000);
+        request_set_error(r, HTTP_UNAVAILABLE, "no-upstream", "choose", NULL, "the pool has no upstream any more",
+                          1000);
         request_event(r, CW_EV_REFUSED);
         return;
     }
     r->shard = shard;
     r->first_shard = shard;
-    ask(r);
+    request_slot(r);
     request_arm(r);
 }
 
 /* The shards of a pool may have been cut anew: what runs is counted where its upstream is now, what waits at a shard
    that is no more asks again. */
-static void follow_shards(entry_t* e) {
+static void reassign_requests(entry_t* e) {
     cw_view_t* view = cw_store_view(e->node->store);
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (!r->used || r->shard == ENTRY_NONE) {
+        if (!r->is_used || r->shard == ENTRY_NONE) {
             continue;
         }
-        if (r->grant && !r->direct) {
-            move_running(e, view, r);
-        } else if (r->machine.state == CW_REQ_WAITING && !e->shards[r->shard].valid) {
-            ask_elsewhere(r);
+        if (r->grant && !r->is_direct) {
+            reassign_running(e, view, r);
+        } else if (r->machine.state == CW_REQ_WAITING && !e->shards[r->shard].is_current) {
+            request_slot_at_new_shard(r);
         }
     }
     cw_view_release(view);
 }
 
-void entry_on_change(entry_t* e) {
+void entry_on_cluster_changed(entry_t* e) {
     refresh_shards(e);
     uint64_t hosts[NODE_MAX_HOSTS];
-    uint32_t count = node_live_hosts(e->node, hosts);
+    uint32_t count = node_list_live_hosts(e->node, hosts);
     for (uint32_t i = 0; i < e->shard_count; i++) {
         uint64_t owner = node_shard_owner(e->node, e->shards[i].id, hosts, count);
         if (owner != e->shards[i].owner) {
-            move_shard(e, i, owner);
+            change_shard_owner(e, i, owner);
         }
     }
-    follow_shards(e);
+    reassign_requests(e);
 }
 
-static uint32_t known_wait(const entry_shard_t* s, int64_t now_ms) {
-    return (s->heard_ms && now_ms - s->heard_ms < WAIT_OLD_MS) ? s->wait_ms : 0;
+static uint32_t recent_wait_ms(const entry_shard_t* s, int64_t now_ms) {
+    return (s->last_received_ms && now_ms - s->last_received_ms < REPORTED_WAIT_MAX_AGE_MS) ? s->wait_ms : 0;
 }
 
 /* The two shards that come first for the request: by its prefix, else at random; of them the one with the shorter wait,
@@ -171,7 +172,7 @@
     uint32_t best = ENTRY_NONE;
     uint32_t second = ENTRY_NONE;
     for (uint32_t i = 0; i < e->shard_count; i++) {
-        if (!e->shards[i].valid || e->shards[i].pool != r->pool->id) {
+        if (!e->shards[i].is_current || e->shards[i].pool != r->pool->id) {
             continue;
         }
         uint64_t score = cw_mix(key, e->shards[i].id);
@@ -185,21 +186,23 @@
     if (second == ENTRY_NONE) {
         return best;
     }
-    int64_t now_ms = node_now();
-    uint32_t patience = r->prefix ? AFFINITY_MS : 0;
-    return known_wait(&e->shards[second], now_ms) + patience < known_wait(&e->shards[best], now_ms) ? second : best;
+    int64_t now_ms = node_now_ms();
+    uint32_t affinity_wait_ms = r->prefix ? AFFINITY_MAX_WAIT_MS : 0;
+    return recent_wait_ms(&e->shards[second], now_ms) + affinity_wait_ms < recent_wait_ms(&e->shards[best], now_ms)
+               ? second
+               : best;
 }
 
 /* -- reports to the allocator --------------------------------------------- */
 
-static bool holds_grant(const request_t* r, uint32_t shard) {
-    return r->used && r->grant && r->shard == shard;
+static bool has_grant_at(const request_t* r, uint32_t shard) {
+    return r->is_used && r->grant && r->shard == shard;
 }
 
 static cw_digest_t make_digest(const entry_t* e, uint32_t shard) {
-    cw_digest_t d = {.last = e->shards[shard].last_grant};
+    cw_digest_t d = {.last = e->shards[shard].last_grant_id};
     for (uint32_t i = 0; i < e->max_requests; i++) {
-        if (holds_grant(&e->requests[i], shard)) {
+        if (has_grant_at(&e->requests[i], shard)) {
             d.xored ^= e->requests[i].grant;
             d.count++;
         }
@@ -207,19 +210,19 @@
     return d;
 }
 
-static void send_list(entry_t* e, uint32_t shard, uint64_t to) {
+static void send_grant_list(entry_t* e, uint32_t shard, uint64_t to) {
     cw_msg_t msg = {.type = CW_MSG_LIST, .shard = e->shards[shard].id};
     msg.digest = make_digest(e, shard);
-    msg.held = e->held;
+    msg.held = e->held_grants;
     for (uint32_t i = 0; i < e->max_requests && msg.held_count < CW_LIST_MAX; i++) {
         const request_t* r = &e->requests[i];
-        if (holds_grant(r, shard)) {
-            e->held[msg.held_count++] = (cw_held_t){.grant = r->grant,
-                                                    .upstream = r->upstream,
-                                                    .workspace = r->workspace->id,
-                                                    .seq = r->seq,
-                                                    .cost = r->cost,
-                                                    .tier = r->class->tier};
+        if (has_grant_at(r, shard)) {
+            e->held_grants[msg.held_count++] = (cw_held_t){.grant = r->grant,
+                                                           .upstream = r->upstream,
+                                                           .workspace = r->workspace->id,
+                                                           .seq = r->seq,
+                                                           .cost = r->cost,
+                                                           .tier = r->class->tier};
         }
     }
     node_send(e->node, to, &msg);
@@ -228,26 +231,26 @@
 static void send_digests(entry_t* e, int64_t now_ms) {
     for (uint32_t i = 0; i < e->shard_count; i++) {
         entry_shard_t* s = &e->shards[i];
-        if (now_ms < s->digest_ms) {
+        if (now_ms < s->next_digest_ms) {
             continue;
         }
-        s->digest_ms = now_ms + DIGEST_MS;
+        s->next_digest_ms = now_ms + DIGEST_INTERVAL_MS;
         cw_digest_t d = make_digest(e, i);
-        if (!d.count && !s->reported) {
+        if (!d.count && !s->has_reported_grants) {
             continue;
         }
         e->out.type = CW_MSG_DIGEST;
         e->out.shard = s->id;
         e->out.digest = d;
         if (node_send(e->node, s->owner, &e->out) == CW_OK) {
-            s->reported = d.count != 0;
+            s->has_reported_grants = d.count != 0;
         } else {
-            s->digest_ms = now_ms + DIGEST_SOON_MS;
+            s->next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS;
         }
     }
 }
 
-static void send_done(entry_t* e, uint64_t shard, uint64_t to, const cw_done_t* done) {
+static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_done_t* done) {
     e->out.type = CW_MSG_DONE;
     e->out.shard = shard;
     e->out.done = *done;
@@ -256,15 +259,15 @@
 
 /* -- wants ---------------------------------------------------------------- */
 
-static void forget_seq(request_t* r) {
+static void clear_seq(request_t* r) {
     if (r->seq) {
         cw_map_remove(&r->entry->by_seq, r->seq);
         r->seq = 0;
     }
 }
 
-static void new_seq(request_t* r) {
-    forget_seq(r);
+static void assign_seq(request_t* r) {
+    clear_seq(r);
     entry_t* e = r->entry;
     e->seq += e->seq == UINT32_MAX ? 2 : 1;
     r->seq = e->seq;
@@ -275,7 +278,7 @@
     return r->deadline_ms > now_ms ? (uint32_t)(r->deadline_ms - now_ms) : 0;
 }
 
-static cw_want_t make_want(const request_t* r, int64_t now_ms) {
+static cw_want_t make_slot_request(const request_t* r, int64_t now_ms) {
     const cw_class_t* c = r->class;
     uint8_t flags = (uint8_t)((c->is_protected ? CW_WANT_PROTECTED : 0) | (c->preemptible ? CW_WANT_PREEMPTIBLE : 0));
     return (cw_want_t){.seq = r->seq,
@@ -284,8 +287,8 @@
                        .weight = r->workspace->weight,
                        .workspace = r->workspace->id,
                        .cost = r->cost,
-                       .est_ms = cw_estimate_mean(&r->estimate->ms, c->est_ms),
-                       .need_ms = cw_estimate_need(&r->estimate->ms, WASTE_SHARE, c->est_ms),
+                       .est_ms = cw_estimate_mean(&r->estimate->run_time_ms, c->est_ms),
+                       .need_ms = cw_estimate_need(&r->estimate->run_time_ms, DEADLINE_LOSS_SHARE, c->est_ms),
                        .queue_ms = c->queue_ms,
                        .left_ms = left_ms(r, now_ms),
                        .prefix = r->prefix,
@@ -294,20 +297,20 @@
 }
 
 /* Sends the want; the sequence number of a want that waits stays the same. */
-static void send_want(request_t* r) {
+static void send_slot_request(request_t* r) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
-    int64_t now_ms = node_now();
-    r->asked_ms = now_ms;
-    r->want_ms = now_ms;
-    s->heard_ms = s->heard_ms ? s->heard_ms : 1;
+    int64_t now_ms = node_now_ms();
+    r->unacknowledged_since_ms = now_ms;
+    r->slot_request_sent_ms = now_ms;
+    s->last_received_ms = s->last_received_ms ? s->last_received_ms : 1;
     e->out.type = CW_MSG_WANT;
     e->out.shard = s->id;
-    e->out.want = make_want(r, now_ms);
+    e->out.want = make_slot_request(r, now_ms);
     node_send(e->node, s->owner, &e->out);
 }
 
-static void withdraw(request_t* r) {
+static void cancel_slot_request(request_t* r) {
     if (!r->seq) {
         return;
     }
@@ -316,93 +319,93 @@
     e->out.shard = e->shards[r->shard].id;
     e->out.cancel_seq = r->seq;
     node_send(e->node, e->shards[r->shard].owner, &e->out);
-    forget_seq(r);
+    clear_seq(r);
 }
 
 /* Takes a slot of this entry's own slice; false when there is none. */
-static bool take_direct(request_t* r) {
+static bool take_direct_slot(request_t* r) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
-    int64_t now_ms = node_now();
-    if (e->node->view_stale) {
+    int64_t now_ms = node_now_ms();
+    if (e->node->is_view_stale) {
         return false;
     }
     const cw_pick_query_t query = {.prefix = r->prefix, .hall = e->node->hall, .exclude = r->exclude};
-    uint32_t up = cw_pick_choose(s->direct, now_ms, &query);
+    uint32_t up = cw_pick_choose(s->direct_pick, now_ms, &query);
     if (up == CW_PICK_NONE) {
         return false;
     }
-    cw_pick_begin(s->direct, up);
-    withdraw(r);
-    new_seq(r);
+    cw_pick_begin(s->direct_pick, up);
+    cancel_slot_request(r);
+    assign_seq(r);
     r->grant = ((uint64_t)e->direct_epoch << 32) | ++e->direct_seq;
-    r->upstream = cw_pick_at(s->direct, up).spec.id;
-    r->direct = true;
-    r->use_before_ms = now_ms + e->node->settings.grant_ms;
-    e->stats.direct++;
+    r->upstream = cw_pick_at(s->direct_pick, up).spec.id;
+    r->is_direct = true;
+    r->grant_expires_ms = now_ms + e->node->settings.grant_ms;
+    e->stats.direct_grants++;
     request_event(r, CW_EV_GRANT);
     return true;
 }
 
-static void ask(request_t* r) {
+static void request_slot(request_t* r) {
     entry_shard_t* s = &r->entry->shards[r->shard];
-    int64_t now_ms = node_now();
-    bool silent = s->silent_ms && now_ms - s->silent_ms < SILENT_KEEP_MS;
-    if (silent && take_direct(r)) {
+    int64_t now_ms = node_now_ms();
+    bool silent = s->unresponsive_since_ms && now_ms - s->unresponsive_since_ms < ALLOCATOR_RETRY_MS;
+    if (silent && take_direct_slot(r)) {
         return;
     }
-    new_seq(r);
-    send_want(r);
+    assign_seq(r);
+    send_slot_request(r);
 }
 
-static void allocator_silent(request_t* r, int64_t now_ms) {
+static void on_allocator_unresponsive(request_t* r, int64_t now_ms) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
-    if (!s->silent_ms || now_ms - s->silent_ms >= SILENT_KEEP_MS) {
+    if (!s->unresponsive_since_ms || now_ms - s->unresponsive_since_ms >= ALLOCATOR_RETRY_MS) {
         cw_log(&e->node->log, CW_EVENT_ALLOCATOR_SILENT, "shard=%016llx host=%016llx", (unsigned long long)s->id,
                (unsigned long long)s->owner);
-        s->silent_ms = now_ms;
+        s->unresponsive_since_ms = now_ms;
     }
-    if (!take_direct(r)) {
-        send_want(r);
+    if (!take_direct_slot(r)) {
+        send_slot_request(r);
     }
 }
 
 /* -- the slot ------------------------------------------------------------- */
 
 /* Gives the slot back: to this entry's own slice or to the allocator. */
-static void return_slot(request_t* r, cw_pick_result_t result) {
+static void release_slot(request_t* r, cw_pick_result_t result) {
     entry_t* e = r->entry;
     if (!r->grant) {
         return;
     }
-    int64_t now_ms = node_now();
+    int64_t now_ms = node_now_ms();
     entry_shard_t* s = &e->shards[r->shard];
     uint32_t took_ms = r->sent_ms ? (uint32_t)(now_ms - r->sent_ms) : 0;
     bool served = result == CW_PICK_SERVED;
     const cw_done_t done = {
         .grant = r->grant, .result = result, .took_ms = took_ms, .cost = served ? r->cost : r->stream.tokens};
-    if (r->direct) {
-        uint32_t up = cw_pick_find(s->direct, r->upstream);
+    if (r->is_direct) {
+        uint32_t up = cw_pick_find(s->direct_pick, r->upstream);
         if (up != CW_PICK_NONE) {
-            cw_pick_end(s->direct, now_ms, up, result, took_ms, r->cost);
+            cw_pick_end(s->direct_pick, now_ms, up, result, took_ms, r->cost);
         }
     }
-    send_done(e, s->id, s->owner, &done);
+    send_grant_release(e, s->id, s->owner, &done);
     r->grant = 0;
-    r->direct = false;
-    forget_seq(r);
+    r->is_direct = false;
+    clear_seq(r);
 }
 
 /* -- the transfer --------------------------------------------------------- */
 
 static bool on_sending(void* user) {
     request_t* r = user;
-    if (node_now() > r->use_before_ms) {
+    if (node_now_ms() > r->grant_expires_ms) {
         return false;
     }
-    r->sent_ms = node_now();
-    r->moved_ms = r->sent_ms;
+    r->sent_ms = node_now_ms();
+    r->last_progress_ms = r->sent_ms;
     request_event(r, CW_EV_SENDING);
     return true;
 }
@@ -410,7 +413,7 @@
 static void begin_stream(request_t* r) {
     const cw_header_t headers[] = {
         {"Content-Type", sse_type}, {"Cache-Control", "no-cache"}, {"Chalkway-Request-Id", r->id}};
-    r->streaming = true;
+    r->is_streaming = true;
     cw_exchange_stream(r->x, HTTP_OK, headers, 3);
 }
 
@@ -418,101 +421,101 @@
     request_t* r = user;
     r->upstream_status = status;
     cw_copy(r->upstream_type, sizeof(r->upstream_type), content_type);
-    r->first_ms = r->first_ms ? r->first_ms : node_now();
+    r->first_byte_ms = r->first_byte_ms ? r->first_byte_ms : node_now_ms();
     request_event(r, CW_EV_HEAD);
     bool stream = status == HTTP_OK && strncmp(content_type, sse_type, sizeof(sse_type) - 1) == 0;
-    if (stream && r->wants_stream && r->x && !r->streaming) {
+    if (stream && r->wants_stream && r->x && !r->is_streaming) {
         begin_stream(r);
     }
 }
 
 /* Adds to the whole answer; false when it is longer than allowed, which ends the request. */
-static bool keep_answer(request_t* r, const char* data, size_t size) {
+static bool buffer_response(request_t* r, const char* data, size_t size) {
     if (r->answer.body.size + size <= r->entry->node->settings.max_answer) {
         cw_buffer_add(&r->answer.body, data, size);
         return true;
     }
-    request_error(r, HTTP_BAD_GATEWAY, "answer-too-long", "answer", r->answer.peer,
-                  "the upstream's answer is longer than max_answer", 0);
+    request_set_error(r, HTTP_BAD_GATEWAY, "answer-too-long", "answer", r->answer.peer,
+                      "the upstream's answer is longer than max_answer", 0);
     r->machine.retry_allowed = false;
     request_event(r, CW_EV_BROKEN);
     return false;
 }
 
 /* Passes on the whole events of what has come. */
-static void pass_events(request_t* r, const char* data, size_t size) {
-    cw_buffer_add(&r->pending, data, size);
-    size_t whole = cw_stream_take(&r->stream, r->pending.data, r->pending.size);
+static void forward_events(request_t* r, const char* data, size_t size) {
+    cw_buffer_add(&r->partial_event, data, size);
+    size_t whole = cw_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
     if (!whole) {
         return;
     }
     if (r->x) {
-        cw_exchange_push(r->x, r->pending.data, whole);
+        cw_exchange_push(r->x, r->partial_event.data, whole);
         request_event(r, CW_EV_DELIVERED_PART);
     }
-    cw_buffer_drop(&r->pending, whole);
+    cw_buffer_drop(&r->partial_event, whole);
 }
 
 static bool on_data(void* user, const char* data, size_t size) {
     request_t* r = user;
-    if (r->streaming && r->x && cw_exchange_pending(r->x) > STREAM_HIGH_WATER) {
-        r->paused = true;
+    if (r->is_streaming && r->x && cw_exchange_pending(r->x) > STREAM_HIGH_WATER_BYTES) {
+        r->is_upstream_paused = true;
         return false;
     }
-    r->moved_ms = node_now();
-    if (!r->streaming || r->record != CW_RUN_NONE) {
-        if (!keep_answer(r, data, size)) {
+    r->last_progress_ms = node_now_ms();
+    if (!r->is_streaming || r->runonce_record != CW_RUN_NONE) {
+        if (!buffer_response(r, data, size)) {
             return true;
         }
     }
-    if (r->streaming) {
-        pass_events(r, data, size);
+    if (r->is_streaming) {
+        forward_events(r, data, size);
     }
     return true;
 }
 
 /* Tokens that the engine says it generated; 0 when it does not say. */
-static uint32_t usage_of(const answer_t* a) {
+static uint32_t parse_completion_tokens(const response_t* a) {
     json_t* root = json_loadb(cw_buffer_text(&a->body), a->body.size, 0, NULL);
     json_int_t tokens = json_integer_value(json_object_get(json_object_get(root, "usage"), "completion_tokens"));
     json_decref(root);
     return tokens > 0 ? (uint32_t)tokens : 0;
 }
 
-static void learn(request_t* r) {
+static void update_estimates(request_t* r) {
     uint32_t output = r->stream.tokens;
-    if (r->pool->engine && !r->streaming) {
-        output = usage_of(&r->answer);
+    if (r->pool->engine && !r->is_streaming) {
+        output = parse_completion_tokens(&r->answer);
     }
     if (output) {
         cw_estimate_add(&r->estimate->cost, output);
         r->cost = (uint32_t)(r->body_size / 32) + output;
     }
-    cw_estimate_add(&r->estimate->ms, (uint32_t)(node_now() - r->sent_ms));
+    cw_estimate_add(&r->estimate->run_time_ms, (uint32_t)(node_now_ms() - r->sent_ms));
 }
 
-static void transfer_ended(request_t* r) {
-    answer_t* a = &r->answer;
+static void attempt_ended(request_t* r) {
+    response_t* a = &r->answer;
     a->status = r->upstream_status;
     cw_copy(a->type, sizeof(a->type), r->upstream_type);
     bool served = r->upstream_status < HTTP_SERVER_ERROR;
     if (served) {
-        learn(r);
+        update_estimates(r);
     }
     request_event(r, CW_EV_END);
 }
 
 /* A run that is cut tells that its kind can take at least as long. */
-static void learn_cut(request_t* r) {
+static void update_estimate_at_deadline(request_t* r) {
     if (r->sent_ms && r->grant) {
-        cw_estimate_add(&r->estimate->ms, (uint32_t)(node_now() - r->sent_ms));
+        cw_estimate_add(&r->estimate->run_time_ms, (uint32_t)(node_now_ms() - r->sent_ms));
     }
 }
 
-static void transfer_failed(request_t* r, const cw_call_result_t* result) {
+static void attempt_failed(request_t* r, const cw_call_result_t* result) {
     const cw_upstream_t* u = cw_view_upstream(r->view, r->upstream);
     const char* step = !result->sent ? "connect" : result->status ? "answer" : "wait";
-    request_error(r, HTTP_BAD_GATEWAY, "upstream-failed", step, u ? u->address : "", result->message, 0);
+    request_set_error(r, HTTP_BAD_GATEWAY, "upstream-failed", step, u ? u->address : "", result->message, 0);
     cw_log(&r->entry->node->log, CW_EVENT_UPSTREAM_FAILED, "id=%s step=%s peer=%s reason=\"%s\"", r->id, step,
            u ? u->address : "-", result->message);
     r->exclude = r->upstream;
@@ -525,18 +528,18 @@
     request_t* r = user;
     r->call = NULL;
     r->upstream_status = result->status ? result->status : r->upstream_status;
-    bool whole = result->whole && (!r->streaming || r->stream.ended);
+    bool whole = result->whole && (!r->is_streaming || r->stream.ended);
     bool busy = whole && result->status == HTTP_UNAVAILABLE && r->class->repeatable;
     if (result->vetoed) {
         request_event(r, CW_EV_GRANT_EXPIRED);
     } else if (busy) {
         const cw_call_result_t refused = {
             .sent = true, .status = result->status, .message = "the upstream takes no work"};
-        transfer_failed(r, &refused);
+        attempt_failed(r, &refused);
     } else if (whole) {
-        transfer_ended(r);
+        attempt_ended(r);
     } else {
-        transfer_failed(r, result);
+        attempt_failed(r, result);
     }
 }
 
@@ -554,18 +557,18 @@
     snprintf(tier, sizeof(tier), "%u", r->class->tier);
     cw_header_t headers[5] = {{"Content-Type", r->type}, {"Chalkway-Request-Id", r->id}, {"Chalkway-Priority", tier}};
     uint32_t count = 3;
-    if (r->name[0] && u && u->drops_repeats) {
-        headers[count++] = (cw_header_t){"Idempotency-Key", r->name};
+    if (r->idempotency_key[0] && u && u->drops_repeats) {
+        headers[count++] = (cw_header_t){"Idempotency-Key", r->idempotency_key};
     }
     if (r->stream.tokens) {
         snprintf(from, sizeof(from), "%u", r->stream.tokens);
         headers[count++] = (cw_header_t){"Chalkway-Resume-From", from};
-        e->stats.resumed++;
+        e->stats.resumed_streams++;
     }
     cw_view_release(newest);
     r->sent_ms = 0;
-    r->pending.size = 0;
-    r->paused = false;
+    r->partial_event.size = 0;
+    r->is_upstream_paused = false;
     r->answer.body.size = 0;
     r->call = cw_client_call(e->node->client, &(cw_call_desc_t){.method = r->method,
                                                                 .url = url,
@@ -606,23 +609,23 @@
         r->call = NULL;
     }
     if (todo & CW_DO_RETURN) {
-        return_slot(r, slot_result(r, event));
+        release_slot(r, slot_result(r, event));
     }
     if (todo & CW_DO_WITHDRAW) {
-        withdraw(r);
+        cancel_slot_request(r);
     }
     if (todo & CW_DO_WANT) {
-        ask(r);
+        request_slot(r);
     }
     if (todo & CW_DO_CONNECT) {
         connect_upstream(r);
     }
     if (todo & CW_DO_ANSWER) {
-        request_answer(r);
+        request_respond(r);
     }
     if (r->machine.state == CW_REQ_ENDED) {
-        if (!r->answered) {
-            request_answer(r);
+        if (!r->is_answered) {
+            request_respond(r);
         }
         request_free(r);
     } else {
@@ -632,34 +635,34 @@
 
 /* -- timers --------------------------------------------------------------- */
 
-static uint32_t silent_limit(const request_t* r) {
+static uint32_t allocator_timeout_ms(const request_t* r) {
     const cw_settings_t* s = &r->entry->node->settings;
     return r->class->is_protected ? s->silent_protected_ms : s->silent_ms;
 }
 
 /* Time at which the attempt counts as stalled: a frozen engine says nothing and breaks nothing. INT64_MAX: never. */
-static int64_t stall_time(const request_t* r) {
+static int64_t stall_time_ms(const request_t* r) {
     bool runs = r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING;
-    if (!runs || !r->machine.resumable || !r->machine.repeatable || r->paused) {
+    if (!runs || !r->machine.resumable || !r->machine.repeatable || r->is_upstream_paused) {
         return INT64_MAX;
     }
     const cw_settings_t* s = &r->entry->node->settings;
-    return r->moved_ms + (r->moved_ms == r->sent_ms ? s->first_token_ms : s->stall_ms);
+    return r->last_progress_ms + (r->last_progress_ms == r->sent_ms ? s->first_token_ms : s->stall_ms);
 }
 
-static void stalled(request_t* r) {
+static void attempt_stalled(request_t* r) {
     const cw_call_result_t result = {
         .sent = true, .status = r->upstream_status, .message = "no token came for too long"};
-    transfer_failed(r, &result);
+    attempt_failed(r, &result);
 }
 
-static void arm_loop(entry_t* e) {
+static void arm_loop_timer(entry_t* e) {
     ev_timer_stop(e->node->loop, &e->timer);
     uint32_t top = cw_heap_top(&e->timers);
     if (top == CW_HEAP_NONE) {
         return;
     }
-    double wait_ms = cw_heap_key(&e->timers, top) - (double)node_now();
+    double wait_ms = cw_heap_key(&e->timers, top) - (double)node_now_ms();
     ev_timer_set(&e->timer, wait_ms > 0 ? wait_ms / 1000.0 : 0.0, 0.0);
     ev_timer_start(e->node->loop, &e->timer);
 }
@@ -670,51 +673,52 @@
     if (r->machine.state == CW_REQ_DETACHED) {
         at_ms = r->deadline_ms + DETACHED_MAX_MS;
     } else if (r->machine.state == CW_REQ_WAITING) {
-        int64_t ask_ms = r->asked_ms ? r->asked_ms + silent_limit(r) : r->reask_ms;
+        int64_t ask_ms =
+            r->unacknowledged_since_ms ? r->unacknowledged_since_ms + allocator_timeout_ms(r) : r->next_resend_ms;
         at_ms = ask_ms < at_ms ? ask_ms : at_ms;
     }
-    int64_t stall_ms = stall_time(r);
+    int64_t stall_ms = stall_time_ms(r);
     at_ms = stall_ms < at_ms ? stall_ms : at_ms;
     uint32_t before = cw_heap_top(&e->timers);
     double before_key = before == CW_HEAP_NONE ? 0 : cw_heap_key(&e->timers, before);
     cw_heap_set(&e->timers, (uint32_t)(r - e->requests), (double)at_ms);
     uint32_t top = cw_heap_top(&e->timers);
     if (before == CW_HEAP_NONE || cw_heap_key(&e->timers, top) < before_key) {
-        arm_loop(e);
+        arm_loop_timer(e);
     }
 }
 
-static void joined_too_late(request_t* r) {
-    request_error(r, HTTP_TIMEOUT, "deadline", "joined", NULL, "the call still runs", 1000);
-    r->answered = true;
+static void reject_joined_at_deadline(request_t* r) {
+    request_set_error(r, HTTP_TIMEOUT, "deadline", "joined", NULL, "the call still runs", 1000);
+    r->is_answered = true;
     r->machine.bytes_left = true; /* by the call this one repeats */
     r->machine.state = CW_REQ_ENDED;
-    request_answer(r);
+    request_respond(r);
     request_free(r);
 }
 
-static void on_request_time(request_t* r, int64_t now_ms) {
-    if (r->joined != CW_RUN_NONE) {
-        joined_too_late(r);
+static void on_request_timer(request_t* r, int64_t now_ms) {
+    if (r->joined_record != CW_RUN_NONE) {
+        reject_joined_at_deadline(r);
     } else if (r->machine.state == CW_REQ_DETACHED) {
         r->machine.retry_allowed = false;
         request_event(r, CW_EV_BROKEN);
     } else if (now_ms >= r->deadline_ms) {
-        request_error(r, HTTP_TIMEOUT, "deadline", cw_request_state_name(r->machine.state), NULL,
-                      "the deadline has passed", 0);
-        learn_cut(r);
+        request_set_error(r, HTTP_TIMEOUT, "deadline", cw_request_state_name(r->machine.state), NULL,
+                          "the deadline has passed", 0);
+        update_estimate_at_deadline(r);
         request_event(r, CW_EV_DEADLINE);
-    } else if (now_ms >= stall_time(r)) {
-        stalled(r);
+    } else if (now_ms >= stall_time_ms(r)) {
+        attempt_stalled(r);
     } else if (r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING) {
         request_arm(r); /* tokens have come since the timer was set */
     } else if (r->machine.state == CW_REQ_WAITING) {
-        if (r->asked_ms) {
-            allocator_silent(r, now_ms);
+        if (r->unacknowledged_since_ms) {
+            on_allocator_unresponsive(r, now_ms);
         } else {
-            send_want(r);
+            send_slot_request(r);
         }
-        if (r->used) {
+        if (r->is_used) {
             request_arm(r);
         }
     }
@@ -724,14 +728,14 @@
     (void)loop;
     (void)events;
     entry_t* e = w->data;
-    int64_t now_ms = node_now();
+    int64_t now_ms = node_now_ms();
     uint32_t i = cw_heap_top(&e->timers);
     while (i != CW_HEAP_NONE && cw_heap_key(&e->timers, i) <= (double)now_ms) {
-        cw_heap_set(&e->timers, i, (double)(now_ms + REASK_MS)); /* never the same at once again */
-        on_request_time(&e->requests[i], now_ms);
+        cw_heap_set(&e->timers, i, (double)(now_ms + SLOT_REQUEST_RESEND_MS)); /* never the same at once again */
+        on_request_timer(&e->requests[i], now_ms);
         i = cw_heap_top(&e->timers);
     }
-    arm_loop(e);
+    arm_loop_timer(e);
 }
 
 void entry_tick(entry_t* e, int64_t now_ms) {
@@ -747,13 +751,13 @@
     }
     if (!r || r->machine.state != CW_REQ_WAITING || r->grant) {
         const cw_done_t unused = {.grant = a->grant, .result = CW_PICK_UNUSED};
-        send_done(e, msg->shard, from, &unused);
+        send_grant_release(e, msg->shard, from, &unused);
         return;
     }
     r->grant = a->grant;
     r->upstream = a->upstream;
-    r->direct = false;
-    r->use_before_ms = r->want_ms + a->held_ms + a->ttl_ms;
+    r->is_direct = false;
+    r->grant_expires_ms = r->slot_request_sent_ms + a->held_ms + a->ttl_ms;
     request_event(r, CW_EV_GRANT);
 }
 
@@ -765,7 +769,7 @@
         if (i == r->first_shard) {
             return ENTRY_NONE;
         }
-        if (e->shards[i].valid && e->shards[i].pool == r->pool->id) {
+        if (e->shards[i].is_current && e->shards[i].pool == r->pool->id) {
             return i;
         }
     }
@@ -773,19 +777,19 @@
 }
 
 /* A protected request is refused only when every shard of its pool has refused it: lower work may wait at another. */
-static bool ask_next_shard(request_t* r, const cw_shard_action_t* a) {
+static bool request_slot_at_next_shard(request_t* r, const cw_shard_action_t* a) {
     uint32_t next = r->class->is_protected && a->refusal != CW_REFUSED_RATE ? next_shard(r) : ENTRY_NONE;
     if (next == ENTRY_NONE) {
         return false;
     }
     r->shard = next;
-    ask(r);
+    request_slot(r);
     request_arm(r);
     return true;
 }
 
-static void on_refuse(request_t* r, const cw_shard_action_t* a) {
-    if (ask_next_shard(r, a)) {
+static void on_refusal(request_t* r, const cw_shard_action_t* a) {
+    if (request_slot_at_next_shard(r, a)) {
         return;
     }
     char message[CW_MESSAGE_MAX];
@@ -794,27 +798,27 @@
                       : a->refusal == CW_REFUSED_LATE      ? HTTP_TIMEOUT
                                                            : HTTP_TOO_MANY;
     if (!r->machine.bytes_left) {
-        request_error(r, status, cw_refusal_name(a->refusal), "queue", NULL, message, a->retry_after_ms);
+        request_set_error(r, status, cw_refusal_name(a->refusal), "queue", NULL, message, a->retry_after_ms);
     }
-    forget_seq(r);
+    clear_seq(r);
     request_event(r, CW_EV_REFUSED);
 }
 
 void entry_on_action(entry_t* e, uint64_t from, const cw_msg_t* msg) {
     const cw_shard_action_t* a = &msg->action;
-    uint32_t shard = shard_find(e, msg->shard);
+    uint32_t shard = find_shard(e, msg->shard);
     if (shard == ENTRY_NONE) {
         return;
     }
     entry_shard_t* s = &e->shards[shard];
     if (from == s->owner) {
         s->wait_ms = msg->wait_ms;
-        s->heard_ms = node_now();
-        s->silent_ms = 0;
-        s->last_grant = (a->kind == CW_SHARD_GRANT && a->grant > s->last_grant) ? a->grant : s->last_grant;
+        s->last_received_ms = node_now_ms();
+        s->unresponsive_since_ms = 0;
+        s->last_grant_id = (a->kind == CW_SHARD_GRANT && a->grant > s->last_grant_id) ? a->grant : s->last_grant_id;
     }
     if (a->kind == CW_SHARD_RESYNC) {
-        send_list(e, shard, from);
+        send_grant_list(e, shard, from);
         return;
     }
     uint32_t i = cw_map_get(&e->by_seq, a->seq);
@@ -822,40 +826,41 @@
     if (a->kind == CW_SHARD_GRANT) {
         on_grant(e, r, from, msg);
     } else if (r && a->kind == CW_SHARD_REFUSE && r->machine.state == CW_REQ_WAITING) {
-        on_refuse(r, a);
+        on_refusal(r, a);
     } else if (r && a->kind == CW_SHARD_QUEUED && r->machine.state == CW_REQ_WAITING) {
-        r->asked_ms = 0;
-        r->reask_ms = node_now() + REASK_MS;
+        r->unacknowledged_since_ms = 0;
+        r->next_resend_ms = node_now_ms() + SLOT_REQUEST_RESEND_MS;
         request_arm(r);
     } else if (r && a->kind == CW_SHARD_PREEMPT && r->grant == a->grant) {
-        request_error(r, HTTP_UNAVAILABLE, "preempted", "answer", NULL, "a protected request needed the slot", 1000);
+        request_set_error(r, HTTP_UNAVAILABLE, "preempted", "answer", NULL, "a protected request needed the slot",
+                          1000);
         r->machine.retry_allowed = true;
         request_event(r, CW_EV_PREEMPTED);
     }
 }
 
-void entry_on_link_closed(entry_t* e, uint64_t host) {
-    int64_t now_ms = node_now();
+void entry_on_peer_closed(entry_t* e, uint64_t host) {
+    int64_t now_ms = node_now_ms();
     for (uint32_t i = 0; i < e->shard_count; i++) {
-        if (e->shards[i].owner == host && e->shards[i].heard_ms) {
-            e->shards[i].digest_ms = now_ms + DIGEST_SOON_MS; /* reports on their way were lost */
-            e->shards[i].reported = true;
+        if (e->shards[i].owner == host && e->shards[i].last_received_ms) {
+            e->shards[i].next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS; /* reports on their way were lost */
+            e->shards[i].has_reported_grants = true;
         }
     }
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (r->used && r->shard != ENTRY_NONE && r->machine.state == CW_REQ_WAITING && r->seq &&
+        if (r->is_used && r->shard != ENTRY_NONE && r->machine.state == CW_REQ_WAITING && r->seq &&
             e->shards[r->shard].owner == host) {
-            allocator_silent(r, now_ms);
+            on_allocator_unresponsive(r, now_ms);
         }
     }
 }
 
-void entry_on_woke(entry_t* e) {
+void entry_on_resume(entry_t* e) {
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (r->used && r->machine.state == CW_REQ_WAITING && r->seq && r->joined == CW_RUN_NONE) {
-            send_want(r);
+        if (r->is_used && r->machine.state == CW_REQ_WAITING && r->seq && r->joined_record == CW_RUN_NONE) {
+            send_slot_request(r);
         }
     }
 }
@@ -871,6 +876,6 @@
 void dispatch_shutdown(entry_t* e) {
     ev_timer_stop(e->node->loop, &e->timer);
     for (uint32_t i = 0; i < e->shard_count; i++) {
-        cw_pick_shutdown(e->shards[i].direct);
+        cw_pick_shutdown(e->shards[i].direct_pick);
     }
 }
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -9,7 +9,7 @@
 
 #include "entry_parts.h"
 
-#define PREFIX_CHARS 256  /* of the prompt, hashed for cache affinity */
+#define PREFIX_BYTES 256  /* of the prompt, hashed for cache affinity */
 #define BYTES_PER_TOKEN 4 /* rough length of a token */
 #define RETRY_BURST 20
 #define BEARER "Bearer "
@@ -24,14 +24,14 @@
 
 /* -- answers -------------------------------------------------------------- */
 
-static void answer_free(void* answer, void* user) {
+static void response_free(void* answer, void* user) {
     (void)user;
-    answer_t* a = answer;
+    response_t* a = answer;
     cw_buffer_free(&a->body);
     free(a);
 }
 
-static void answer_send(cw_exchange_t* x, const answer_t* a, const char* id) {
+static void response_send(cw_exchange_t* x, const response_t* a, const char* id) {
     if (a->outcome != CW_OUTCOME_DELIVERED) {
         reply_error(x, a->status, a->outcome, a->code, a->step, a->peer, a->message, a->retry_after_ms);
         return;
@@ -42,9 +42,9 @@
     cw_exchange_reply(x, a->status, headers, 3, cw_buffer_text(&a->body), a->body.size);
 }
 
-void request_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
-                   const char* message, uint32_t retry_after_ms) {
-    answer_t* a = &r->answer;
+void request_set_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
+                       const char* message, uint32_t retry_after_ms) {
+    response_t* a = &r->answer;
     a->status = status;
     a->retry_after_ms = retry_after_ms;
     cw_copy(a->code, sizeof(a->code), code);
@@ -67,15 +67,15 @@
 
 static void count_outcome(request_t* r) {
     entry_t* e = r->entry;
-    int64_t now_ms = node_now();
+    int64_t now_ms = node_now_ms();
     cw_outcome_t outcome = r->answer.outcome;
     e->stats.outcomes[outcome]++;
     if (r->metric) {
         r->metric->outcomes[outcome]++;
-        r->metric->in_time += outcome == CW_OUTCOME_DELIVERED && now_ms <= r->deadline_ms;
+        r->metric->delivered_in_time += outcome == CW_OUTCOME_DELIVERED && now_ms <= r->deadline_ms;
         cw_hist_add(&r->metric->total_ms, (uint32_t)(now_ms - r->start_ms));
-        if (r->first_ms) {
-            cw_hist_add(&r->metric->first_ms, (uint32_t)(r->first_ms - r->start_ms));
+        if (r->first_byte_ms) {
+            cw_hist_add(&r->metric->first_byte_ms, (uint32_t)(r->first_byte_ms - r->start_ms));
         }
     }
     cw_log(&e->node->log, CW_EVENT_REQUEST_ENDED, "id=%s workspace=%s class=%s outcome=%s code=%s step=%s ms=%lld",
@@ -85,56 +85,56 @@
 }
 
 /* Answers the repeats that wait for this call. */
-static void answer_joined(entry_t* e, const request_t* owner) {
+static void respond_to_joined(entry_t* e, const request_t* owner) {
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (!r->used || r == owner || r->joined == CW_RUN_NONE || r->joined != owner->record) {
+        if (!r->is_used || r == owner || r->joined_record == CW_RUN_NONE || r->joined_record != owner->runonce_record) {
             continue;
         }
         r->answer.outcome = owner->answer.outcome;
         if (r->x) {
-            answer_send(r->x, &owner->answer, owner->id);
+            response_send(r->x, &owner->answer, owner->id);
         }
         r->x = NULL;
-        r->joined = CW_RUN_NONE;
+        r->joined_record = CW_RUN_NONE;
         count_outcome(r);
         request_free(r);
     }
 }
 
 /* Settles the run-once record: kept when anything may have run, released when nothing did. */
-static void settle_record(request_t* r) {
+static void settle_runonce_record(request_t* r) {
     entry_t* e = r->entry;
-    if (r->record == CW_RUN_NONE) {
+    if (r->runonce_record == CW_RUN_NONE) {
         return;
     }
-    answer_joined(e, r);
+    respond_to_joined(e, r);
     if (r->answer.outcome == CW_OUTCOME_NOT_RUN) {
-        cw_runonce_release(e->runonce, r->record);
+        cw_runonce_release(e->runonce, r->runonce_record);
     } else {
-        answer_t* kept = cw_alloc(NULL, 1, sizeof(*kept));
-        *kept = r->answer;
+        response_t* stored = cw_alloc(NULL, 1, sizeof(*stored));
+        *stored = r->answer;
         r->answer.body = (cw_buffer_t){0};
-        cw_runonce_keep(e->runonce, r->record, kept, kept->body.size + sizeof(*kept));
+        cw_runonce_keep(e->runonce, r->runonce_record, stored, stored->body.size + sizeof(*stored));
     }
-    r->record = CW_RUN_NONE;
+    r->runonce_record = CW_RUN_NONE;
 }
 
-void request_answer(request_t* r) {
-    if (!r->answered) {
-        r->answered = true;
+void request_respond(request_t* r) {
+    if (!r->is_answered) {
+        r->is_answered = true;
         r->answer.outcome = cw_request_outcome(&r->machine);
         count_outcome(r);
     }
-    if (r->x && r->streaming) {
+    if (r->x && r->is_streaming) {
         finish_stream(r);
     } else if (r->x) {
-        answer_send(r->x, &r->answer, r->id);
+        response_send(r->x, &r->answer, r->id);
     }
     r->x = NULL;
     if (r->machine.state == CW_REQ_ENDED) {
         r->answer.outcome = cw_request_outcome(&r->machine); /* may be better than what the caller was told */
-        settle_record(r);
+        settle_runonce_record(r);
     }
 }
 
@@ -150,7 +150,7 @@
     }
     free(r->body);
     cw_buffer_free(&r->answer.body);
-    cw_buffer_free(&r->pending);
+    cw_buffer_free(&r->partial_event);
     *r = (request_t){0};
     e->free_requests[e->free_count++] = index;
     e->stats.active--;
@@ -162,9 +162,13 @@
     }
     uint32_t index = e->free_requests[--e->free_count];
     request_t* r = &e->requests[index];
-    *r = (request_t){
-        .used = true, .entry = e, .x = x, .record = CW_RUN_NONE, .joined = CW_RUN_NONE, .shard = ENTRY_NONE};
-    r->start_ms = node_now();
+    *r = (request_t){.is_used = true,
+                     .entry = e,
+                     .x = x,
+                     .runonce_record = CW_RUN_NONE,
+                     .joined_record = CW_RUN_NONE,
+                     .shard = ENTRY_NONE};
+    r->start_ms = node_now_ms();
     r->view = cw_store_view(e->node->store);
     snprintf(r->id, sizeof(r->id), "%.16s-%llx", e->node->settings.name, (unsigned long long)e->stats.requests);
     cw_exchange_set_data(x, r);
@@ -176,9 +180,9 @@
 /* Ends a request before anything was asked for. */
 static void reject(request_t* r, unsigned status, const char* code, const char* step, const char* message,
                    uint32_t retry_after_ms) {
-    request_error(r, status, code, step, NULL, message, retry_after_ms);
+    request_set_error(r, status, code, step, NULL, message, retry_after_ms);
     r->machine.state = CW_REQ_ENDED;
-    request_answer(r);
+    request_respond(r);
     request_free(r);
 }
 
@@ -200,7 +204,7 @@
     return r->workspace != NULL;
 }
 
-static bool class_allows(const cw_class_t* class, const char* pool) {
+static bool class_allows_pool(const cw_class_t* class, const char* pool) {
     for (uint32_t i = 0; i < class->pool_count; i++) {
         if (strcmp(class->pools[i], pool) == 0) {
             return true;
@@ -210,7 +214,7 @@
 }
 
 /* Pool of the class that serves the model; the class's first engine pool when no model is named. */
-static const cw_pool_t* pool_of_model(const request_t* r, const char* model) {
+static const cw_pool_t* find_pool_by_model(const request_t* r, const char* model) {
     for (uint32_t i = 0; i < r->class->pool_count; i++) {
         const cw_pool_t* pool = cw_view_pool(r->view, cw_name_id(r->class->pools[i]));
         if (pool && pool->engine && (!model || strcmp(model, pool->model) == 0)) {
@@ -220,7 +224,7 @@
     return NULL;
 }
 
-static bool read_class(request_t* r) {
+static bool parse_class(request_t* r) {
     const char* name = cw_exchange_header(r->x, "Chalkway-Class");
     r->class = name ? cw_view_class(r->view, cw_name_id(name)) : NULL;
     if (!r->class) {
@@ -228,22 +232,22 @@
         return false;
     }
     uint32_t deadline_ms = r->class->deadline_ms;
-    const char* asked = cw_exchange_header(r->x, "Chalkway-Deadline-Ms");
-    unsigned long asked_ms = asked ? strtoul(asked, NULL, 10) : 0;
-    if (asked_ms && asked_ms < deadline_ms) {
-        deadline_ms = (uint32_t)asked_ms;
+    const char* requested = cw_exchange_header(r->x, "Chalkway-Deadline-Ms");
+    unsigned long requested_ms = requested ? strtoul(requested, NULL, 10) : 0;
+    if (requested_ms && requested_ms < deadline_ms) {
+        deadline_ms = (uint32_t)requested_ms;
     }
     r->deadline_ms = r->start_ms + deadline_ms;
     return true;
 }
 
 static uint64_t prefix_hash(const char* text, size_t size) {
-    uint64_t hash = XXH64(text, size < PREFIX_CHARS ? size : PREFIX_CHARS, 0);
+    uint64_t hash = XXH64(text, size < PREFIX_BYTES ? size : PREFIX_BYTES, 0);
     return hash ? hash : 1;
 }
 
 /* Hash of the start of the first message or of the prompt. */
-static uint64_t read_prefix(json_t* root) {
+static uint64_t hash_prompt_prefix(json_t* root) {
     json_t* prompt = json_object_get(root, "prompt");
     if (!json_is_string(prompt)) {
         prompt = json_object_get(json_array_get(json_object_get(root, "messages"), 0), "content");
@@ -264,9 +268,9 @@
     }
     r->wants_stream = json_is_true(json_object_get(root, "stream"));
     r->max_tokens = (uint32_t)json_integer_value(json_object_get(root, "max_tokens"));
-    r->prefix = read_prefix(root);
+    r->prefix = hash_prompt_prefix(root);
     const char* model = json_string_value(json_object_get(root, "model"));
-    r->pool = pool_of_model(r, model);
+    r->pool = find_pool_by_model(r, model);
     json_decref(root);
     if (!r->pool) {
         reject(r, HTTP_NOT_FOUND, "unknown-model", "classify", "no pool of this class serves the model", 0);
@@ -281,7 +285,7 @@
     size_t len = rest ? (size_t)(rest - path) : strlen(path);
     cw_copy(name, len < sizeof(name) ? len + 1 : sizeof(name), path);
     r->pool = cw_view_pool(r->view, cw_name_id(name));
-    if (!r->pool || r->pool->engine || !class_allows(r->class, name)) {
+    if (!r->pool || r->pool->engine || !class_allows_pool(r->class, name)) {
         reject(r, HTTP_NOT_FOUND, "unknown-pool", "classify", "the class may not use a service pool of this name", 0);
         return false;
     }
@@ -291,7 +295,7 @@
 
 static bool classify(request_t* r, const char* path) {
     static const char services[] = "/v1/services/";
-    if (!read_class(r)) {
+    if (!parse_class(r)) {
         return false;
     }
     if (strncmp(path, services, sizeof(services) - 1) == 0) {
@@ -303,52 +307,52 @@
 
 /* -- run-once names ------------------------------------------------------- */
 
-static void answer_kept(request_t* r, const answer_t* kept) {
-    r->answer.outcome = kept->outcome;
-    answer_send(r->x, kept, r->id);
+static void replay_response(request_t* r, const response_t* stored) {
+    r->answer.outcome = stored->outcome;
+    response_send(r->x, stored, r->id);
     r->x = NULL;
     count_outcome(r);
     request_free(r);
 }
 
 /* An outcome that does not follow from this request's own transfers: the call may have run elsewhere or earlier. */
-static void reject_unknown(request_t* r, cw_outcome_t outcome, const char* code, const char* message) {
-    request_error(r, HTTP_CONFLICT, code, "run-once", NULL, message, 0);
-    r->answered = true;
+static void reject_runonce(request_t* r, cw_outcome_t outcome, const char* code, const char* message) {
+    request_set_error(r, HTTP_CONFLICT, code, "run-once", NULL, message, 0);
+    r->is_answered = true;
     r->answer.outcome = outcome;
     count_outcome(r);
-    answer_send(r->x, &r->answer, r->id);
+    response_send(r->x, &r->answer, r->id);
     r->x = NULL;
     request_free(r);
 }
 
 /* Handles the name of a non-repeatable call; true when the request shall run. */
-static bool begin_once(request_t* r) {
+static bool begin_runonce(request_t* r) {
     entry_t* e = r->entry;
     const char* name = cw_exchange_header(r->x, "Idempotency-Key");
     if (r->class->repeatable || !name) {
         return true;
     }
-    cw_copy(r->name, sizeof(r->name), name);
+    cw_copy(r->idempotency_key, sizeof(r->idempotency_key), name);
     uint64_t body_hash = XXH64(r->body, r->body_size, cw_name_id(r->path));
     cw_runonce_begin_t b = cw_runonce_begin(e->runonce, r->start_ms, r->workspace->id, name, body_hash);
     switch (b.verdict) {
         case CW_RUN_NEW:
-            r->record = b.record;
+            r->runonce_record = b.record;
             return true;
         case CW_RUN_JOIN:
-            r->joined = b.record;
-            e->stats.joined++;
+            r->joined_record = b.record;
+            e->stats.retries_joined++;
             request_arm(r);
             return false;
         case CW_RUN_KEPT:
-            answer_kept(r, b.answer);
+            replay_response(r, b.answer);
             return false;
         case CW_RUN_LOST:
-            reject_unknown(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its answer is not kept any more");
+            reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its answer is not kept any more");
             return false;
         case CW_RUN_UNKNOWN:
-            reject_unknown(r, CW_OUTCOME_UNKNOWN, "other-process",
+            reject_runonce(r, CW_OUTCOME_UNKNOWN, "other-process",
                            "the ticket is of another process or has expired: ask the application");
             return false;
         case CW_RUN_NO_TICKET:
@@ -407,7 +411,7 @@
     r->cost = r->cost ? r->cost : 1;
 }
 
-static void start(request_t* r) {
+static void start_request(request_t* r) {
     entry_t* e = r->entry;
     r->estimate = find_estimate(e, r);
     r->metric = find_metric(e, r);
@@ -443,26 +447,26 @@
         return;
     }
     copy_body(r);
-    if (authenticate(r) && classify(r, path) && begin_once(r)) {
-        start(r);
+    if (authenticate(r) && classify(r, path) && begin_runonce(r)) {
+        start_request(r);
     }
 }
 
 void entry_on_request(cw_exchange_t* x, void* user) {
     node_t* node = user;
     const char* path = cw_exchange_path(x);
-    bool ready = sync_ready(node->sync);
+    bool ready = sync_is_ready(node->sync);
     if (strcmp(path, "/healthz") == 0) {
         reply_json(x, HTTP_OK, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
-        reply_json(x, ready && !node_stopping(node) ? HTTP_OK : HTTP_UNAVAILABLE,
-                   ready ? (node_stopping(node) ? "{\"status\":\"leaving\"}" : "{\"status\":\"ready\"}")
+        reply_json(x, ready && !node_is_stopping(node) ? HTTP_OK : HTTP_UNAVAILABLE,
+                   ready ? (node_is_stopping(node) ? "{\"status\":\"leaving\"}" : "{\"status\":\"ready\"}")
                          : "{\"status\":\"starting\"}");
     } else if (!ready) {
         reply_error(x, HTTP_UNAVAILABLE, CW_OUTCOME_NOT_RUN, "starting", "accept", NULL,
                     "this host has no configuration yet", 500);
     } else if (strcmp(path, "/v1/lookup") == 0) {
-        lookup_answer(node, x);
+        lookup_respond(node, x);
     } else if (node->stop.phase >= CW_STOP_REFUSING) {
         reply_error(x, HTTP_UNAVAILABLE, CW_OUTCOME_NOT_RUN, "stopping", "accept", NULL, "this host is stopping", 500);
     } else if (strcmp(path, "/v1/chat/completions") == 0 || strcmp(path, "/v1/completions") == 0 ||
@@ -473,14 +477,14 @@
     }
 }
 
-void entry_on_gone(cw_exchange_t* x, void* user) {
+void entry_on_caller_closed(cw_exchange_t* x, void* user) {
     (void)user;
     request_t* r = cw_exchange_data(x);
     if (!r) {
         return;
     }
     r->x = NULL;
-    if (r->joined != CW_RUN_NONE) {
+    if (r->joined_record != CW_RUN_NONE) {
         request_free(r);
         return;
     }
@@ -491,8 +495,8 @@
     (void)user;
     request_t* r = cw_exchange_data(x);
     if (r && r->call) {
-        r->paused = false;
-        r->moved_ms = node_now();
+        r->is_upstream_paused = false;
+        r->last_progress_ms = node_now_ms();
         cw_call_resume(r->call);
     }
 }
@@ -518,7 +522,7 @@
                                                        .incarnation = node->incarnation,
                                                        .ticket_ms = node->settings.ticket_ms,
                                                        .max_records = 16384,
-                                                       .free_answer = answer_free});
+                                                       .free_answer = response_free});
     dispatch_setup(e);
     return e;
 }
@@ -526,7 +530,7 @@
 void entry_shutdown(entry_t* e) {
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
-        if (r->used) {
+        if (r->is_used) {
             if (r->call) {
                 cw_call_cancel(r->call);
             }
@@ -549,7 +553,7 @@
     return e->stats;
 }
 
-uint32_t entry_room(const entry_t* e) {
+uint32_t entry_free_capacity_percent(const entry_t* e) {
     return 100 * e->free_count / e->max_requests;
 }
 
@@ -589,17 +593,17 @@
                     m->class, cw_outcome_name((cw_outcome_t)o), (unsigned long long)m->outcomes[o]);
         }
         fprintf(out, "chalkway_in_time_total{workspace=\"%s\",class=\"%s\"} %llu\n", m->workspace, m->class,
-                (unsigned long long)m->in_time);
+                (unsigned long long)m->delivered_in_time);
     }
     fprintf(out, "# TYPE chalkway_request_ms histogram\n# TYPE chalkway_first_byte_ms histogram\n");
     for (uint32_t i = 0; i < e->metric_count; i++) {
         write_hist(out, "chalkway_request_ms", &e->metrics[i], &e->metrics[i].total_ms);
-        write_hist(out, "chalkway_first_byte_ms", &e->metrics[i], &e->metrics[i].first_ms);
+        write_hist(out, "chalkway_first_byte_ms", &e->metrics[i], &e->metrics[i].first_byte_ms);
     }
     fprintf(out, "chalkway_requests_active %u\n", e->stats.active);
     fprintf(out, "chalkway_retries_total %llu\n", (unsigned long long)e->stats.retries);
-    fprintf(out, "chalkway_resumed_total %llu\n", (unsigned long long)e->stats.resumed);
-    fprintf(out, "chalkway_direct_total %llu\n", (unsigned long long)e->stats.direct);
+    fprintf(out, "chalkway_resumed_total %llu\n", (unsigned long long)e->stats.resumed_streams);
+    fprintf(out, "chalkway_direct_total %llu\n", (unsigned long long)e->stats.direct_grants);
     fprintf(out, "chalkway_runonce_records %u\n", cw_runonce_count(e->runonce));
     fclose(out);
     return text;
--- a/daemon/entry_parts.h
+++ b/daemon/entry_parts.h
@@ -16,44 +16,44 @@
 #define ENTRY_NONE UINT32_MAX
 
 /* A whole answer: of an upstream, or an error of this host. */
-typedef struct answer_t {
+typedef struct response_t {
     unsigned status;
     cw_outcome_t outcome;
     char type[64];
     char code[32], step[CW_STEP_MAX], peer[CW_PEER_MAX], message[CW_MESSAGE_MAX]; /* errors */
     uint32_t retry_after_ms;
     cw_buffer_t body;
-} answer_t;
+} response_t;
 
 /* This entry's view of a shard. */
 typedef struct entry_shard_t {
     uint64_t id, pool;
     uint64_t owner;
-    bool valid;          /* of the newest configuration; others only end what runs */
-    uint64_t last_grant; /* received last from the owner */
-    uint32_t wait_ms;    /* as the owner said last */
-    int64_t heard_ms;    /* from the owner, 0: never */
-    int64_t silent_ms;   /* since when it is silent, 0: it is not */
-    int64_t digest_ms;   /* next digest */
-    bool reported;       /* the last digest was not empty */
-    cw_pick_t* direct;   /* this entry's own slice of the upstreams */
+    bool is_current;               /* of the newest configuration; others only end what runs */
+    uint64_t last_grant_id;        /* received last from the owner */
+    uint32_t wait_ms;              /* as the owner said last */
+    int64_t last_received_ms;      /* from the owner, 0: never */
+    int64_t unresponsive_since_ms; /* since when it is silent, 0: it is not */
+    int64_t next_digest_ms;        /* next digest */
+    bool has_reported_grants;      /* the last digest was not empty */
+    cw_pick_t* direct_pick;        /* this entry's own slice of the upstreams */
 } entry_shard_t;
 
 typedef struct estimate_t {
     uint64_t key; /* class and pool */
-    cw_estimate_t cost, ms;
+    cw_estimate_t cost, run_time_ms;
 } estimate_t;
 
 /* Counters of one workspace and class. */
 typedef struct metric_t {
     char workspace[CW_NAME_MAX], class[CW_NAME_MAX];
     uint64_t outcomes[CW_OUTCOME_COUNT];
-    uint64_t in_time;
-    cw_hist_t total_ms, first_ms;
+    uint64_t delivered_in_time;
+    cw_hist_t total_ms, first_byte_ms;
 } metric_t;
 
 typedef struct request_t {
-    bool used;
+    bool is_used;
     entry_t* entry;
     cw_request_t machine;
     cw_exchange_t* x; /* NULL: the caller is gone or was answered */
@@ -66,34 +66,34 @@
     char id[40];
     char path[256]; /* at the upstream */
     char method[16];
-    char type[64];               /* of the body */
-    char name[CW_CALL_NAME_MAX]; /* run-once name */
+    char type[64]; /* of the body */
+    char idempotency_key[CW_CALL_NAME_MAX];
     char* body;
     size_t body_size;
     uint64_t prefix;
     uint32_t cost, max_tokens;
-    uint32_t record; /* in the run-once table, CW_RUN_NONE */
-    uint32_t joined; /* record of the running call this one waits for */
-    bool wants_stream, streaming, answered;
-    int64_t start_ms, deadline_ms, first_ms;
-    int64_t asked_ms;     /* a want is unanswered since, 0: it was answered */
-    int64_t reask_ms;     /* ask for a sign of life then */
-    uint32_t seq;         /* of the want or grant, 0: none */
-    uint32_t shard;       /* index in shards */
-    uint32_t first_shard; /* asked first */
-    uint64_t grant;       /* held, 0: none */
-    uint64_t upstream;    /* of the grant */
-    bool direct;          /* the slot is of this entry's own slice */
-    int64_t use_before_ms, sent_ms, want_ms;
+    uint32_t runonce_record; /* in the run-once table, CW_RUN_NONE */
+    uint32_t joined_record;  /* record of the running call this one waits for */
+    bool wants_stream, is_streaming, is_answered;
+    int64_t start_ms, deadline_ms, first_byte_ms;
+    int64_t unacknowledged_since_ms; /* a want is unanswered since, 0: it was answered */
+    int64_t next_resend_ms;          /* ask for a sign of life then */
+    uint32_t seq;                    /* of the want or grant, 0: none */
+    uint32_t shard;                  /* index in shards */
+    uint32_t first_shard;            /* asked first */
+    uint64_t grant;                  /* held, 0: none */
+    uint64_t upstream;               /* of the grant */
+    bool is_direct;                  /* the slot is of this entry's own slice */
+    int64_t grant_expires_ms, sent_ms, slot_request_sent_ms;
     uint64_t exclude;
     cw_call_t* call;
     unsigned upstream_status;
     char upstream_type[64];
-    cw_stream_t stream;  /* passed on to the caller */
-    int64_t moved_ms;    /* the attempt's last sign of life */
-    bool paused;         /* the upstream waits for a slow caller */
-    cw_buffer_t pending; /* start of an event that has not come whole */
-    answer_t answer;
+    cw_stream_t stream;        /* passed on to the caller */
+    int64_t last_progress_ms;  /* the attempt's last sign of life */
+    bool is_upstream_paused;   /* the upstream waits for a slow caller */
+    cw_buffer_t partial_event; /* start of an event that has not come whole */
+    response_t answer;
 } request_t;
 
 struct entry_t {
@@ -119,18 +119,18 @@
     cw_runonce_t* runonce;
     entry_stats_t stats;
     cw_msg_t out;
-    cw_held_t held[CW_LIST_MAX];
+    cw_held_t held_grants[CW_LIST_MAX];
 };
 
 /* -- entry.c -------------------------------------------------------------- */
 
 /* Ends a request towards its caller by its outcome and answer, and frees what is not needed any more. */
-void request_answer(request_t* r);
+void request_respond(request_t* r);
 /* Frees the request; nothing of it may be outstanding. */
 void request_free(request_t* r);
 /* Sets the error that the caller is told if the request ends without an answer. */
-void request_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
-                   const char* message, uint32_t retry_after_ms);
+void request_set_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
+                       const char* message, uint32_t retry_after_ms);
 
 /* -- dispatch.c ----------------------------------------------------------- */
 
--- a/daemon/node.c
+++ b/daemon/node.c
@@ -9,18 +9,18 @@
 #include <sys/time.h>
 #include <time.h>
 
-#define TICK_S 0.05
-#define PAUSE_MS 1000  /* a gap of the loop longer than this means that the process was paused */
-#define REFRESH_MS 400 /* after a pause, wait at most this long for a peer before trusting the view */
+#define TICK_INTERVAL_S 0.05
+#define SUSPEND_DETECT_MS 1000 /* a gap of the loop longer than this means that the process was paused */
+#define STALE_VIEW_MAX_MS 400  /* after a pause, wait at most this long for a peer before trusting the view */
 #define STOP_MAX_MS 120000
 
-int64_t node_now(void) {
+int64_t node_now_ms(void) {
     struct timespec ts;
     clock_gettime(CLOCK_MONOTONIC, &ts);
     return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-uint32_t node_live_hosts(const node_t* node, uint64_t out[NODE_MAX_HOSTS]) {
+uint32_t node_list_live_hosts(const node_t* node, uint64_t out[NODE_MAX_HOSTS]) {
     uint32_t count = cw_members_live(node->members, CW_MEMBERS_FOR_ROLES, out, NODE_MAX_HOSTS);
     return count ? count : cw_members_live(node->members, CW_MEMBERS_ALL, out, NODE_MAX_HOSTS);
 }
@@ -29,27 +29,27 @@
     return node->policy == POLICY_SHARED ? cw_place_owner(shard, hosts, count) : node->host;
 }
 
-pool_layout_t node_layout(const cw_view_t* view, const cw_pool_t* pool) {
+pool_layout_t node_pool_layout(const cw_view_t* view, const cw_pool_t* pool) {
     pool_layout_t l = {.pool = pool->id};
     for (uint32_t i = 0; i < view->upstream_count && l.count < NODE_MAX_POOL; i++) {
         if (view->upstreams[i].pool_id == pool->id) {
             l.ids[l.count++] = view->upstreams[i].id;
         }
     }
-    l.shards = cw_place_shard_count(l.count, pool->shard_size);
+    l.shard_count = cw_place_shard_count(l.count, pool->shard_size);
     return l;
 }
 
-bool node_upstream_leaves(const node_t* node, const cw_upstream_t* u) {
-    for (uint32_t i = 0; i < node->listed_count; i++) {
-        if (node->listed[i].id == u->id && node->listed[i].leaving) {
+bool node_is_upstream_leaving(const node_t* node, const cw_upstream_t* u) {
+    for (uint32_t i = 0; i < node->listed_host_count; i++) {
+        if (node->listed_hosts[i].id == u->id && node->listed_hosts[i].leaving) {
             return true;
         }
     }
     return u->leaving;
 }
 
-uint32_t node_slice(const node_t* node, const cw_upstream_t* u, const uint64_t* hosts, uint32_t count) {
+uint32_t node_slot_share(const node_t* node, const cw_upstream_t* u, const uint64_t* hosts, uint32_t count) {
     if (u->slots >= count) {
         return u->slots / count;
     }
@@ -57,20 +57,20 @@
 }
 
 uint32_t node_shard_specs(const node_t* node, const cw_view_t* view, const pool_layout_t* layout, uint64_t shard,
-                          bool sliced, cw_pick_spec_t specs[CW_PICK_MAX]) {
+                          bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]) {
     uint64_t hosts[NODE_MAX_HOSTS];
-    uint32_t host_count = node_live_hosts(node, hosts);
+    uint32_t host_count = node_list_live_hosts(node, hosts);
     uint32_t count = 0;
     for (uint32_t i = 0; i < view->upstream_count && count < CW_PICK_MAX; i++) {
         const cw_upstream_t* u = &view->upstreams[i];
         if (u->pool_id != layout->pool ||
-            cw_place_shard(layout->pool, u->id, layout->ids, layout->count, layout->shards) != shard) {
+            cw_place_shard(layout->pool, u->id, layout->ids, layout->count, layout->shard_count) != shard) {
             continue;
         }
-        uint32_t slots = sliced ? node_slice(node, u, hosts, host_count) : u->slots;
+        uint32_t slots = own_share_only ? node_slot_share(node, u, hosts, host_count) : u->slots;
         if (slots) {
             specs[count++] = (cw_pick_spec_t){
-                .id = u->id, .hall = cw_name_id(u->hall), .slots = slots, .leaving = node_upstream_leaves(node, u)};
+                .id = u->id, .hall = cw_name_id(u->hall), .slots = slots, .leaving = node_is_upstream_leaving(node, u)};
         }
     }
     return count;
@@ -117,77 +117,77 @@
 }
 
 /* Tells the parts of a change of members, once for each change. */
-static void tell_members_changed(node_t* node) {
+static void notify_members_changed(node_t* node) {
     uint64_t changes = cw_members_changes(node->members);
-    if (changes == node->members_seen) {
+    if (changes == node->notified_change_count) {
         return;
     }
-    node->members_seen = changes;
+    node->notified_change_count = changes;
     uint64_t hosts[NODE_MAX_HOSTS];
-    cw_log(&node->log, CW_EVENT_MEMBERS_CHANGED, "live=%u known=%u", node_live_hosts(node, hosts),
+    cw_log(&node->log, CW_EVENT_MEMBERS_CHANGED, "live=%u known=%u", node_list_live_hosts(node, hosts),
            cw_members_count(node->members));
-    entry_on_change(node->entry);
-    allocator_on_change(node->allocator);
+    entry_on_cluster_changed(node->entry);
+    allocator_on_cluster_changed(node->allocator);
 }
 
 static void on_gossip(void* user, const cw_gossip_t* gossip) {
     node_t* node = user;
-    cw_members_receive(node->members, node_now(), gossip);
-    node->view_stale = false;
-    sync_on_revision(node->sync, gossip->from.id, gossip->revision);
-    tell_members_changed(node);
+    cw_members_receive(node->members, node_now_ms(), gossip);
+    node->is_view_stale = false;
+    sync_on_peer_revision(node->sync, gossip->from.id, gossip->revision);
+    notify_members_changed(node);
     send_gossip(node);
 }
 
-static void on_link_closed(void* user, uint64_t host, bool refused) {
+static void on_peer_closed(void* user, uint64_t host, bool refused) {
     node_t* node = user;
     cw_log(&node->log, CW_EVENT_PEER_CLOSED, "peer=%016llx", (unsigned long long)host);
     if (refused) {
-        cw_members_suspect(node->members, node_now(), host);
-        tell_members_changed(node);
+        cw_members_suspect(node->members, node_now_ms(), host);
+        notify_members_changed(node);
     } else {
-        cw_members_doubt(node->members, node_now(), host);
+        cw_members_doubt(node->members, node_now_ms(), host);
         const cw_member_t* member = cw_members_find(node->members, host);
         if (member && !member->info.leaving && member->info.state == CW_MEMBER_ALIVE) {
             cw_peers_open(node->peers, host, member->info.peer); /* a refusal tells at once that the process is gone */
         }
     }
     send_gossip(node);
-    entry_on_link_closed(node->entry, host);
+    entry_on_peer_closed(node->entry, host);
 }
 
-static void on_refused(void* user, const cw_error_t* err) {
+static void on_peer_rejected(void* user, const cw_error_t* err) {
     node_t* node = user;
     cw_log(&node->log, CW_EVENT_PEER_REFUSED, "step=%s peer=%s reason=\"%s\"", err->step, err->peer, err->message);
 }
 
 /* -- time ----------------------------------------------------------------- */
 
-static void notice_pause(node_t* node, int64_t now_ms) {
-    int64_t gap_ms = node->tick_ms ? now_ms - node->tick_ms : 0;
-    node->tick_ms = now_ms;
-    if (gap_ms < PAUSE_MS) {
-        if (node->view_stale && now_ms - node->woke_ms > REFRESH_MS) {
-            node->view_stale = false;
+static void detect_suspension(node_t* node, int64_t now_ms) {
+    int64_t gap_ms = node->last_tick_ms ? now_ms - node->last_tick_ms : 0;
+    node->last_tick_ms = now_ms;
+    if (gap_ms < SUSPEND_DETECT_MS) {
+        if (node->is_view_stale && now_ms - node->resumed_ms > STALE_VIEW_MAX_MS) {
+            node->is_view_stale = false;
         }
         return;
     }
     cw_log(&node->log, CW_EVENT_WOKE, "gap_ms=%lld", (long long)gap_ms);
-    node->woke_ms = now_ms;
-    node->view_stale = cw_members_count(node->members) > 1;
-    entry_on_woke(node->entry);
+    node->resumed_ms = now_ms;
+    node->is_view_stale = cw_members_count(node->members) > 1;
+    entry_on_resume(node->entry);
 }
 
-bool node_stopping(const node_t* node) {
+bool node_is_stopping(const node_t* node) {
     return node->stop.phase != CW_STOP_NOT;
 }
 
 /* A planned stop is complete when the lookup answers that name this host have run out and nothing is in flight. The
    other events of this turn are still handled after the loop was told to end. */
-static void check_stopped(node_t* node, int64_t now_ms) {
+static void check_stop_complete(node_t* node, int64_t now_ms) {
     uint32_t active = entry_stats(node->entry).active;
     if (cw_stop_step(&node->stop, now_ms, active) == CW_STOP_ENDED) {
-        node->cut = active;
+        node->aborted_count = active;
         ev_break(node->loop, EVBREAK_ALL);
     }
 }
@@ -196,44 +196,44 @@
     (void)loop;
     (void)events;
     node_t* node = w->data;
-    int64_t now_ms = node_now();
-    notice_pause(node, now_ms);
-    cw_members_announce(node->members, cw_store_revision(node->store), entry_room(node->entry));
+    int64_t now_ms = node_now_ms();
+    detect_suspension(node, now_ms);
+    cw_members_announce(node->members, cw_store_revision(node->store), entry_free_capacity_percent(node->entry));
     cw_members_tick(node->members, now_ms);
     send_gossip(node);
-    tell_members_changed(node);
+    notify_members_changed(node);
     allocator_tick(node->allocator, now_ms);
     entry_tick(node->entry, now_ms);
     sync_tick(node->sync, now_ms);
     operator_tick(node, now_ms);
-    check_stopped(node, now_ms);
+    check_stop_complete(node, now_ms);
 }
 
-static void on_stop(struct ev_loop* loop, ev_signal* w, int events) {
+static void on_stop_signal(struct ev_loop* loop, ev_signal* w, int events) {
     (void)loop;
     (void)events;
     node_t* node = w->data;
-    if (node_stopping(node)) {
+    if (node_is_stopping(node)) {
         return;
     }
-    cw_stop_begin(&node->stop, node_now(),
+    cw_stop_begin(&node->stop, node_now_ms(),
                   &(cw_stop_desc_t){
                       .quiet_ms = (uint32_t)node->settings.lookup_ms, .take_ms = STOP_MAX_MS, .end_ms = STOP_MAX_MS});
     cw_log(&node->log, CW_EVENT_STOPPING, "active=%u", entry_stats(node->entry).active);
     cw_members_leave(node->members);
     send_gossip(node);
-    tell_members_changed(node);
+    notify_members_changed(node);
 }
 
 /* -- setup ---------------------------------------------------------------- */
 
-static uint64_t unix_ms(void) {
+static uint64_t unix_now_ms(void) {
     struct timeval tv;
     gettimeofday(&tv, NULL);
     return (uint64_t)tv.tv_sec * 1000 + (uint64_t)tv.tv_usec / 1000;
 }
 
-static node_policy_t policy_of(const char* name) {
+static node_policy_t parse_policy(const char* name) {
     static const char* const names[] = {"shared", "solo", "lease", "round-robin"};
     for (int i = 0; i < 4; i++) {
         if (strcmp(name, names[i]) == 0) {
@@ -251,7 +251,7 @@
                               .timeout_ms = s->probe_timeout_ms,
                               .suspect_ms = s->suspect_ms};
     desc.self.id = node->host;
-    desc.self.incarnation = unix_ms();
+    desc.self.incarnation = unix_now_ms();
     cw_copy(desc.self.name, sizeof(desc.self.name), s->name);
     cw_copy(desc.self.hall, sizeof(desc.self.hall), s->hall);
     cw_copy(desc.self.peer, sizeof(desc.self.peer), cw_peers_address(node->peers));
@@ -272,9 +272,9 @@
                                                     .cluster = s->cluster,
                                                     .host = node->host,
                                                     .on_message = on_message,
-                                                    .on_closed = on_link_closed,
+                                                    .on_closed = on_peer_closed,
                                                     .on_gossip = on_gossip,
-                                                    .on_refused = on_refused,
+                                                    .on_refused = on_peer_rejected,
                                                     .user_data = node},
                                  err);
     node->http = !node->peers ? NULL
@@ -283,7 +283,7 @@
                                                                   .max_body = s->max_body,
                                                                   .max_connections = s->max_connections,
                                                                   .on_request = entry_on_request,
-                                                                  .on_gone = entry_on_gone,
+                                                                  .on_gone = entry_on_caller_closed,
                                                                   .on_drained = entry_on_drained,
                                                                   .user_data = node},
                                                err);
@@ -292,22 +292,22 @@
                                                                           .address = s->operator_http,
                                                                           .max_connections = 100,
                                                                           .on_request = operator_on_request,
-                                                                          .on_gone = operator_on_gone,
+                                                                          .on_gone = operator_on_caller_closed,
                                                                           .user_data = node},
                                                        err);
     return node->operator_http != NULL;
 }
 
 static void setup_tick(node_t* node) {
-    ev_timer_init(&node->tick, on_tick, TICK_S, TICK_S);
+    ev_timer_init(&node->tick, on_tick, TICK_INTERVAL_S, TICK_INTERVAL_S);
     node->tick.data = node;
     ev_timer_start(node->loop, &node->tick);
 }
 
 /* Before the other parts: a signal that comes while they are set up waits for the loop, and doesn't end the process. */
 static void setup_signals(node_t* node) {
-    ev_signal_init(&node->on_term, on_stop, SIGTERM);
-    ev_signal_init(&node->on_int, on_stop, SIGINT);
+    ev_signal_init(&node->on_term, on_stop_signal, SIGTERM);
+    ev_signal_init(&node->on_int, on_stop_signal, SIGINT);
     node->on_term.data = node->on_int.data = node;
     ev_signal_start(node->loop, &node->on_term);
     ev_signal_start(node->loop, &node->on_int);
@@ -326,7 +326,7 @@
     setup_signals(node);
     node->host = cw_name_id(settings->name);
     node->hall = cw_name_id(settings->hall);
-    node->policy = policy_of(settings->policy);
+    node->policy = parse_policy(settings->policy);
     do {
         randombytes_buf(&node->incarnation, sizeof(node->incarnation));
     } while (!node->incarnation);
@@ -334,7 +334,7 @@
         free(node);
         return NULL;
     }
-    node->listed = cw_alloc(NULL, NODE_MAX_LISTED, sizeof(*node->listed));
+    node->listed_hosts = cw_alloc(NULL, NODE_MAX_LISTED, sizeof(*node->listed_hosts));
     node->client = cw_client_setup(node->loop, 1024);
     node->store = cw_store_setup(&(cw_store_desc_t){0});
     setup_members(node);
@@ -349,9 +349,9 @@
 
 int node_run(node_t* node) {
     ev_run(node->loop, 0);
-    cw_log(&node->log, CW_EVENT_STOPPED, "cut=%llu requests=%llu", (unsigned long long)node->cut,
+    cw_log(&node->log, CW_EVENT_STOPPED, "cut=%llu requests=%llu", (unsigned long long)node->aborted_count,
            (unsigned long long)entry_stats(node->entry).requests);
-    return node->cut ? 1 : 0;
+    return node->aborted_count ? 1 : 0;
 }
 
 void node_shutdown(node_t* node) {
@@ -367,7 +367,7 @@
     allocator_shutdown(node->allocator);
     cw_members_shutdown(node->members);
     cw_store_shutdown(node->store);
-    free(node->listed);
+    free(node->listed_hosts);
     free(node);
 }
 
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -65,88 +65,88 @@
     cw_client_t* client;
     cw_peers_t* peers;
     cw_members_t* members;
-    uint64_t members_seen; /* cw_members_changes that the parts were told of */
+    uint64_t notified_change_count; /* cw_members_changes that the parts were told of */
     cw_store_t* store;
-    listed_host_t* listed; /* the platform's list as read last */
-    uint32_t listed_count; /* 0: none was read */
+    listed_host_t* listed_hosts; /* the platform's list as read last */
+    uint32_t listed_host_count;  /* 0: none was read */
     entry_t* entry;
     allocator_t* allocator;
     sync_t* sync;
     ev_timer tick;
     ev_signal on_term, on_int;
-    int64_t tick_ms; /* of the last tick, to notice a pause */
-    int64_t woke_ms; /* of the last long gap, 0: never */
-    bool view_stale; /* woke and has heard no peer since */
-    cw_stop_t stop;  /* lookups don't name this host once it has begun */
-    uint64_t cut;    /* requests that a planned stop cut */
+    int64_t last_tick_ms;   /* of the last tick, to notice a pause */
+    int64_t resumed_ms;     /* of the last long gap, 0: never */
+    bool is_view_stale;     /* woke and has heard no peer since */
+    cw_stop_t stop;         /* lookups don't name this host once it has begun */
+    uint64_t aborted_count; /* requests that a planned stop cut */
 };
 
 /* Milliseconds on the monotonic clock. */
-int64_t node_now(void);
+int64_t node_now_ms(void);
 /* A planned stop has begun. */
-bool node_stopping(const node_t* node);
+bool node_is_stopping(const node_t* node);
 /* Ids of hosts that may take roles; returns their number. */
-uint32_t node_live_hosts(const node_t* node, uint64_t out[NODE_MAX_HOSTS]);
+uint32_t node_list_live_hosts(const node_t* node, uint64_t out[NODE_MAX_HOSTS]);
 /* Host that allocates the shard in this host's view, among the live hosts given. */
 uint64_t node_shard_owner(const node_t* node, uint64_t shard, const uint64_t* hosts, uint32_t count);
 /* This entry's even part of an upstream's slots, or one of them by rank where there are fewer slots than entries. All
    entries together never exceed the upstream's slots. */
-uint32_t node_slice(const node_t* node, const cw_upstream_t* u, const uint64_t* hosts, uint32_t count);
+uint32_t node_slot_share(const node_t* node, const cw_upstream_t* u, const uint64_t* hosts, uint32_t count);
 /* Sends to a host, or hands the message over directly when it is this one. */
 cw_status_t node_send(node_t* node, uint64_t host, const cw_msg_t* msg);
 
 /* The upstreams of a pool and how they are cut into shards. */
 typedef struct pool_layout_t {
     uint64_t pool;
-    uint32_t count, shards;
+    uint32_t count, shard_count;
     uint64_t ids[NODE_MAX_POOL];
 } pool_layout_t;
 
-pool_layout_t node_layout(const cw_view_t* view, const cw_pool_t* pool);
+pool_layout_t node_pool_layout(const cw_view_t* view, const cw_pool_t* pool);
 /* The upstreams of a shard that have slots for this host: all their slots, or only its even part of them. Returns their
    number, at most CW_PICK_MAX. */
 uint32_t node_shard_specs(const node_t* node, const cw_view_t* view, const pool_layout_t* layout, uint64_t shard,
-                          bool sliced, cw_pick_spec_t specs[CW_PICK_MAX]);
+                          bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]);
 /* Whether an upstream gets new work: neither its document nor the host list says that it leaves. */
-bool node_upstream_leaves(const node_t* node, const cw_upstream_t* u);
+bool node_is_upstream_leaving(const node_t* node, const cw_upstream_t* u);
 
 /* -- entry.c -------------------------------------------------------------- */
 
 typedef struct entry_stats_t {
-    uint64_t requests, outcomes[CW_OUTCOME_COUNT], retries, resumed, direct, joined;
+    uint64_t requests, outcomes[CW_OUTCOME_COUNT], retries, resumed_streams, direct_grants, retries_joined;
     uint32_t active;
 } entry_stats_t;
 
 entry_t* entry_setup(node_t* node);
 void entry_shutdown(entry_t* entry);
 void entry_on_request(cw_exchange_t* x, void* node);
-void entry_on_gone(cw_exchange_t* x, void* node);
+void entry_on_caller_closed(cw_exchange_t* x, void* node);
 void entry_on_drained(cw_exchange_t* x, void* node);
 /* A grant, refusal, preemption, resync or sign of life from an allocator. */
 void entry_on_action(entry_t* entry, uint64_t from, const cw_msg_t* msg);
 /* Hosts or configuration changed: shards may have other allocators. */
-void entry_on_change(entry_t* entry);
+void entry_on_cluster_changed(entry_t* entry);
 /* The link to a host ended. */
-void entry_on_link_closed(entry_t* entry, uint64_t host);
+void entry_on_peer_closed(entry_t* entry, uint64_t host);
 /* The process was paused: ask again for what waits. */
-void entry_on_woke(entry_t* entry);
+void entry_on_resume(entry_t* entry);
 void entry_tick(entry_t* entry, int64_t now_ms);
 entry_stats_t entry_stats(const entry_t* entry);
-uint32_t entry_room(const entry_t* entry);
+uint32_t entry_free_capacity_percent(const entry_t* entry);
 /* Callers' metrics in Prometheus text, to be freed. */
 char* entry_metrics(const entry_t* entry);
 cw_runonce_t* entry_runonce(const entry_t* entry);
 
 /* -- lookup.c ------------------------------------------------------------- */
 
-void lookup_answer(node_t* node, cw_exchange_t* x);
+void lookup_respond(node_t* node, cw_exchange_t* x);
 
 /* -- allocator.c ---------------------------------------------------------- */
 
 allocator_t* allocator_setup(node_t* node);
 void allocator_shutdown(allocator_t* a);
 void allocator_on_message(allocator_t* a, uint64_t from, const cw_msg_t* msg);
-void allocator_on_change(allocator_t* a);
+void allocator_on_cluster_changed(allocator_t* a);
 void allocator_tick(allocator_t* a, int64_t now_ms);
 uint32_t allocator_count(const allocator_t* a);
 /* Statistics of shard number index. */
@@ -158,18 +158,18 @@
 void sync_shutdown(sync_t* s);
 void sync_on_message(sync_t* s, uint64_t from, const cw_msg_t* msg);
 /* A peer's probe told its revision. */
-void sync_on_revision(sync_t* s, uint64_t from, int64_t revision);
+void sync_on_peer_revision(sync_t* s, uint64_t from, int64_t revision);
 void sync_tick(sync_t* s, int64_t now_ms);
 /* Some configuration is there, or waiting for it has been long enough. */
-bool sync_ready(const sync_t* s);
-bool sync_is_reader(const sync_t* s);
+bool sync_is_ready(const sync_t* s);
+bool sync_is_poller(const sync_t* s);
 const char* sync_platform_state(const sync_t* s);
 uint64_t sync_platform_calls(const sync_t* s);
 
 /* -- operator.c ----------------------------------------------------------- */
 
 void operator_on_request(cw_exchange_t* x, void* node);
-void operator_on_gone(cw_exchange_t* x, void* node);
+void operator_on_caller_closed(cw_exchange_t* x, void* node);
 /* Answers long polls whose revision has changed or whose time is over. */
 void operator_tick(node_t* node, int64_t now_ms);
 
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -6,23 +6,23 @@
 
 #include "node.h"
 
-#define MAX_POLLS 64
-#define POLL_MAX_MS 60000
+#define MAX_LONG_POLLS 64
+#define LONG_POLL_MAX_MS 60000
 
 /* A long poll that waits for a revision above since. */
-typedef struct poll_t {
+typedef struct long_poll_t {
     cw_exchange_t* x;
     int64_t since;
-    int64_t until_ms;
-} poll_t;
+    int64_t expires_ms;
+} long_poll_t;
 
-static poll_t polls[MAX_POLLS]; /* of the one node of the process */
+static long_poll_t long_polls[MAX_LONG_POLLS]; /* of the one node of the process */
 
 /* -- resources ------------------------------------------------------------ */
 
 static json_t* item_status(const cw_item_t* item) {
-    bool in_force = item->value && item->in_force == item->revision && !item->reason[0];
-    json_t* condition = json_pack("{s:s,s:b,s:s}", "type", "InForce", "status", in_force, "reason", item->reason);
+    bool is_active = item->value && item->in_force == item->revision && !item->reason[0];
+    json_t* condition = json_pack("{s:s,s:b,s:s}", "type", "InForce", "status", is_active, "reason", item->reason);
     return json_pack("{s:I,s:I,s:[o]}", "observed_revision", (json_int_t)item->revision, "in_force_revision",
                      (json_int_t)item->in_force, "conditions", condition);
 }
@@ -35,7 +35,7 @@
                      item_status(item));
 }
 
-static void reply_root(cw_exchange_t* x, json_t* root) {
+static void reply_object(cw_exchange_t* x, json_t* root) {
     char* text = json_dumps(root, JSON_COMPACT);
     reply_json(x, 200, text);
     free(text);
@@ -50,7 +50,7 @@
             reply_error(x, 404, CW_OUTCOME_NONE, "not-found", "resources", NULL, "no such resource", 0);
             return;
         }
-        reply_root(x, item_json(item));
+        reply_object(x, item_json(item));
         return;
     }
     json_t* list = json_array();
@@ -60,11 +60,11 @@
             json_array_append_new(list, item_json(item));
         }
     }
-    reply_root(x, json_pack("{s:I,s:o}", "revision", (json_int_t)cw_store_revision(node->store), "items", list));
+    reply_object(x, json_pack("{s:I,s:o}", "revision", (json_int_t)cw_store_revision(node->store), "items", list));
 }
 
 /* Keeps a request with ?since=REVISION open until the configuration is newer. */
-static bool wait_for_change(const node_t* node, cw_exchange_t* x) {
+static bool hold_until_change(const node_t* node, cw_exchange_t* x) {
     const char* since = cw_exchange_arg(x, "since");
     const char* wait = cw_exchange_arg(x, "wait_ms");
     int64_t revision = since ? strtoll(since, NULL, 10) : -1;
@@ -72,10 +72,12 @@
     if (!since || revision < cw_store_revision(node->store)) {
         return false;
     }
-    for (int i = 0; i < MAX_POLLS; i++) {
-        if (!polls[i].x) {
-            polls[i] = (poll_t){
-                .x = x, .since = revision, .until_ms = node_now() + (wait_ms < POLL_MAX_MS ? wait_ms : POLL_MAX_MS)};
+    for (int i = 0; i < MAX_LONG_POLLS; i++) {
+        if (!long_polls[i].x) {
+            long_polls[i] =
+                (long_poll_t){.x = x,
+                              .since = revision,
+                              .expires_ms = node_now_ms() + (wait_ms < LONG_POLL_MAX_MS ? wait_ms : LONG_POLL_MAX_MS)};
             return true;
         }
     }
@@ -85,9 +87,9 @@
 static const char resources_path[] = "/v1/resources/";
 
 void operator_tick(node_t* node, int64_t now_ms) {
-    for (int i = 0; i < MAX_POLLS; i++) {
-        poll_t* p = &polls[i];
-        if (p->x && (now_ms >= p->until_ms || cw_store_revision(node->store) > p->since)) {
+    for (int i = 0; i < MAX_LONG_POLLS; i++) {
+        long_poll_t* p = &long_polls[i];
+        if (p->x && (now_ms >= p->expires_ms || cw_store_revision(node->store) > p->since)) {
             cw_exchange_t* x = p->x;
             p->x = NULL;
             reply_resources(node, x, cw_exchange_path(x) + sizeof(resources_path) - 1);
@@ -95,11 +97,11 @@
     }
 }
 
-void operator_on_gone(cw_exchange_t* x, void* user) {
+void operator_on_caller_closed(cw_exchange_t* x, void* user) {
     (void)user;
-    for (int i = 0; i < MAX_POLLS; i++) {
-        if (polls[i].x == x) {
-            polls[i].x = NULL;
+    for (int i = 0; i < MAX_LONG_POLLS; i++) {
+        if (long_polls[i].x == x) {
+            long_polls[i].x = NULL;
         }
     }
 }
@@ -161,14 +163,14 @@
 
 static void reply_status(const node_t* node, cw_exchange_t* x) {
     entry_stats_t e = entry_stats(node->entry);
-    reply_root(x,
-               json_pack("{s:s,s:s,s:I,s:b,s:s,s:b,s:{s:I,s:i,s:I,s:I,s:I,s:I},s:o,s:o}", "host", node->settings.name,
-                         "hall", node->settings.hall, "revision", (json_int_t)cw_store_revision(node->store),
-                         "stopping", node_stopping(node), "platform", sync_platform_state(node->sync), "reader",
-                         sync_is_reader(node->sync), "requests", "total", (json_int_t)e.requests, "active",
-                         (int)e.active, "retries", (json_int_t)e.retries, "direct", (json_int_t)e.direct, "joined",
-                         (json_int_t)e.joined, "not_run", (json_int_t)e.outcomes[CW_OUTCOME_NOT_RUN], "members",
-                         members_json(node), "shards", shards_json(node)));
+    reply_object(x, json_pack("{s:s,s:s,s:I,s:b,s:s,s:b,s:{s:I,s:i,s:I,s:I,s:I,s:I},s:o,s:o}", "host",
+                              node->settings.name, "hall", node->settings.hall, "revision",
+                              (json_int_t)cw_store_revision(node->store), "stopping", node_is_stopping(node),
+                              "platform", sync_platform_state(node->sync), "reader", sync_is_poller(node->sync),
+                              "requests", "total", (json_int_t)e.requests, "active", (int)e.active, "retries",
+                              (json_int_t)e.retries, "direct", (json_int_t)e.direct_grants, "joined",
+                              (json_int_t)e.retries_joined, "not_run", (json_int_t)e.outcomes[CW_OUTCOME_NOT_RUN],
+                              "members", members_json(node), "shards", shards_json(node)));
 }
 
 static void reply_metrics(const node_t* node, cw_exchange_t* x) {
@@ -198,7 +200,7 @@
     node_t* node = user;
     const char* path = cw_exchange_path(x);
     if (strncmp(path, resources_path, sizeof(resources_path) - 1) == 0) {
-        if (!wait_for_change(node, x)) {
+        if (!hold_until_change(node, x)) {
             reply_resources(node, x, path + sizeof(resources_path) - 1);
         }
     } else if (strcmp(path, "/v1/validate") == 0 && strcmp(cw_exchange_method(x), "POST") == 0) {
@@ -210,7 +212,7 @@
     } else if (strcmp(path, "/healthz") == 0) {
         reply_json(x, 200, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
-        bool ready = sync_ready(node->sync) && !node_stopping(node);
+        bool ready = sync_is_ready(node->sync) && !node_is_stopping(node);
         reply_json(x, ready ? 200 : 503, ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not-ready\"}");
     } else {
         reply_error(x, 404, CW_OUTCOME_NONE, "no-such-path", "operator", NULL, "nothing is served here", 0);
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -19,29 +19,29 @@
 
 struct sync_t {
     node_t* node;
-    cw_call_t* call; /* to the platform */
-    bool listing;    /* the call lists all keys; else it watches */
+    cw_call_t* call;      /* to the platform */
+    bool is_full_listing; /* the call lists all keys; else it watches */
     cw_buffer_t body;
     cw_bucket_t bucket;
     uint32_t backoff_ms;
-    int64_t next_ms;
+    int64_t next_call_ms;
     platform_state_t state;
     uint64_t calls;
     cw_call_t* hosts_call; /* reads the list of hosts */
     cw_buffer_t hosts_body;
-    int64_t hosts_ms;  /* next reading of the list */
-    int64_t pulled_ms; /* a pull is outstanding since, 0: none */
-    int64_t deferred;  /* revision to commit when the pull is over, 0: none */
-    bool reader;
+    int64_t next_hosts_ms;     /* next reading of the list */
+    int64_t pull_started_ms;   /* a pull is outstanding since, 0: none */
+    int64_t deferred_revision; /* revision to commit when the pull is over, 0: none */
+    bool is_poller;
     cw_msg_t out;
 };
 
-bool sync_ready(const sync_t* s) {
+bool sync_is_ready(const sync_t* s) {
     return cw_store_revision(s->node->store) > 0;
 }
 
-bool sync_is_reader(const sync_t* s) {
-    return s->reader;
+bool sync_is_poller(const sync_t* s) {
+    return s->is_poller;
 }
 
 uint64_t sync_platform_calls(const sync_t* s) {
@@ -53,18 +53,18 @@
     return names[s->state];
 }
 
-static bool pull_outstanding(const sync_t* s, int64_t now_ms) {
-    return s->pulled_ms && now_ms - s->pulled_ms < PULL_TIMEOUT_MS;
+static bool is_pull_outstanding(const sync_t* s, int64_t now_ms) {
+    return s->pull_started_ms && now_ms - s->pull_started_ms < PULL_TIMEOUT_MS;
 }
 
 /* Makes what was put the configuration in force; not while a pull has put only a part of what it brings. */
-static void commit(sync_t* s, int64_t revision) {
-    if (pull_outstanding(s, node_now())) {
-        s->deferred = revision > s->deferred ? revision : s->deferred;
+static void commit_revision(sync_t* s, int64_t revision) {
+    if (is_pull_outstanding(s, node_now_ms())) {
+        s->deferred_revision = revision > s->deferred_revision ? revision : s->deferred_revision;
         return;
     }
-    revision = revision > s->deferred ? revision : s->deferred;
-    s->deferred = 0;
+    revision = revision > s->deferred_revision ? revision : s->deferred_revision;
+    s->deferred_revision = 0;
     int64_t before = cw_store_revision(s->node->store);
     cw_store_commit(s->node->store, revision);
     if (revision <= before) {
@@ -74,11 +74,11 @@
     cw_log(&s->node->log, CW_EVENT_CONFIG_CHANGED, "revision=%lld workspaces=%u classes=%u pools=%u upstreams=%u",
            (long long)revision, view->workspace_count, view->class_count, view->pool_count, view->upstream_count);
     cw_view_release(view);
-    entry_on_change(s->node->entry);
-    allocator_on_change(s->node->allocator);
+    entry_on_cluster_changed(s->node->entry);
+    allocator_on_cluster_changed(s->node->allocator);
 }
 
-static void put(sync_t* s, const char* key, int64_t revision, const char* value) {
+static void put_document(sync_t* s, const char* key, int64_t revision, const char* value) {
     if (cw_store_put(s->node->store, key, revision, value) == CW_ERR_INVALID) {
         const cw_item_t* item = cw_store_find(s->node->store, key);
         cw_log(&s->node->log, CW_EVENT_CONFIG_INVALID, "key=%s revision=%lld reason=\"%s\"", key, (long long)revision,
@@ -88,7 +88,7 @@
 
 /* -- the platform --------------------------------------------------------- */
 
-static void set_state(sync_t* s, platform_state_t state, const char* reason) {
+static void set_platform_state(sync_t* s, platform_state_t state, const char* reason) {
     if (state == s->state) {
         return;
     }
@@ -103,58 +103,58 @@
 }
 
 /* Waits longer after each failure, with jitter, so that a returning platform is not stormed. */
-static void back_off(sync_t* s) {
+static void schedule_retry(sync_t* s) {
     s->backoff_ms = s->backoff_ms ? s->backoff_ms * 2 : BACKOFF_MIN_MS;
     s->backoff_ms = s->backoff_ms > BACKOFF_MAX_MS ? BACKOFF_MAX_MS : s->backoff_ms;
-    s->next_ms = node_now() + s->backoff_ms / 2 + randombytes_uniform(s->backoff_ms);
+    s->next_call_ms = node_now_ms() + s->backoff_ms / 2 + randombytes_uniform(s->backoff_ms);
 }
 
 /* A key that a full list does not hold is deleted, unless something newer is known of it. */
-static void put_deletions(sync_t* s, json_t* items, int64_t revision) {
+static void delete_unlisted(sync_t* s, json_t* items, int64_t revision) {
     cw_store_t* store = s->node->store;
-    json_t* listed = json_object();
+    json_t* listed_keys = json_object();
     size_t index = 0;
     json_t* item = NULL;
     json_array_foreach(items, index, item) {
-        json_object_set_new(listed, json_string_value(json_object_get(item, "key")), json_true());
+        json_object_set_new(listed_keys, json_string_value(json_object_get(item, "key")), json_true());
     }
     for (uint32_t i = 0; i < cw_store_count(store); i++) {
         const cw_item_t* known = cw_store_at(store, i);
-        if (known->value && known->revision <= revision && !json_object_get(listed, known->key)) {
-            put(s, known->key, revision, NULL);
+        if (known->value && known->revision <= revision && !json_object_get(listed_keys, known->key)) {
+            put_document(s, known->key, revision, NULL);
         }
     }
-    json_decref(listed);
+    json_decref(listed_keys);
 }
 
-static void take_answer(sync_t* s, json_t* root) {
+static void apply_platform_response(sync_t* s, json_t* root) {
     int64_t revision = json_integer_value(json_object_get(root, "revision"));
     json_t* items = json_object_get(root, "items");
     if (!json_is_array(items) || revision <= 0) {
-        set_state(s, PLATFORM_DOWN, "the answer is not understood");
-        back_off(s);
+        set_platform_state(s, PLATFORM_DOWN, "the answer is not understood");
+        schedule_retry(s);
         return;
     }
     if (revision < cw_store_revision(s->node->store)) {
-        set_state(s, PLATFORM_STALE, "its revision is lower than one already seen");
-        back_off(s);
+        set_platform_state(s, PLATFORM_STALE, "its revision is lower than one already seen");
+        schedule_retry(s);
         return;
     }
-    set_state(s, PLATFORM_OK, "");
+    set_platform_state(s, PLATFORM_OK, "");
     s->backoff_ms = 0;
     size_t index = 0;
     json_t* item = NULL;
     json_array_foreach(items, index, item) {
         const char* key = json_string_value(json_object_get(item, "key"));
         if (key) {
-            put(s, key, json_integer_value(json_object_get(item, "revision")),
-                json_string_value(json_object_get(item, "value")));
+            put_document(s, key, json_integer_value(json_object_get(item, "revision")),
+                         json_string_value(json_object_get(item, "value")));
         }
     }
-    if (s->listing) {
-        put_deletions(s, items, revision);
+    if (s->is_full_listing) {
+        delete_unlisted(s, items, revision);
     }
-    commit(s, revision);
+    commit_revision(s, revision);
 }
 
 static bool on_platform_data(void* user, const char* data, size_t size) {
@@ -169,21 +169,21 @@
     json_t* root =
         (result->whole && result->status == 200) ? json_loadb(cw_buffer_text(&s->body), s->body.size, 0, NULL) : NULL;
     if (root) {
-        take_answer(s, root);
+        apply_platform_response(s, root);
         json_decref(root);
     } else {
-        set_state(s, PLATFORM_DOWN, result->whole ? "it answers with an error" : result->message);
-        back_off(s);
+        set_platform_state(s, PLATFORM_DOWN, result->whole ? "it answers with an error" : result->message);
+        schedule_retry(s);
     }
     cw_buffer_free(&s->body);
 }
 
-static void read_platform(sync_t* s) {
+static void poll_platform(sync_t* s) {
     const cw_settings_t* settings = &s->node->settings;
     int64_t revision = cw_store_revision(s->node->store);
     char url[CW_SETTINGS_TEXT_MAX + 96];
-    s->listing = revision == 0 || s->state != PLATFORM_OK;
-    if (s->listing) {
+    s->is_full_listing = revision == 0 || s->state != PLATFORM_OK;
+    if (s->is_full_listing) {
         snprintf(url, sizeof(url), "%s/v1/kv", settings->platform);
     } else {
         snprintf(url, sizeof(url), "%s/v1/watch?since=%lld&wait_ms=%u", settings->platform, (long long)revision,
@@ -198,7 +198,7 @@
 }
 
 /* The hosts of a hall that come first by rendezvous hash read for it. */
-static bool should_read(const sync_t* s) {
+static bool should_poll(const sync_t* s) {
     const node_t* node = s->node;
     uint64_t hosts[NODE_MAX_HOSTS];
     uint32_t count = 0;
@@ -214,27 +214,27 @@
 
 /* -- the list of hosts ---------------------------------------------------- */
 
-static void take_hosts(sync_t* s, json_t* root) {
+static void apply_host_list(sync_t* s, json_t* root) {
     node_t* node = s->node;
     json_t* list = json_object_get(root, "hosts");
     if (!json_array_size(list)) {
         return;
     }
-    node->listed_count = 0;
+    node->listed_host_count = 0;
     size_t i = 0;
     json_t* item = NULL;
     json_array_foreach(list, i, item) {
         const char* name = json_string_value(json_object_get(item, "name"));
         const char* role = json_string_value(json_object_get(item, "role"));
         const char* state = json_string_value(json_object_get(item, "state"));
-        if (name && role && state && node->listed_count < NODE_MAX_LISTED) {
-            node->listed[node->listed_count++] = (listed_host_t){.id = cw_name_id(name),
-                                                                 .is_router = strcmp(role, "router") == 0,
-                                                                 .leaving = strcmp(state, "leaving") == 0};
+        if (name && role && state && node->listed_host_count < NODE_MAX_LISTED) {
+            node->listed_hosts[node->listed_host_count++] = (listed_host_t){.id = cw_name_id(name),
+                                                                            .is_router = strcmp(role, "router") == 0,
+                                                                            .leaving = strcmp(state, "leaving") == 0};
         }
     }
-    entry_on_change(node->entry);
-    allocator_on_change(node->allocator);
+    entry_on_cluster_changed(node->entry);
+    allocator_on_cluster_changed(node->allocator);
 }
 
 static bool on_hosts_data(void* user, const char* data, size_t size) {
@@ -250,16 +250,16 @@
                        ? json_loadb(cw_buffer_text(&s->hosts_body), s->hosts_body.size, 0, NULL)
                        : NULL;
     if (root) {
-        take_hosts(s, root);
+        apply_host_list(s, root);
         json_decref(root);
     }
     cw_buffer_free(&s->hosts_body);
 }
 
 /* Every host reads the list for itself, rarely: it has no revision by which it could be passed on. */
-static void read_hosts(sync_t* s, int64_t now_ms) {
+static void poll_host_list(sync_t* s, int64_t now_ms) {
     uint32_t period_ms = s->node->settings.hosts_ms;
-    s->hosts_ms = now_ms + period_ms / 2 + randombytes_uniform(period_ms);
+    s->next_hosts_ms = now_ms + period_ms / 2 + randombytes_uniform(period_ms);
     char url[CW_SETTINGS_TEXT_MAX + 32];
     snprintf(url, sizeof(url), "%s/v1/hosts", s->node->settings.platform);
     s->calls++;
@@ -272,19 +272,19 @@
 
 /* -- peers ---------------------------------------------------------------- */
 
-void sync_on_revision(sync_t* s, uint64_t from, int64_t revision) {
-    int64_t now_ms = node_now();
-    if (revision <= cw_store_revision(s->node->store) || pull_outstanding(s, now_ms)) {
+void sync_on_peer_revision(sync_t* s, uint64_t from, int64_t revision) {
+    int64_t now_ms = node_now_ms();
+    if (revision <= cw_store_revision(s->node->store) || is_pull_outstanding(s, now_ms)) {
         return;
     }
     s->out.type = CW_MSG_PULL;
     s->out.pull_since = cw_store_revision(s->node->store);
     if (node_send(s->node, from, &s->out) == CW_OK) {
-        s->pulled_ms = now_ms;
+        s->pull_started_ms = now_ms;
     }
 }
 
-static void flush_chunk(sync_t* s, uint64_t to, bool last) {
+static void send_chunk(sync_t* s, uint64_t to, bool last) {
     s->out.chunk.last = last;
     s->out.chunk.revision = last ? cw_store_revision(s->node->store) : 0;
     node_send(s->node, to, &s->out);
@@ -292,7 +292,7 @@
 }
 
 /* Sends all that is newer than since: the version in force, then the newest where that is another. */
-static void send_chunks(sync_t* s, uint64_t to, int64_t since) {
+static void send_documents(sync_t* s, uint64_t to, int64_t since) {
     cw_chunk_t* chunk = &s->out.chunk;
     s->out.type = CW_MSG_CHUNK;
     chunk->count = 0;
@@ -311,43 +311,43 @@
             (cw_chunk_item_t){.key = item->key, .value = item->value, .revision = item->revision};
         bytes += item->value ? strlen(item->value) : 0;
         if (chunk->count + 2 > CW_CHUNK_MAX || bytes > CHUNK_BYTES) {
-            flush_chunk(s, to, false);
+            send_chunk(s, to, false);
             bytes = 0;
         }
     }
-    flush_chunk(s, to, true);
+    send_chunk(s, to, true);
 }
 
 void sync_on_message(sync_t* s, uint64_t from, const cw_msg_t* msg) {
     if (msg->type == CW_MSG_PULL) {
-        send_chunks(s, from, msg->pull_since);
+        send_documents(s, from, msg->pull_since);
         return;
     }
     for (uint32_t i = 0; i < msg->chunk.count; i++) {
         const cw_chunk_item_t* item = &msg->chunk.items[i];
-        put(s, item->key, item->revision, item->value);
+        put_document(s, item->key, item->revision, item->value);
     }
     if (msg->chunk.last) {
-        s->pulled_ms = 0;
-        commit(s, msg->chunk.revision);
+        s->pull_started_ms = 0;
+        commit_revision(s, msg->chunk.revision);
     }
 }
 
 void sync_tick(sync_t* s, int64_t now_ms) {
-    if (s->deferred && !pull_outstanding(s, now_ms)) {
-        commit(s, s->deferred); /* the pull was never ended */
+    if (s->deferred_revision && !is_pull_outstanding(s, now_ms)) {
+        commit_revision(s, s->deferred_revision); /* the pull was never ended */
     }
-    bool hosts_due = s->node->settings.platform[0] && !s->hosts_call && now_ms >= s->hosts_ms;
+    bool hosts_due = s->node->settings.platform[0] && !s->hosts_call && now_ms >= s->next_hosts_ms;
     if (hosts_due && cw_bucket_take(&s->bucket, now_ms, 1)) {
-        read_hosts(s, now_ms);
+        poll_host_list(s, now_ms);
     }
-    s->reader = s->node->settings.platform[0] && should_read(s);
-    if (!s->reader) {
+    s->is_poller = s->node->settings.platform[0] && should_poll(s);
+    if (!s->is_poller) {
         s->state = s->call ? s->state : PLATFORM_UNUSED;
         return;
     }
-    if (!s->call && now_ms >= s->next_ms && cw_bucket_take(&s->bucket, now_ms, 1)) {
-        read_platform(s);
+    if (!s->call && now_ms >= s->next_call_ms && cw_bucket_take(&s->bucket, now_ms, 1)) {
+        poll_platform(s);
     }
 }
 
