--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -1,4 +1,4 @@
-/* The way of a request from the entry to an upstream: wants, grants, direct mode, the transfer itself. */
+/* Dispatch of requests from the entry to upstreams: slot requests, grants, direct mode, attempts. */
 #include <jansson.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -7,15 +7,15 @@
 
 #include "entry_parts.h"
 
-#define SLOT_REQUEST_RESEND_MS 250    /* a waiting want asks for a sign of life this often */
-#define ALLOCATOR_RETRY_MS 250        /* a silent allocator is tried again after this */
-#define DIGEST_INTERVAL_MS 20000      /* between two digests; links are reliable, so only a broken one loses a report */
-#define DIGEST_AFTER_LOSS_MS 500      /* after the link to the allocator broke */
-#define REPORTED_WAIT_MAX_AGE_MS 5000 /* a shard's load told longer ago counts for nothing */
-#define AFFINITY_MAX_WAIT_MS 200      /* longer wait that prefix affinity may cost */
-#define DEADLINE_LOSS_SHARE 0.01      /* of engine work that may be lost at deadlines */
-#define DETACHED_MAX_MS 60000         /* a call whose caller was told may run on for this long */
-#define STREAM_HIGH_WATER_BYTES 262144 /* bytes held for a slow caller before the upstream is paused */
+#define SLOT_REQUEST_RESEND_MS 250     /* resend interval of a queued slot request, to check on the allocator */
+#define ALLOCATOR_RETRY_MS 250         /* an unresponsive allocator is tried again after this time */
+#define DIGEST_INTERVAL_MS 20000       /* peer connections are reliable: a release is lost only when one breaks */
+#define DIGEST_AFTER_LOSS_MS 500       /* after the connection to the allocator broke or a send failed */
+#define REPORTED_WAIT_MAX_AGE_MS 5000  /* older reports of a shard's queue wait are ignored */
+#define AFFINITY_MAX_WAIT_MS 200       /* additional queue wait accepted for prefix affinity */
+#define DEADLINE_LOSS_SHARE 0.01       /* largest share of upstream work that may be lost at deadlines */
+#define DETACHED_MAX_MS 60000          /* how long past its deadline a detached call may run */
+#define STREAM_HIGH_WATER_BYTES 262144 /* unsent output at which reading from the upstream is paused */
 
 #define HTTP_OK 200
 #define HTTP_SERVER_ERROR 500
@@ -42,7 +42,7 @@
 static void cancel_slot_request(request_t* r);
 static void request_slot(request_t* r);
 
-/* Takes over the shards and allocators of the present view. */
+/* Updates the list of shards, and this entry's static share of their upstreams, from the current configuration. */
 static void refresh_shards(entry_t* e) {
     cw_view_t* view = cw_store_view(e->node->store);
     for (uint32_t i = 0; i < e->shard_count; i++) {
@@ -70,7 +70,7 @@
     cw_view_release(view);
 }
 
-/* Tells a shard's new allocator what this entry holds and asks it anew for what waits. */
+/* Sends a shard's new allocator the grants that this entry holds, and resends the pending slot requests to it. */
 static void change_shard_owner(entry_t* e, uint32_t shard, uint64_t owner) {
     entry_shard_t* s = &e->shards[shard];
     s->owner = owner;
@@ -78,7 +78,7 @@
     s->unresponsive_since_ms = 0;
     s->wait_ms = 0;
     if (!s->last_received_ms) {
-        return; /* never used here */
+        return; /* this entry has not used the shard */
     }
     send_grant_list(e, shard, owner);
     for (uint32_t i = 0; i < e->max_requests; i++) {
@@ -89,7 +89,7 @@
     }
 }
 
-/* The shard that an upstream belongs to now; ENTRY_NONE when it is in none. */
+/* Returns the shard that the upstream belongs to in the given configuration, or ENTRY_NONE. */
 static uint32_t shard_of_upstream(const entry_t* e, const cw_view_t* view, uint64_t upstream) {
     const cw_upstream_t* u = cw_view_upstream(view, upstream);
     const cw_pool_t* pool = u ? cw_view_pool(view, u->pool_id) : NULL;
@@ -100,7 +100,7 @@
     return find_shard(e, cw_place_shard(pool->id, upstream, layout.ids, layout.count, layout.shard_count));
 }
 
-/* Counts a running request where its upstream is now. */
+/* Moves a running request to the shard that its upstream belongs to now. */
 static void reassign_running(entry_t* e, const cw_view_t* view, request_t* r) {
     uint32_t shard = shard_of_upstream(e, view, r->upstream);
     if (shard == ENTRY_NONE || shard == r->shard) {
@@ -109,12 +109,12 @@
     const uint32_t both[] = {r->shard, shard};
     r->shard = shard;
     for (int i = 0; i < 2; i++) {
-        e->shards[both[i]].next_digest_ms = 0; /* both allocators hear of it at once */
+        e->shards[both[i]].next_digest_ms = 0; /* both allocators get a digest with the next tick */
         e->shards[both[i]].has_reported_grants = true;
     }
 }
 
-/* Moves a waiting request to a shard that is; refuses it when its pool has none any more. */
+/* Requests a slot at another shard for a waiting request; refuses the request when its pool has no shard left. */
 static void request_slot_at_new_shard(request_t* r) {
     uint32_t shard = dispatch_choose_shard(r->entry, r);
     cancel_slot_request(r);
@@ -130,8 +130,8 @@
     request_arm(r);
 }
 
-/* The shards of a pool may have been cut anew: what runs is counted where its upstream is now, what waits at a shard
-   that is no more asks again. */
+/* Follows a change of the division of pools into shards: running requests move to the shard that their upstream belongs
+   to now; requests waiting at a removed shard request a slot at another one. */
 static void reassign_requests(entry_t* e) {
     cw_view_t* view = cw_store_view(e->node->store);
     for (uint32_t i = 0; i < e->max_requests; i++) {
@@ -165,8 +165,9 @@
     return (s->last_received_ms && now_ms - s->last_received_ms < REPORTED_WAIT_MAX_AGE_MS) ? s->wait_ms : 0;
 }
 
-/* The two shards that come first for the request: by its prefix, else at random; of them the one with the shorter wait,
-   with some patience for the first when a cached prefix may be there. */
+/* Chooses between the two highest-ranked shards by rendezvous hashing of the prompt prefix, or of a varying key when
+   there is no prefix. Takes the one with the shorter queue wait; with a prefix, the second must be shorter by more than
+   AFFINITY_MAX_WAIT_MS, since upstreams of the first may have the prefix cached. */
 uint32_t dispatch_choose_shard(entry_t* e, const request_t* r) {
     uint64_t key = r->prefix ? r->prefix : cw_mix(e->stats.requests, e->node->host);
     uint32_t best = ENTRY_NONE;
@@ -193,7 +194,7 @@
                : best;
 }
 
-/* -- reports to the allocator --------------------------------------------- */
+/* -- grants reported to the allocator ------------------------------------- */
 
 static bool has_grant_at(const request_t* r, uint32_t shard) {
     return r->is_used && r->grant && r->shard == shard;
@@ -257,7 +258,7 @@
     node_send(e->node, to, &e->out);
 }
 
-/* -- wants ---------------------------------------------------------------- */
+/* -- slot requests -------------------------------------------------------- */
 
 static void clear_seq(request_t* r) {
     if (r->seq) {
@@ -296,7 +297,7 @@
                        .hall = r->entry->node->hall};
 }
 
-/* Sends the want; the sequence number of a want that waits stays the same. */
+/* Sends or resends the slot request. A resent one keeps its sequence number, by which the allocator recognizes it. */
 static void send_slot_request(request_t* r) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
@@ -322,7 +323,7 @@
     clear_seq(r);
 }
 
-/* Takes a slot of this entry's own slice; false when there is none. */
+/* Assigns a slot of this entry's static share; returns false when none is free or the view of the fleet is stale. */
 static bool take_direct_slot(request_t* r) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
@@ -347,11 +348,12 @@
     return true;
 }
 
+/* Sends a slot request, or assigns a slot directly while the allocator is known to be unresponsive. */
 static void request_slot(request_t* r) {
     entry_shard_t* s = &r->entry->shards[r->shard];
     int64_t now_ms = node_now_ms();
-    bool silent = s->unresponsive_since_ms && now_ms - s->unresponsive_since_ms < ALLOCATOR_RETRY_MS;
-    if (silent && take_direct_slot(r)) {
+    bool is_unresponsive = s->unresponsive_since_ms && now_ms - s->unresponsive_since_ms < ALLOCATOR_RETRY_MS;
+    if (is_unresponsive && take_direct_slot(r)) {
         return;
     }
     assign_seq(r);
@@ -371,9 +373,9 @@
     }
 }
 
-/* -- the slot ------------------------------------------------------------- */
+/* -- slot release --------------------------------------------------------- */
 
-/* Gives the slot back: to this entry's own slice or to the allocator. */
+/* Releases the slot. The allocator is notified of direct grants too. */
 static void release_slot(request_t* r, cw_pick_result_t result) {
     entry_t* e = r->entry;
     if (!r->grant) {
@@ -397,8 +399,9 @@
     clear_seq(r);
 }
 
-/* -- the transfer --------------------------------------------------------- */
+/* -- attempt at an upstream ----------------------------------------------- */
 
+/* Called before the first byte is sent; false vetoes the attempt, since the grant has expired. */
 static bool on_sending(void* user) {
     request_t* r = user;
     if (node_now_ms() > r->grant_expires_ms) {
@@ -429,7 +432,7 @@
     }
 }
 
-/* Adds to the whole answer; false when it is longer than allowed, which ends the request. */
+/* Appends to the buffered response. If it becomes longer than max_answer, fails the request and returns false. */
 static bool buffer_response(request_t* r, const char* data, size_t size) {
     if (r->answer.body.size + size <= r->entry->node->settings.max_answer) {
         cw_buffer_add(&r->answer.body, data, size);
@@ -442,7 +445,7 @@
     return false;
 }
 
-/* Passes on the whole events of what has come. */
+/* Forwards the complete events received so far. */
 static void forward_events(request_t* r, const char* data, size_t size) {
     cw_buffer_add(&r->partial_event, data, size);
     size_t whole = cw_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
@@ -474,7 +477,7 @@
     return true;
 }
 
-/* Tokens that the engine says it generated; 0 when it does not say. */
+/* Returns the number of generated tokens that the response states, or 0. */
 static uint32_t parse_completion_tokens(const response_t* a) {
     json_t* root = json_loadb(cw_buffer_text(&a->body), a->body.size, 0, NULL);
     json_int_t tokens = json_integer_value(json_object_get(json_object_get(root, "usage"), "completion_tokens"));
@@ -482,6 +485,7 @@
     return tokens > 0 ? (uint32_t)tokens : 0;
 }
 
+/* Updates the estimates of cost and run time of the request's class and pool from a completed attempt. */
 static void update_estimates(request_t* r) {
     uint32_t output = r->stream.tokens;
     if (r->pool->engine && !r->is_streaming) {
@@ -505,7 +509,7 @@
     request_event(r, CW_EV_END);
 }
 
-/* A run that is cut tells that its kind can take at least as long. */
+/* A run aborted at its deadline shows that requests of its class and pool can take at least as long. */
 static void update_estimate_at_deadline(request_t* r) {
     if (r->sent_ms && r->grant) {
         cw_estimate_add(&r->estimate->run_time_ms, (uint32_t)(node_now_ms() - r->sent_ms));
@@ -548,7 +552,7 @@
     const cw_upstream_t* u = cw_view_upstream(r->view, r->upstream);
     cw_view_t* newest = cw_store_view(e->node->store);
     if (!u) {
-        u = cw_view_upstream(newest, r->upstream); /* published after this request came */
+        u = cw_view_upstream(newest, r->upstream); /* published after this request arrived */
     }
     char url[CW_ADDRESS_MAX + 300];
     char tier[8];
@@ -584,9 +588,9 @@
                                                                 .user_data = r});
 }
 
-/* -- the machine ---------------------------------------------------------- */
+/* -- state machine -------------------------------------------------------- */
 
-/* What the upstream shall be told of how the attempt ended. */
+/* Result of the attempt, as reported with the release of its slot. */
 static cw_pick_result_t slot_result(const request_t* r, cw_request_event_t event) {
     switch (event) {
         case CW_EV_END:
@@ -603,24 +607,24 @@
 }
 
 void request_event(request_t* r, cw_request_event_t event) {
-    uint32_t todo = cw_request_event(&r->machine, event);
-    if ((todo & CW_DO_ABORT) && r->call) {
+    uint32_t actions = cw_request_event(&r->machine, event);
+    if ((actions & CW_DO_ABORT) && r->call) {
         cw_call_cancel(r->call);
         r->call = NULL;
     }
-    if (todo & CW_DO_RETURN) {
+    if (actions & CW_DO_RETURN) {
         release_slot(r, slot_result(r, event));
     }
-    if (todo & CW_DO_WITHDRAW) {
+    if (actions & CW_DO_WITHDRAW) {
         cancel_slot_request(r);
     }
-    if (todo & CW_DO_WANT) {
+    if (actions & CW_DO_WANT) {
         request_slot(r);
     }
-    if (todo & CW_DO_CONNECT) {
+    if (actions & CW_DO_CONNECT) {
         connect_upstream(r);
     }
-    if (todo & CW_DO_ANSWER) {
+    if (actions & CW_DO_ANSWER) {
         request_respond(r);
     }
     if (r->machine.state == CW_REQ_ENDED) {
@@ -640,7 +644,8 @@
     return r->class->is_protected ? s->silent_protected_ms : s->silent_ms;
 }
 
-/* Time at which the attempt counts as stalled: a frozen engine says nothing and breaks nothing. INT64_MAX: never. */
+/* Time at which the attempt counts as stalled, INT64_MAX: never. Needed because a frozen upstream sends nothing but
+   keeps its connection open. */
 static int64_t stall_time_ms(const request_t* r) {
     bool runs = r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING;
     if (!runs || !r->machine.resumable || !r->machine.repeatable || r->is_upstream_paused) {
@@ -673,9 +678,9 @@
     if (r->machine.state == CW_REQ_DETACHED) {
         at_ms = r->deadline_ms + DETACHED_MAX_MS;
     } else if (r->machine.state == CW_REQ_WAITING) {
-        int64_t ask_ms =
+        int64_t resend_ms =
             r->unacknowledged_since_ms ? r->unacknowledged_since_ms + allocator_timeout_ms(r) : r->next_resend_ms;
-        at_ms = ask_ms < at_ms ? ask_ms : at_ms;
+        at_ms = resend_ms < at_ms ? resend_ms : at_ms;
     }
     int64_t stall_ms = stall_time_ms(r);
     at_ms = stall_ms < at_ms ? stall_ms : at_ms;
@@ -691,7 +696,7 @@
 static void reject_joined_at_deadline(request_t* r) {
     request_set_error(r, HTTP_TIMEOUT, "deadline", "joined", NULL, "the call still runs", 1000);
     r->is_answered = true;
-    r->machine.bytes_left = true; /* by the call this one repeats */
+    r->machine.bytes_left = true; /* sent by the running call that this request retries */
     r->machine.state = CW_REQ_ENDED;
     request_respond(r);
     request_free(r);
@@ -711,7 +716,7 @@
     } else if (now_ms >= stall_time_ms(r)) {
         attempt_stalled(r);
     } else if (r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING) {
-        request_arm(r); /* tokens have come since the timer was set */
+        request_arm(r); /* the attempt made progress since the timer was set */
     } else if (r->machine.state == CW_REQ_WAITING) {
         if (r->unacknowledged_since_ms) {
             on_allocator_unresponsive(r, now_ms);
@@ -731,7 +736,8 @@
     int64_t now_ms = node_now_ms();
     uint32_t i = cw_heap_top(&e->timers);
     while (i != CW_HEAP_NONE && cw_heap_key(&e->timers, i) <= (double)now_ms) {
-        cw_heap_set(&e->timers, i, (double)(now_ms + SLOT_REQUEST_RESEND_MS)); /* never the same at once again */
+        /* Set first, so that the loop ends even if the handler leaves the timer as it is. */
+        cw_heap_set(&e->timers, i, (double)(now_ms + SLOT_REQUEST_RESEND_MS));
         on_request_timer(&e->requests[i], now_ms);
         i = cw_heap_top(&e->timers);
     }
@@ -742,12 +748,12 @@
     send_digests(e, now_ms);
 }
 
-/* -- messages of the allocator -------------------------------------------- */
+/* -- messages from the allocator ------------------------------------------ */
 
 static void on_grant(entry_t* e, request_t* r, uint64_t from, const cw_msg_t* msg) {
     const cw_shard_action_t* a = &msg->action;
     if (r && r->grant == a->grant) {
-        return; /* told once more */
+        return; /* duplicate */
     }
     if (!r || r->machine.state != CW_REQ_WAITING || r->grant) {
         const cw_done_t unused = {.grant = a->grant, .result = CW_PICK_UNUSED};
@@ -761,7 +767,7 @@
     request_event(r, CW_EV_GRANT);
 }
 
-/* The next shard of the pool that the request has not asked, in order of index from the first; ENTRY_NONE after all. */
+/* Returns the pool's next shard in cyclic order of index, or ENTRY_NONE once the request's first shard is reached. */
 static uint32_t next_shard(const request_t* r) {
     const entry_t* e = r->entry;
     for (uint32_t k = 1; k < e->shard_count; k++) {
@@ -776,7 +782,9 @@
     return ENTRY_NONE;
 }
 
-/* A protected request is refused only when every shard of its pool has refused it: lower work may wait at another. */
+/* Requests a slot at the pool's next shard, if there is one left. A protected request is refused only after every shard
+   of its pool has refused it, since another shard may have requests of lower priority waiting. Refusals by the
+   workspace's rate limit are final. */
 static bool request_slot_at_next_shard(request_t* r, const cw_shard_action_t* a) {
     uint32_t next = r->class->is_protected && a->refusal != CW_REFUSED_RATE ? next_shard(r) : ENTRY_NONE;
     if (next == ENTRY_NONE) {
@@ -843,7 +851,7 @@
     int64_t now_ms = node_now_ms();
     for (uint32_t i = 0; i < e->shard_count; i++) {
         if (e->shards[i].owner == host && e->shards[i].last_received_ms) {
-            e->shards[i].next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS; /* reports on their way were lost */
+            e->shards[i].next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS; /* releases in transit were lost */
             e->shards[i].has_reported_grants = true;
         }
     }
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -1,4 +1,4 @@
-/* The entry role: callers' requests are accepted, classified and answered here. */
+/* The entry: accepts requests of callers, classifies them and responds. */
 #include <jansson.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -9,8 +9,8 @@
 
 #include "entry_parts.h"
 
-#define PREFIX_BYTES 256  /* of the prompt, hashed for cache affinity */
-#define BYTES_PER_TOKEN 4 /* rough length of a token */
+#define PREFIX_BYTES 256  /* length of the prompt prefix that is hashed for cache affinity */
+#define BYTES_PER_TOKEN 4 /* rough average */
 #define RETRY_BURST 20
 #define BEARER "Bearer "
 
@@ -22,7 +22,7 @@
 #define HTTP_UNPROCESSABLE 422
 #define HTTP_UNAVAILABLE 503
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
 static void response_free(void* answer, void* user) {
     (void)user;
@@ -53,7 +53,7 @@
     cw_copy(a->message, sizeof(a->message), message);
 }
 
-/* Ends a stream whose start has been passed on. */
+/* Ends a stream that has begun: normally, or with an error event and a broken connection. */
 static void finish_stream(request_t* r) {
     if (r->answer.outcome != CW_OUTCOME_DELIVERED) {
         char event[CW_MESSAGE_MAX * 2];
@@ -84,7 +84,7 @@
            (long long)(now_ms - r->start_ms));
 }
 
-/* Answers the repeats that wait for this call. */
+/* Responds to the retries that wait for this call. */
 static void respond_to_joined(entry_t* e, const request_t* owner) {
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
@@ -102,7 +102,7 @@
     }
 }
 
-/* Settles the run-once record: kept when anything may have run, released when nothing did. */
+/* If the call may have run, completes its run-once record and stores the response; otherwise aborts the record. */
 static void settle_runonce_record(request_t* r) {
     entry_t* e = r->entry;
     if (r->runonce_record == CW_RUN_NONE) {
@@ -133,7 +133,7 @@
     }
     r->x = NULL;
     if (r->machine.state == CW_REQ_ENDED) {
-        r->answer.outcome = cw_request_outcome(&r->machine); /* may be better than what the caller was told */
+        r->answer.outcome = cw_request_outcome(&r->machine); /* may be better than the outcome sent to the caller */
         settle_runonce_record(r);
     }
 }
@@ -177,7 +177,7 @@
     return r;
 }
 
-/* Ends a request before anything was asked for. */
+/* Ends a request before a slot has been requested for it. */
 static void reject(request_t* r, unsigned status, const char* code, const char* step, const char* message,
                    uint32_t retry_after_ms) {
     request_set_error(r, status, code, step, NULL, message, retry_after_ms);
@@ -213,7 +213,7 @@
     return false;
 }
 
-/* Pool of the class that serves the model; the class's first engine pool when no model is named. */
+/* Returns the class's pool that serves the model, or its first pool of inference engines when model is NULL. */
 static const cw_pool_t* find_pool_by_model(const request_t* r, const char* model) {
     for (uint32_t i = 0; i < r->class->pool_count; i++) {
         const cw_pool_t* pool = cw_view_pool(r->view, cw_name_id(r->class->pools[i]));
@@ -241,19 +241,19 @@
     return true;
 }
 
-static uint64_t prefix_hash(const char* text, size_t size) {
+static uint64_t hash_prefix(const char* text, size_t size) {
     uint64_t hash = XXH64(text, size < PREFIX_BYTES ? size : PREFIX_BYTES, 0);
     return hash ? hash : 1;
 }
 
-/* Hash of the start of the first message or of the prompt. */
+/* Hashes the first PREFIX_BYTES bytes of the prompt or of the first message; 0: none. */
 static uint64_t hash_prompt_prefix(json_t* root) {
     json_t* prompt = json_object_get(root, "prompt");
     if (!json_is_string(prompt)) {
         prompt = json_object_get(json_array_get(json_object_get(root, "messages"), 0), "content");
     }
     const char* text = json_string_value(prompt);
-    return text ? prefix_hash(text, strlen(text)) : 0;
+    return text ? hash_prefix(text, strlen(text)) : 0;
 }
 
 static bool classify_model(request_t* r) {
@@ -278,7 +278,7 @@
     return r->pool != NULL;
 }
 
-/* /v1/services/POOL/rest goes to the pool as /rest. */
+/* Routes /v1/services/POOL/rest to the pool, with the path /rest. */
 static bool classify_service(request_t* r, const char* path) {
     char name[CW_NAME_MAX];
     const char* rest = strchr(path, '/');
@@ -305,7 +305,7 @@
     return classify_model(r);
 }
 
-/* -- run-once names ------------------------------------------------------- */
+/* -- idempotency keys ----------------------------------------------------- */
 
 static void replay_response(request_t* r, const response_t* stored) {
     r->answer.outcome = stored->outcome;
@@ -315,7 +315,8 @@
     request_free(r);
 }
 
-/* An outcome that does not follow from this request's own transfers: the call may have run elsewhere or earlier. */
+/* Rejects a request with an outcome that does not follow from its own attempts: the call may have run at another host
+   or earlier. */
 static void reject_runonce(request_t* r, cw_outcome_t outcome, const char* code, const char* message) {
     request_set_error(r, HTTP_CONFLICT, code, "run-once", NULL, message, 0);
     r->is_answered = true;
@@ -326,7 +327,7 @@
     request_free(r);
 }
 
-/* Handles the name of a non-repeatable call; true when the request shall run. */
+/* Handles the idempotency key of a non-repeatable call; returns true if the request is to run. */
 static bool begin_runonce(request_t* r) {
     entry_t* e = r->entry;
     const char* name = cw_exchange_header(r->x, "Idempotency-Key");
@@ -383,7 +384,7 @@
     return &e->estimates[i];
 }
 
-/* Counters of the workspace and class; the last place counts all that do not fit. */
+/* Returns the counters of the workspace and class. The last element counts all that have none of their own. */
 static metric_t* find_metric(entry_t* e, const request_t* r) {
     uint64_t key = cw_mix(r->workspace->id, r->class->id);
     uint32_t i = cw_map_get(&e->by_metric, key);
@@ -401,6 +402,7 @@
     return m;
 }
 
+/* Estimates the cost in units of one output token; 8 prompt tokens of an inference request cost one unit. */
 static void estimate_cost(request_t* r) {
     uint32_t prompt = r->pool->engine ? (uint32_t)(r->body_size / BYTES_PER_TOKEN) : 0;
     uint32_t output = cw_estimate_get(&r->estimate->cost, 0.8, r->class->cost);
@@ -561,7 +563,7 @@
     return e->runonce;
 }
 
-/* Appends the cumulative buckets of a histogram. */
+/* Writes a histogram in Prometheus text format, with cumulative buckets. */
 static void write_hist(FILE* out, const char* name, const metric_t* m, const cw_hist_t* hist) {
     static const uint32_t bounds[] = {5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 30000, 60000};
     uint64_t seen = 0;
