--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -1,4 +1,4 @@
-/* The shards that this host allocates: messages in, grants out, load reports of their upstreams. */
+/* Allocator: handles slot requests for the shards that this host owns, and polls their upstreams for load reports. */
 #include <jansson.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -6,34 +6,36 @@
 
 #include "node.h"
 
-#define IDLE_TIMEOUT_MS 60000 /* a shard nobody uses is dropped after this */
-#define MAX_ACKS 256          /* wants taken in one turn of the loop that are told they wait */
-#define MAX_LOAD_CALLS 128    /* load reports read at once; more wait for the next period */
+#define IDLE_TIMEOUT_MS 60000 /* a shard without messages and running grants is dropped after this time */
+#define MAX_ACKS 256          /* slot requests acknowledged per loop iteration */
+#define MAX_LOAD_CALLS 128    /* concurrent calls for load reports; further ones wait for the next period */
 #define LOAD_CALL_TIMEOUT_MS 2000
-#define LOAD_CALL_INTERVAL_MS 400 /* a shard reads one report in this time on average */
+#define LOAD_CALL_INTERVAL_MS 400 /* average interval between two calls of one shard */
 #define REFUSAL_RETRY_AFTER_MS 1000
 
+/* A shard that this host allocates. */
 typedef struct owned_shard_t {
     uint64_t id;
     uint64_t pool;
     cw_shard_t* shard;
     int64_t last_used_ms;
-    int64_t next_report_ms;   /* next reading of load reports */
-    bool has_pending_actions; /* has something to send */
-    uint32_t shard_count;     /* of the pool */
+    int64_t next_report_ms;   /* when to request load reports again */
+    bool has_pending_actions; /* the shard got messages and may have actions to send */
+    uint32_t shard_count;     /* number of shards in the pool */
 } owned_shard_t;
 
-/* A want that came in this turn of the loop. It is answered at the turn's end: never from within its arrival. */
+/* Acknowledgement or refusal of a slot request received in this loop iteration. It is sent at the end of the iteration,
+   never from within the handler of the request. */
 typedef struct ack_t {
     uint64_t shard, entry;
     uint32_t seq;
-    cw_refusal_t refusal; /* it could not be queued */
+    cw_refusal_t refusal; /* reason for which it was not queued, CW_REFUSED_NONE: it was queued */
 } ack_t;
 
-/* One reading of an upstream's load. */
+/* A call that requests an upstream's load report. */
 typedef struct load_call_t {
     node_t* node;
-    cw_call_t* call; /* NULL: free */
+    cw_call_t* call; /* NULL: this element is unused */
     uint64_t shard, upstream;
     char body[512];
     size_t size;
@@ -46,7 +48,7 @@
     ack_t acks[MAX_ACKS];
     uint32_t ack_count;
     ev_prepare prepare;
-    load_call_t load_calls[MAX_LOAD_CALLS]; /* being read */
+    load_call_t load_calls[MAX_LOAD_CALLS];
     cw_msg_t out;
 };
 
@@ -61,7 +63,7 @@
     return NULL;
 }
 
-/* Sets the shard's upstreams from the configuration. */
+/* Sets the shard's upstreams from the configuration and returns their number. */
 static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_view_t* view,
                                     const cw_pool_t* pool) {
     cw_pick_spec_t specs[CW_PICK_MAX];
@@ -72,8 +74,10 @@
     return count;
 }
 
-/* Partition rule: a host that the platform lists and that is dead in this view may be serving callers on the other side
-   of a cut, with an allocator of its own there. This side uses the share of the limits that matches who it sees. */
+/* Limits the shard to this host's side of a network partition. A host that the platform lists and that is dead in this
+   host's view may still serve callers on the other side, with an allocator of its own. So this side uses only the share
+   of the limits that equals its share of the listed hosts. A host that refuses connections counts as seen: its process
+   has ended, so it cannot be serving. */
 static void set_visible_share(const node_t* node, const owned_shard_t* owned) {
     uint32_t router_count = 0;
     uint32_t seen = 0;
@@ -89,7 +93,7 @@
     cw_shard_visible(owned->shard, seen, router_count);
 }
 
-/* Pool that has a shard of this id, or NULL. */
+/* Returns the pool that has a shard of this id, or NULL. */
 static const cw_pool_t* find_pool_of_shard(const cw_view_t* view, uint64_t shard) {
     for (uint32_t i = 0; i < view->pool_count; i++) {
         pool_layout_t layout = node_pool_layout(view, &view->pools[i]);
@@ -102,6 +106,9 @@
     return NULL;
 }
 
+/* Begins to allocate a shard. While it does not know all running grants, it uses only the share of the limits that
+   equals the share of entries that have reported theirs, for at most
+   grant_ms. */
 static owned_shard_t* take_shard(allocator_t* a, uint64_t shard) {
     node_t* node = a->node;
     cw_view_t* view = cw_store_view(node->store);
@@ -162,7 +169,7 @@
     }
 }
 
-/* Refuses a want that no queue took. */
+/* Refuses a slot request that was not queued. */
 static void send_refusal(allocator_t* a, const ack_t* ack) {
     a->out.type = CW_MSG_ACTION;
     a->out.shard = ack->shard;
@@ -175,7 +182,8 @@
     node_send(a->node, ack->entry, &a->out);
 }
 
-/* At the end of a turn of the loop: decides for every shard that got messages, then tells the wants that still wait. */
+/* Runs at the end of a loop iteration: sends the actions of every shard that got messages, then acknowledges the slot
+   requests that remain queued. */
 static void on_prepare(struct ev_loop* loop, ev_prepare* w, int events) {
     (void)loop;
     (void)events;
@@ -201,7 +209,8 @@
 
 /* -- messages ------------------------------------------------------------- */
 
-/* Notes that a want is to be told of at the end of the turn. An entry that is not told asks again. */
+/* Schedules an acknowledgement for the end of the loop iteration. If the list is full it is dropped: the entry then
+   resends its slot request. */
 static void queue_ack(allocator_t* a, uint64_t shard, uint64_t entry, uint32_t seq, cw_refusal_t refusal) {
     if (a->ack_count < MAX_ACKS) {
         a->acks[a->ack_count++] = (ack_t){.shard = shard, .entry = entry, .seq = seq, .refusal = refusal};
@@ -209,7 +218,7 @@
     }
 }
 
-/* Adds the hard limits of the workspace. Each shard of a pool enforces its even part. */
+/* Sets the hard limits of the workspace. Each shard of a pool enforces an even share of them. */
 static void add_workspace_limits(const allocator_t* a, const owned_shard_t* owned, cw_want_t* want) {
     cw_view_t* view = cw_store_view(a->node->store);
     const cw_workspace_t* workspace = cw_view_workspace(view, want->workspace);
@@ -239,7 +248,7 @@
         owned = take_shard(a, msg->shard);
     }
     if (!owned) {
-        return; /* the entry's configuration is newer or older than this host's: it asks again when it hears nothing */
+        return; /* the entry's configuration is newer or older than this host's; it resends when there is no response */
     }
     owned->last_used_ms = now_ms;
     owned->has_pending_actions = true;
@@ -348,7 +357,8 @@
     cw_view_release(view);
 }
 
-/* A large shard reads its reports less often: the bytes a second stay within their budget. */
+/* Returns the time between two load reports of an upstream, in milliseconds. It grows with the shard, so that the
+   traffic of load reports stays within its budget of bytes per second. */
 static int64_t load_report_period_ms(const allocator_t* a, const owned_shard_t* owned) {
     int64_t period_ms = (int64_t)cw_shard_upstream_count(owned->shard) * LOAD_CALL_INTERVAL_MS;
     return period_ms > a->node->settings.report_ms ? period_ms : a->node->settings.report_ms;
@@ -375,7 +385,8 @@
     allocator_t* a = cw_alloc(NULL, 1, sizeof(*a));
     a->node = node;
     ev_prepare_init(&a->prepare, on_prepare);
-    ev_set_priority(&a->prepare, EV_MINPRI + 1); /* after the turn's messages, before they are written out */
+    ev_set_priority(&a->prepare,
+                    EV_MINPRI + 1); /* after all messages of the iteration are handled, before responses are written */
     a->prepare.data = a;
     ev_prepare_start(node->loop, &a->prepare);
     return a;
