--- a/daemon/lookup.c
+++ b/daemon/lookup.c
@@ -1,4 +1,4 @@
-/* Lookup answers: which addresses a caller may use, for how long, and its ticket. */
+/* Lookup responses: addresses that a caller may use, how long it may cache them, a ticket for idempotency keys. */
 #include <jansson.h>
 #include <math.h>
 #include <sodium.h>
@@ -10,10 +10,11 @@
 
 typedef struct candidate_t {
     const cw_member_t* member;
-    double score; /* higher comes first */
+    double score; /* the highest is listed first */
 } candidate_t;
 
-/* Own hall before others; within a hall at random, weighted by room, so that callers spread. */
+/* Ranks members of this hall before others and suspected ones last. Within a hall the order is random, weighted by free
+   capacity, to spread callers over the hosts. */
 static double score_member(const node_t* node, const cw_member_t* m, uint32_t room) {
     double random = ((double)randombytes_random() + 1.0) / 4294967297.0;
     double score = pow(random, 1.0 / (room + 1.0));
--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,4 +1,4 @@
-/* chalkwayd: one process of the router. See docs/operators/settings.md. */
+/* chalkwayd: the router's daemon. For settings see docs/operators/settings.md. */
 #include <signal.h>
 #include <stdio.h>
 #include <sysexits.h>
--- a/daemon/node.c
+++ b/daemon/node.c
@@ -10,8 +10,8 @@
 #include <time.h>
 
 #define TICK_INTERVAL_S 0.05
-#define SUSPEND_DETECT_MS 1000 /* a gap of the loop longer than this means that the process was paused */
-#define STALE_VIEW_MAX_MS 400  /* after a pause, wait at most this long for a peer before trusting the view */
+#define SUSPEND_DETECT_MS 1000 /* a gap between ticks of this length means that the process was suspended */
+#define STALE_VIEW_MAX_MS 400  /* after a resume, longest wait for gossip before the view is trusted again */
 #define STOP_MAX_MS 120000
 
 int64_t node_now_ms(void) {
@@ -116,7 +116,7 @@
     }
 }
 
-/* Tells the parts of a change of members, once for each change. */
+/* Notifies entry and allocator of a membership change, once per change. */
 static void notify_members_changed(node_t* node) {
     uint64_t changes = cw_members_changes(node->members);
     if (changes == node->notified_change_count) {
@@ -149,7 +149,8 @@
         cw_members_doubt(node->members, node_now_ms(), host);
         const cw_member_t* member = cw_members_find(node->members, host);
         if (member && !member->info.leaving && member->info.state == CW_MEMBER_ALIVE) {
-            cw_peers_open(node->peers, host, member->info.peer); /* a refusal tells at once that the process is gone */
+            /* A refused connection shows at once that the process has ended. */
+            cw_peers_open(node->peers, host, member->info.peer);
         }
     }
     send_gossip(node);
@@ -161,8 +162,9 @@
     cw_log(&node->log, CW_EVENT_PEER_REFUSED, "step=%s peer=%s reason=\"%s\"", err->step, err->peer, err->message);
 }
 
-/* -- time ----------------------------------------------------------------- */
+/* -- timer and stop ------------------------------------------------------- */
 
+/* Detects by the time between two ticks that the process was suspended. */
 static void detect_suspension(node_t* node, int64_t now_ms) {
     int64_t gap_ms = node->last_tick_ms ? now_ms - node->last_tick_ms : 0;
     node->last_tick_ms = now_ms;
@@ -182,8 +184,8 @@
     return node->stop.phase != CW_STOP_NOT;
 }
 
-/* A planned stop is complete when the lookup answers that name this host have run out and nothing is in flight. The
-   other events of this turn are still handled after the loop was told to end. */
+/* Ends the loop when a graceful stop is complete: the lookup responses that list this host have expired and no request
+   is active, or STOP_MAX_MS have passed. The remaining events of this iteration are still handled after ev_break. */
 static void check_stop_complete(node_t* node, int64_t now_ms) {
     uint32_t active = entry_stats(node->entry).active;
     if (cw_stop_step(&node->stop, now_ms, active) == CW_STOP_ENDED) {
@@ -304,7 +306,8 @@
     ev_timer_start(node->loop, &node->tick);
 }
 
-/* Before the other parts: a signal that comes while they are set up waits for the loop, and doesn't end the process. */
+/* Runs before the other modules are set up, so that a signal during their setup is handled by the loop and does not
+   kill the process. */
 static void setup_signals(node_t* node) {
     ev_signal_init(&node->on_term, on_stop_signal, SIGTERM);
     ev_signal_init(&node->on_int, on_stop_signal, SIGINT);
@@ -371,7 +374,7 @@
     free(node);
 }
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
 void reply_json(cw_exchange_t* x, unsigned status, const char* text) {
     const cw_header_t headers[] = {{"Content-Type", "application/json"}};
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -1,4 +1,4 @@
-/* The operator API: resources with their status, validation, the state of this host, metrics. */
+/* The operator API: resources and their status, validation of documents, status of this host, metrics. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,14 +9,14 @@
 #define MAX_LONG_POLLS 64
 #define LONG_POLL_MAX_MS 60000
 
-/* A long poll that waits for a revision above since. */
+/* A request held open until the configuration's revision exceeds since. */
 typedef struct long_poll_t {
     cw_exchange_t* x;
     int64_t since;
     int64_t expires_ms;
 } long_poll_t;
 
-static long_poll_t long_polls[MAX_LONG_POLLS]; /* of the one node of the process */
+static long_poll_t long_polls[MAX_LONG_POLLS]; /* static, since a process has a single node */
 
 /* -- resources ------------------------------------------------------------ */
 
@@ -42,7 +42,7 @@
     json_decref(root);
 }
 
-/* path is KIND or KIND/NAME. */
+/* Responds with one resource or all of a kind; path is KIND/NAME or KIND. */
 static void reply_resources(const node_t* node, cw_exchange_t* x, const char* path) {
     if (strchr(path, '/')) {
         const cw_item_t* item = cw_store_find(node->store, path);
@@ -63,7 +63,8 @@
     reply_object(x, json_pack("{s:I,s:o}", "revision", (json_int_t)cw_store_revision(node->store), "items", list));
 }
 
-/* Keeps a request with ?since=REVISION open until the configuration is newer. */
+/* Holds a request with ?since=REVISION open until the configuration is newer or the wait time has passed. Returns false
+   if the response is due at once, also when too many requests are held. */
 static bool hold_until_change(const node_t* node, cw_exchange_t* x) {
     const char* since = cw_exchange_arg(x, "since");
     const char* wait = cw_exchange_arg(x, "wait_ms");
@@ -126,7 +127,7 @@
     json_decref(root);
 }
 
-/* -- this host ------------------------------------------------------------ */
+/* -- status and metrics --------------------------------------------------- */
 
 static json_t* members_json(const node_t* node) {
     json_t* list = json_array();
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -1,4 +1,4 @@
-/* Configuration: read from the platform by a few hosts of each hall, passed on to all by revision. */
+/* Configuration: a few hosts of each hall poll the platform; the others pull newer revisions from their peers. */
 #include <jansson.h>
 #include <sodium.h>
 #include <stdio.h>
@@ -12,26 +12,26 @@
 #define CALL_TIMEOUT_MS 5000
 #define BACKOFF_MIN_MS 200
 #define BACKOFF_MAX_MS 10000
-#define CHUNK_BYTES 65536 /* a chunk is sent when its texts reach this size */
+#define CHUNK_BYTES 65536 /* a chunk is sent once its documents exceed this size */
 #define PLATFORM_BURST 4
 
 typedef enum platform_state_t { PLATFORM_UNUSED, PLATFORM_OK, PLATFORM_DOWN, PLATFORM_STALE } platform_state_t;
 
 struct sync_t {
     node_t* node;
-    cw_call_t* call;      /* to the platform */
-    bool is_full_listing; /* the call lists all keys; else it watches */
+    cw_call_t* call;      /* running call to the platform, NULL: none */
+    bool is_full_listing; /* the call lists all documents; otherwise it waits for changes */
     cw_buffer_t body;
     cw_bucket_t bucket;
     uint32_t backoff_ms;
     int64_t next_call_ms;
     platform_state_t state;
     uint64_t calls;
-    cw_call_t* hosts_call; /* reads the list of hosts */
+    cw_call_t* hosts_call; /* requests the list of hosts, NULL: none running */
     cw_buffer_t hosts_body;
-    int64_t next_hosts_ms;     /* next reading of the list */
-    int64_t pull_started_ms;   /* a pull is outstanding since, 0: none */
-    int64_t deferred_revision; /* revision to commit when the pull is over, 0: none */
+    int64_t next_hosts_ms;     /* when to request the list of hosts again */
+    int64_t pull_started_ms;   /* when the outstanding pull was sent, 0: none */
+    int64_t deferred_revision; /* revision to commit after the outstanding pull, 0: none */
     bool is_poller;
     cw_msg_t out;
 };
@@ -57,7 +57,8 @@
     return s->pull_started_ms && now_ms - s->pull_started_ms < PULL_TIMEOUT_MS;
 }
 
-/* Makes what was put the configuration in force; not while a pull has put only a part of what it brings. */
+/* Makes the stored documents the active configuration. Deferred while a pull is outstanding, since only a part of its
+   documents may have arrived. */
 static void commit_revision(sync_t* s, int64_t revision) {
     if (is_pull_outstanding(s, node_now_ms())) {
         s->deferred_revision = revision > s->deferred_revision ? revision : s->deferred_revision;
@@ -86,7 +87,7 @@
     }
 }
 
-/* -- the platform --------------------------------------------------------- */
+/* -- platform ------------------------------------------------------------- */
 
 static void set_platform_state(sync_t* s, platform_state_t state, const char* reason) {
     if (state == s->state) {
@@ -102,14 +103,14 @@
     s->state = state;
 }
 
-/* Waits longer after each failure, with jitter, so that a returning platform is not stormed. */
+/* Schedules the next poll with exponential backoff and jitter, so that a recovering platform is not overloaded. */
 static void schedule_retry(sync_t* s) {
     s->backoff_ms = s->backoff_ms ? s->backoff_ms * 2 : BACKOFF_MIN_MS;
     s->backoff_ms = s->backoff_ms > BACKOFF_MAX_MS ? BACKOFF_MAX_MS : s->backoff_ms;
     s->next_call_ms = node_now_ms() + s->backoff_ms / 2 + randombytes_uniform(s->backoff_ms);
 }
 
-/* A key that a full list does not hold is deleted, unless something newer is known of it. */
+/* Deletes the documents that a full list does not contain, except those with a revision above the list's. */
 static void delete_unlisted(sync_t* s, json_t* items, int64_t revision) {
     cw_store_t* store = s->node->store;
     json_t* listed_keys = json_object();
@@ -131,12 +132,12 @@
     int64_t revision = json_integer_value(json_object_get(root, "revision"));
     json_t* items = json_object_get(root, "items");
     if (!json_is_array(items) || revision <= 0) {
-        set_platform_state(s, PLATFORM_DOWN, "the answer is not understood");
+        set_platform_state(s, PLATFORM_DOWN, "invalid response: no items or no revision");
         schedule_retry(s);
         return;
     }
     if (revision < cw_store_revision(s->node->store)) {
-        set_platform_state(s, PLATFORM_STALE, "its revision is lower than one already seen");
+        set_platform_state(s, PLATFORM_STALE, "revision is lower than the local one");
         schedule_retry(s);
         return;
     }
@@ -172,7 +173,8 @@
         apply_platform_response(s, root);
         json_decref(root);
     } else {
-        set_platform_state(s, PLATFORM_DOWN, result->whole ? "it answers with an error" : result->message);
+        set_platform_state(s, PLATFORM_DOWN,
+                           result->whole ? "response status is not 200 or body is not JSON" : result->message);
         schedule_retry(s);
     }
     cw_buffer_free(&s->body);
@@ -197,7 +199,7 @@
                                                                 .user_data = s});
 }
 
-/* The hosts of a hall that come first by rendezvous hash read for it. */
+/* Whether this host is among its hall's pollers: the settings.readers highest-ranked hosts by rendezvous hashing. */
 static bool should_poll(const sync_t* s) {
     const node_t* node = s->node;
     uint64_t hosts[NODE_MAX_HOSTS];
@@ -212,7 +214,7 @@
     return cw_place_rank(key, node->host, hosts, count) < node->settings.readers;
 }
 
-/* -- the list of hosts ---------------------------------------------------- */
+/* -- list of hosts -------------------------------------------------------- */
 
 static void apply_host_list(sync_t* s, json_t* root) {
     node_t* node = s->node;
@@ -256,7 +258,7 @@
     cw_buffer_free(&s->hosts_body);
 }
 
-/* Every host reads the list for itself, rarely: it has no revision by which it could be passed on. */
+/* Every host polls the list itself, at long intervals: the list has no revision by which peers could replicate it. */
 static void poll_host_list(sync_t* s, int64_t now_ms) {
     uint32_t period_ms = s->node->settings.hosts_ms;
     s->next_hosts_ms = now_ms + period_ms / 2 + randombytes_uniform(period_ms);
@@ -291,7 +293,8 @@
     s->out.chunk.count = 0;
 }
 
-/* Sends all that is newer than since: the version in force, then the newest where that is another. */
+/* Sends all documents newer than since. If the newest version of one is not the active version, sends both, the active
+   one first. */
 static void send_documents(sync_t* s, uint64_t to, int64_t since) {
     cw_chunk_t* chunk = &s->out.chunk;
     s->out.type = CW_MSG_CHUNK;
@@ -335,7 +338,7 @@
 
 void sync_tick(sync_t* s, int64_t now_ms) {
     if (s->deferred_revision && !is_pull_outstanding(s, now_ms)) {
-        commit_revision(s, s->deferred_revision); /* the pull was never ended */
+        commit_revision(s, s->deferred_revision); /* the pull timed out */
     }
     bool hosts_due = s->node->settings.platform[0] && !s->hosts_call && now_ms >= s->next_hosts_ms;
     if (hosts_due && cw_bucket_take(&s->bucket, now_ms, 1)) {
