--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -1,4 +1,5 @@
-/* Real processes: what must always hold, under kills, pauses, cuts and an outage of the platform. */
+/* System tests with real processes: invariants that hold when processes are killed or frozen, streams break, hosts
+   become unreachable and the platform is down. */
 #include <jansson.h>
 #include <signal.h>
 #include <stdio.h>
@@ -20,11 +21,11 @@
     return dir ? dir : "build";
 }
 
-static void publish_text(const char* items) {
+static void publish_items(const char* items) {
     ck_assert(site_publish(&site, items));
 }
 
-/* Platform, one engine, one service, three daemons in two halls. */
+/* Starts a platform, one engine, one service and three daemons in two halls. */
 static void start_site(void) {
     static const char* const none[] = {NULL};
     static const char* const engine[] = {"--slots", "4", "--step", "3", NULL};
@@ -54,7 +55,7 @@
              "{\"key\":\"upstreams/service\",\"value\":{\"pool\":\"sched\",\"address\":\"%s\",\"hall\":\"h1\","
              "\"slots\":16}}]}",
              digest, e->http, s->http);
-    publish_text(items);
+    publish_items(items);
     ck_assert(site_start_daemon(&site, "a", "h1") != NULL);
     ck_assert(site_start_daemon(&site, "b", "h2") != NULL);
     ck_assert(site_start_daemon(&site, "c", "h2") != NULL);
@@ -65,7 +66,7 @@
     ck_assert_int_eq(site_shutdown(&site), 0);
 }
 
-static site_answer_t summary(const char* address, const char* id, bool stream, unsigned tokens) {
+static site_answer_t send_summary(const char* address, const char* id, bool stream, unsigned tokens) {
     char body[256];
     snprintf(body, sizeof(body), "{\"model\":\"m\",\"stream\":%s,\"messages\":[{\"content\":\"id=%s len=%u\"}]}",
              stream ? "true" : "false", id, tokens);
@@ -73,7 +74,7 @@
         .address = address, .path = "/v1/chat/completions", .token = TOKEN, .class_name = "summary", .body = body});
 }
 
-static site_answer_t status_call_of(const char* address, const char* token) {
+static site_answer_t send_status_call_as(const char* address, const char* token) {
     return site_call(&(site_request_t){.address = address,
                                        .path = "/v1/services/sched/status",
                                        .token = token,
@@ -81,12 +82,12 @@
                                        .body = "{\"kiosk\":1}"});
 }
 
-static site_answer_t status_call(const char* address) {
-    return status_call_of(address, TOKEN);
+static site_answer_t send_status_call(const char* address) {
+    return send_status_call_as(address, TOKEN);
 }
 
-/* Asks a daemon for a ticket and names a call with it. */
-static void make_key(const char* address, const char* suffix, char out[256]) {
+/* Makes an idempotency key from a ticket of the daemon. */
+static void make_idempotency_key(const char* address, const char* suffix, char out[256]) {
     site_answer_t a = site_call(&(site_request_t){.address = address, .path = "/v1/lookup"});
     json_t* root = json_loads(a.body, 0, NULL);
     const char* ticket = json_string_value(json_object_get(root, "ticket"));
@@ -95,7 +96,7 @@
     json_decref(root);
 }
 
-static site_answer_t booking(const char* address, const char* key, const char* call, long timeout_ms) {
+static site_answer_t send_booking(const char* address, const char* key, const char* call, long timeout_ms) {
     char body[128];
     snprintf(body, sizeof(body), BOOKING_BODY, call);
     return site_call(&(site_request_t){.address = address,
@@ -121,11 +122,11 @@
     site_call(&(site_request_t){.address = http_of("service"), .path = path, .body = ""});
 }
 
-/* Repeats the call until it is answered with 200 or the wait is over. */
-static bool served_within(const char* address, int timeout_ms) {
+/* Retries the call until the response is 200 or the time has passed. */
+static bool is_served_within(const char* address, int timeout_ms) {
     int64_t until_ms = site_now_ms() + timeout_ms;
     while (site_now_ms() < until_ms) {
-        if (status_call(address).status == 200) {
+        if (send_status_call(address).status == 200) {
             return true;
         }
         site_sleep_ms(50);
@@ -135,19 +136,19 @@
 
 START_TEST(requests_of_each_kind_are_served) {
     start_site();
-    ck_assert_int_eq(summary(http_of("a"), "x", false, 10).status, 200);
-    site_answer_t stream = summary(http_of("b"), "y", true, 10);
+    ck_assert_int_eq(send_summary(http_of("a"), "x", false, 10).status, 200);
+    site_answer_t stream = send_summary(http_of("b"), "y", true, 10);
     ck_assert_int_eq(stream.status, 200);
     ck_assert(stream.whole && strstr(stream.body, "[DONE]"));
-    ck_assert_int_eq(status_call(http_of("c")).status, 200);
+    ck_assert_int_eq(send_status_call(http_of("c")).status, 200);
     stop_site();
 }
 END_TEST
 
-START_TEST(a_cut_stream_is_visibly_broken) {
+START_TEST(an_aborted_stream_ends_with_an_error_event) {
     start_site();
     site_call(&(site_request_t){.address = http_of("engine"), .path = "/admin/set?cut_after=5", .body = ""});
-    site_answer_t a = summary(http_of("a"), "x", true, 50);
+    site_answer_t a = send_summary(http_of("a"), "x", true, 50);
     ck_assert(!a.whole);
     ck_assert_ptr_nonnull(strstr(a.body, "event: error"));
     ck_assert_ptr_null(strstr(a.body, "[DONE]"));
@@ -159,11 +160,12 @@
     char items[256];
     snprintf(items, sizeof(items),
              "{\"items\":[{\"key\":\"pools/sched\",\"value\":{\"kind\":\"service\",\"shard_size\":%d}}]}", shard_size);
-    publish_text(items);
+    publish_items(items);
 }
 
-/* The shards of a pool are cut anew while requests wait and run: all are served, none twice. */
-START_TEST(cutting_shards_anew_loses_nothing) {
+/* Guards against requests lost when a pool is divided into different shards while requests wait and run: all must be
+   served. */
+START_TEST(resharding_under_load_loses_no_request) {
     start_site();
     static const char* const slow[] = {"--ms", "100", "--slots", "2", NULL};
     char items[256];
@@ -176,7 +178,7 @@
                  "{\"items\":[{\"key\":\"upstreams/%s\",\"value\":{\"pool\":\"sched\",\"address\":\"%s\","
                  "\"hall\":\"h1\",\"slots\":2}}]}",
                  name, p->http);
-        publish_text(items);
+        publish_items(items);
     }
     set_service("ms=100");
     static const char* const names[] = {"a", "b", "c"};
@@ -186,7 +188,7 @@
         if (children[i] == 0) {
             int failed = 0;
             for (int k = 0; k < 20; k++) {
-                failed += status_call(http_of(names[i % 3])).status != 200;
+                failed += send_status_call(http_of(names[i % 3])).status != 200;
             }
             _exit(failed);
         }
@@ -206,8 +208,9 @@
 }
 END_TEST
 
-/* Sixteen payments at two shards, one of which is busy for four seconds: those that it refuses go to the other. */
-START_TEST(a_protected_request_asks_every_shard) {
+/* A protected request must not be refused while another shard of its pool has capacity. Of two shards, one is busy for
+   4 s; the requests that it refuses, out of 16, must be served by the other. */
+START_TEST(a_protected_request_tries_every_shard) {
     start_site();
     static const char* const slow[] = {"--ms", "4000", "--slots", "1", NULL};
     site_proc_t* p = site_start(&site, SITE_SERVICE, "slow", "h1", slow);
@@ -220,7 +223,7 @@
              "{\"key\":\"upstreams/slow\",\"value\":{\"pool\":\"sched\",\"address\":\"%s\",\"hall\":\"h1\","
              "\"slots\":1}}]}",
              p->http);
-    publish_text(items);
+    publish_items(items);
     ck_assert(site_wait_revision(&site, 11, WAIT_MS));
     pid_t children[16];
     for (int i = 0; i < 16; i++) {
@@ -245,19 +248,20 @@
 }
 END_TEST
 
-/* Where the pool's engines resume, a cut stream is continued: the caller sees every token once and never the cut. */
-START_TEST(a_cut_stream_is_continued) {
+/* In a pool whose engines can resume, a stream that breaks is resumed at the same position: the caller receives each
+   token exactly once and no error. */
+START_TEST(an_interrupted_stream_is_resumed) {
     start_site();
-    publish_text(
+    publish_items(
         "{\"items\":[{\"key\":\"pools/lang\",\"value\":{\"kind\":\"engine\",\"model\":\"m\",\"resumes\":true}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
-    site_answer_t uncut = summary(http_of("a"), "x", true, 50);
+    site_answer_t uncut = send_summary(http_of("a"), "x", true, 50);
     ck_assert(uncut.whole);
     for (int cut_after = 1; cut_after < 50; cut_after += 16) {
         char path[64];
         snprintf(path, sizeof(path), "/admin/set?cut_after=%d", cut_after);
         site_call(&(site_request_t){.address = http_of("engine"), .path = path, .body = ""});
-        site_answer_t cut = summary(http_of("a"), "x", true, 50);
+        site_answer_t cut = send_summary(http_of("a"), "x", true, 50);
         ck_assert(cut.whole);
         ck_assert_str_eq(cut.body, uncut.body);
     }
@@ -265,8 +269,9 @@
 }
 END_TEST
 
-/* An engine freezes in the middle of a stream and breaks nothing: the stream goes on at another one. */
-START_TEST(a_stalled_stream_goes_on_elsewhere) {
+/* An engine that freezes in mid-stream keeps its connections open, so only the stall timeout detects it. The streams
+   must resume at another engine. */
+START_TEST(a_stalled_stream_resumes_at_another_engine) {
     start_site();
     static const char* const slow[] = {"--slots", "4", "--step", "20", NULL};
     site_proc_t* other = site_start(&site, SITE_ENGINE, "other", "h1", slow);
@@ -277,7 +282,7 @@
         "{\"items\":[{\"key\":\"pools/lang\",\"value\":{\"kind\":\"engine\",\"model\":\"m\",\"resumes\":true}},"
         "{\"key\":\"upstreams/other\",\"value\":{\"pool\":\"lang\",\"address\":\"%s\",\"hall\":\"h1\",\"slots\":4}}]}",
         other->http);
-    publish_text(items);
+    publish_items(items);
     ck_assert(site_wait_revision(&site, 10, WAIT_MS));
     site_proc_t* engine = site_find(&site, "engine");
     site_call(&(site_request_t){.address = engine->http, .path = "/admin/set?step_ms=20", .body = ""});
@@ -287,7 +292,7 @@
         if (children[i] == 0) {
             char id[16];
             snprintf(id, sizeof(id), "s%d", i);
-            site_answer_t a = summary(http_of("a"), id, true, 60);
+            site_answer_t a = send_summary(http_of("a"), id, true, 60);
             _exit(a.whole && strstr(a.body, "[DONE]") ? 0 : 1);
         }
     }
@@ -303,33 +308,34 @@
 }
 END_TEST
 
-/* The service runs the call and cuts the connection: the answer is lost, the call is not sent again. */
-START_TEST(a_lost_answer_is_unknown_and_never_run_again) {
+/* The service runs the call, then resets the connection, so the response is lost. The call must not be sent again. */
+START_TEST(a_call_whose_response_was_lost_never_runs_again) {
     start_site();
     char key[256];
-    make_key(http_of("a"), "one", key);
-    ck_assert_int_eq(status_call(http_of("a")).status, 200); /* leaves a connection to reuse */
+    make_idempotency_key(http_of("a"), "one", key);
+    ck_assert_int_eq(send_status_call(http_of("a")).status,
+                     200); /* leaves an open connection that the next call reuses */
     set_service("reset_after=1");
-    site_answer_t a = booking(http_of("a"), key, "one", 10000);
+    site_answer_t a = send_booking(http_of("a"), key, "one", 10000);
     ck_assert_int_eq(a.status, 502);
     ck_assert_msg(strcmp(a.outcome, "unknown") == 0 || strcmp(a.outcome, "failed") == 0, "outcome %s", a.outcome);
     for (int i = 0; i < 3; i++) {
-        ck_assert_int_ne(booking(http_of("a"), key, "one", 10000).status, 200);
+        ck_assert_int_ne(send_booking(http_of("a"), key, "one", 10000).status, 200);
     }
     ck_assert_double_eq(service_count("repeated"), 0);
-    ck_assert_double_eq(service_count("runs"), 2); /* the status call and the booking, once */
+    ck_assert_double_eq(service_count("runs"), 2); /* one status call and one booking */
     stop_site();
 }
 END_TEST
 
-/* The caller gives up while its booking runs, then repeats it: one run, and the repeat gets the answer. */
-START_TEST(a_repeat_joins_the_running_call) {
+/* A caller times out while its booking runs, then retries it: the call must run once and the retry get its response. */
+START_TEST(a_retry_joins_the_running_call) {
     start_site();
     char key[256];
-    make_key(http_of("a"), "two", key);
+    make_idempotency_key(http_of("a"), "two", key);
     set_service("ms=700");
-    ck_assert_int_eq(booking(http_of("a"), key, "two", 200).status, 0);
-    site_answer_t a = booking(http_of("a"), key, "two", 10000);
+    ck_assert_int_eq(send_booking(http_of("a"), key, "two", 200).status, 0);
+    site_answer_t a = send_booking(http_of("a"), key, "two", 10000);
     ck_assert_int_eq(a.status, 200);
     ck_assert_ptr_nonnull(strstr(a.body, "\"ran\":1"));
     ck_assert_double_eq(service_count("repeated"), 0);
@@ -337,16 +343,16 @@
 }
 END_TEST
 
-START_TEST(no_other_host_and_no_later_life_runs_a_name) {
+START_TEST(an_idempotency_key_is_bound_to_its_host_and_incarnation) {
     start_site();
     char key[256];
-    make_key(http_of("a"), "three", key);
-    ck_assert_int_eq(booking(http_of("b"), key, "three", 10000).status, 409);
+    make_idempotency_key(http_of("a"), "three", key);
+    ck_assert_int_eq(send_booking(http_of("b"), key, "three", 10000).status, 409);
     site_proc_t* a = site_find(&site, "a");
     site_kill(a);
     ck_assert(site_restart_daemon(&site, a));
     ck_assert(site_wait_ready(&site, WAIT_MS));
-    site_answer_t again = booking(http_of("a"), key, "three", 10000);
+    site_answer_t again = send_booking(http_of("a"), key, "three", 10000);
     ck_assert_int_eq(again.status, 409);
     ck_assert_str_eq(again.outcome, "unknown");
     ck_assert_double_eq(service_count("runs"), 0);
@@ -354,45 +360,45 @@
 }
 END_TEST
 
-/* Whoever allocates, one of the three: the others serve on when any one is killed or frozen. */
-START_TEST(hosts_serve_on_when_one_is_killed) {
+/* One of the three hosts allocates each shard. Whichever host is killed or frozen, the others must keep serving. */
+START_TEST(other_hosts_keep_serving_when_one_is_killed) {
     start_site();
     static const char* const names[] = {"a", "b", "c"};
     for (int i = 0; i < 3; i++) {
-        ck_assert_int_eq(status_call(http_of(names[i])).status, 200);
+        ck_assert_int_eq(send_status_call(http_of(names[i])).status, 200);
     }
     site_kill(site_find(&site, names[_i]));
     for (int i = 0; i < 3; i++) {
-        ck_assert(i == _i || served_within(http_of(names[i]), WAIT_MS));
+        ck_assert(i == _i || is_served_within(http_of(names[i]), WAIT_MS));
     }
     stop_site();
 }
 END_TEST
 
-START_TEST(hosts_serve_on_when_one_is_frozen) {
+START_TEST(other_hosts_keep_serving_when_one_is_frozen) {
     start_site();
     static const char* const names[] = {"a", "b", "c"};
     for (int i = 0; i < 3; i++) {
-        ck_assert_int_eq(status_call(http_of(names[i])).status, 200);
+        ck_assert_int_eq(send_status_call(http_of(names[i])).status, 200);
     }
     site_proc_t* frozen = site_find(&site, names[_i]);
     kill(frozen->pid, SIGSTOP);
     for (int i = 0; i < 3; i++) {
-        ck_assert(i == _i || served_within(http_of(names[i]), WAIT_MS));
+        ck_assert(i == _i || is_served_within(http_of(names[i]), WAIT_MS));
     }
     kill(frozen->pid, SIGCONT);
-    ck_assert(served_within(frozen->http, WAIT_MS));
+    ck_assert(is_served_within(frozen->http, WAIT_MS));
     stop_site();
 }
 END_TEST
 
-START_TEST(a_planned_stop_cuts_nothing) {
+START_TEST(a_graceful_stop_aborts_no_request) {
     start_site();
     set_service("ms=1500");
     site_proc_t* a = site_find(&site, "a");
     pid_t child = fork();
     if (child == 0) {
-        _exit(status_call(a->http).status == 200 ? 0 : 1);
+        _exit(send_status_call(a->http).status == 200 ? 0 : 1);
     }
     site_sleep_ms(300);
     ck_assert_int_eq(site_stop(a), 0);
@@ -403,7 +409,7 @@
 }
 END_TEST
 
-START_TEST(a_leaving_host_is_not_named_any_more) {
+START_TEST(lookup_omits_a_leaving_host) {
     start_site();
     site_proc_t* a = site_find(&site, "a");
     site_stop_begin(a);
@@ -420,10 +426,10 @@
 }
 END_TEST
 
-/* The platform goes away, a host restarts: configuration comes from its peers and does not go back. */
-START_TEST(configuration_survives_the_platform_and_never_reverts) {
+/* A host that restarts while the platform is down must get the configuration from its peers, at the same revision. */
+START_TEST(configuration_survives_a_platform_outage_and_never_reverts) {
     start_site();
-    publish_text("{\"items\":[{\"key\":\"pools/new\",\"value\":{\"kind\":\"service\"}}]}");
+    publish_items("{\"items\":[{\"key\":\"pools/new\",\"value\":{\"kind\":\"service\"}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     const char* platform = http_of("platform");
     site_call(&(site_request_t){.address = platform, .path = "/admin/mode?down=1", .body = ""});
@@ -431,16 +437,16 @@
     site_kill(a);
     ck_assert(site_restart_daemon(&site, a));
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
-    ck_assert(served_within(a->http, WAIT_MS));
+    ck_assert(is_served_within(a->http, WAIT_MS));
     stop_site();
 }
 END_TEST
 
-START_TEST(an_invalid_change_leaves_the_last_valid_one) {
+START_TEST(an_invalid_change_keeps_the_last_valid_document) {
     start_site();
-    publish_text("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
+    publish_items("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
-    ck_assert_int_eq(status_call(http_of("a")).status, 200);
+    ck_assert_int_eq(send_status_call(http_of("a")).status, 200);
     site_answer_t a = site_call(
         &(site_request_t){.address = site_find(&site, "b")->operator_http, .path = "/v1/resources/classes/status"});
     ck_assert_ptr_nonnull(strstr(a.body, "\"status\":false"));
@@ -449,7 +455,7 @@
 }
 END_TEST
 
-START_TEST(the_load_tool_measures_a_site) {
+START_TEST(the_load_generator_reports_its_requests) {
     start_site();
     char path[128];
     snprintf(path, sizeof(path), "%s/load.ini", site.dir);
@@ -480,8 +486,8 @@
 }
 END_TEST
 
-/* Slots that the allocator of a pool may use, by what the hosts that run say; -1 when none allocates it. */
-static int limit_of_pool(const char* pool) {
+/* Returns the slots that the pool's allocator may use, as reported by hosts a and b; -1: neither allocates the pool. */
+static int pool_slot_limit(const char* pool) {
     int limit = -1;
     for (int i = 0; i < site.count; i++) {
         const site_proc_t* p = &site.procs[i];
@@ -503,7 +509,8 @@
     return limit;
 }
 
-/* A listed host that cannot be reached may serve callers with an allocator of its own: the others use their share. */
+/* A listed host that is unreachable may be serving callers with an allocator of its own. The reachable hosts must use
+   only their share of the slots, and all slots once the host is back. */
 START_TEST(a_cut_off_host_leaves_its_share_unused) {
     start_site();
     ck_assert(site_publish_hosts(&site, NULL));
@@ -511,44 +518,44 @@
     int64_t until_ms = site_now_ms() + WAIT_MS;
     int limit = 0;
     while (limit != 16 * 2 / 3 && site_now_ms() < until_ms) {
-        ck_assert(served_within(http_of("a"), WAIT_MS));
-        limit = limit_of_pool("sched");
+        ck_assert(is_served_within(http_of("a"), WAIT_MS));
+        limit = pool_slot_limit("sched");
     }
     ck_assert_int_eq(limit, 16 * 2 / 3);
     kill(site_find(&site, "c")->pid, SIGCONT);
     until_ms = site_now_ms() + WAIT_MS;
     while (limit != 16 && site_now_ms() < until_ms) {
-        served_within(http_of("a"), WAIT_MS);
+        is_served_within(http_of("a"), WAIT_MS);
         site_proc_t* c = site_find(&site, "c");
-        limit = limit_of_pool("sched");
-        limit = limit == -1 && status_call(c->http).status == 200 ? 16 : limit; /* c allocates it again */
+        limit = pool_slot_limit("sched");
+        limit = limit == -1 && send_status_call(c->http).status == 200 ? 16 : limit; /* c allocates the pool again */
     }
     ck_assert_int_eq(limit, 16);
     stop_site();
 }
 END_TEST
 
-/* The list of hosts says that the only service leaves: within seconds nothing new is sent there. */
-START_TEST(a_leaving_upstream_gets_no_new_work) {
+/* The list of hosts marks the only service as leaving: within WAIT_MS, new requests must no longer be sent to it. */
+START_TEST(a_leaving_upstream_gets_no_new_requests) {
     start_site();
-    ck_assert_int_eq(status_call(http_of("a")).status, 200);
+    ck_assert_int_eq(send_status_call(http_of("a")).status, 200);
     ck_assert(site_publish_hosts(&site, "service"));
     int64_t until_ms = site_now_ms() + WAIT_MS;
     long status = 200;
     while (status == 200 && site_now_ms() < until_ms) {
-        status = status_call(http_of("a")).status;
+        status = send_status_call(http_of("a")).status;
     }
-    ck_assert_int_eq(status, 429); /* it waits and is refused: no upstream may take it */
+    ck_assert_int_eq(status, 429); /* refused after waiting: no upstream accepts new requests */
     double runs = service_count("runs");
-    ck_assert_int_ne(status_call(http_of("b")).status, 200);
+    ck_assert_int_ne(send_status_call(http_of("b")).status, 200);
     ck_assert_double_eq(service_count("runs"), runs);
     stop_site();
 }
 END_TEST
 
-START_TEST(the_control_tool_shows_what_is_wrong) {
+START_TEST(chalkwayctl_shows_why_a_document_is_invalid) {
     start_site();
-    publish_text("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
+    publish_items("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     char command[256];
     char out[4096] = "";
@@ -563,8 +570,9 @@
 }
 END_TEST
 
-/* A workspace that may run two requests at once sends nine through three hosts: all are served, two at a time. */
-START_TEST(a_limit_of_a_workspace_holds_over_all_hosts) {
+/* A workspace limited to two concurrent requests sends nine through three hosts: all must be served, at most two at
+ * once. */
+START_TEST(a_workspace_limit_holds_across_all_hosts) {
     start_site();
     char digest[65];
     char items[256];
@@ -572,7 +580,7 @@
     snprintf(items, sizeof(items),
              "{\"items\":[{\"key\":\"workspaces/limited\",\"value\":{\"token_digests\":[\"%s\"],\"concurrency\":2}}]}",
              digest);
-    publish_text(items);
+    publish_items(items);
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     set_service("ms=100");
     static const char* const names[] = {"a", "b", "c"};
@@ -580,7 +588,7 @@
     for (int i = 0; i < 9; i++) {
         children[i] = fork();
         if (children[i] == 0) {
-            _exit(status_call_of(http_of(names[i % 3]), "limited").status == 200 ? 0 : 1);
+            _exit(send_status_call_as(http_of(names[i % 3]), "limited").status == 200 ? 0 : 1);
         }
     }
     for (int i = 0; i < 9; i++) {
@@ -594,7 +602,7 @@
 }
 END_TEST
 
-START_TEST(bad_input_is_refused_and_not_run) {
+START_TEST(invalid_requests_are_rejected_and_not_run) {
     start_site();
     const char* a = http_of("a");
     const struct {
@@ -618,33 +626,33 @@
         ck_assert_str_eq(answer.outcome, "not-run");
     }
     ck_assert_double_eq(service_count("runs"), 0);
-    ck_assert_int_eq(status_call(a).status, 200);
+    ck_assert_int_eq(send_status_call(a).status, 200);
     stop_site();
 }
 END_TEST
 
 static void add_tests(TCase* t) {
     tcase_add_test(t, requests_of_each_kind_are_served);
-    tcase_add_test(t, a_cut_stream_is_visibly_broken);
-    tcase_add_test(t, cutting_shards_anew_loses_nothing);
-    tcase_add_test(t, a_protected_request_asks_every_shard);
-    tcase_add_test(t, a_cut_stream_is_continued);
-    tcase_add_test(t, a_stalled_stream_goes_on_elsewhere);
-    tcase_add_test(t, a_lost_answer_is_unknown_and_never_run_again);
-    tcase_add_test(t, a_repeat_joins_the_running_call);
-    tcase_add_test(t, no_other_host_and_no_later_life_runs_a_name);
-    tcase_add_loop_test(t, hosts_serve_on_when_one_is_killed, 0, 3);
-    tcase_add_loop_test(t, hosts_serve_on_when_one_is_frozen, 0, 3);
-    tcase_add_test(t, a_planned_stop_cuts_nothing);
-    tcase_add_test(t, a_leaving_host_is_not_named_any_more);
-    tcase_add_test(t, configuration_survives_the_platform_and_never_reverts);
-    tcase_add_test(t, an_invalid_change_leaves_the_last_valid_one);
+    tcase_add_test(t, an_aborted_stream_ends_with_an_error_event);
+    tcase_add_test(t, resharding_under_load_loses_no_request);
+    tcase_add_test(t, a_protected_request_tries_every_shard);
+    tcase_add_test(t, an_interrupted_stream_is_resumed);
+    tcase_add_test(t, a_stalled_stream_resumes_at_another_engine);
+    tcase_add_test(t, a_call_whose_response_was_lost_never_runs_again);
+    tcase_add_test(t, a_retry_joins_the_running_call);
+    tcase_add_test(t, an_idempotency_key_is_bound_to_its_host_and_incarnation);
+    tcase_add_loop_test(t, other_hosts_keep_serving_when_one_is_killed, 0, 3);
+    tcase_add_loop_test(t, other_hosts_keep_serving_when_one_is_frozen, 0, 3);
+    tcase_add_test(t, a_graceful_stop_aborts_no_request);
+    tcase_add_test(t, lookup_omits_a_leaving_host);
+    tcase_add_test(t, configuration_survives_a_platform_outage_and_never_reverts);
+    tcase_add_test(t, an_invalid_change_keeps_the_last_valid_document);
     tcase_add_test(t, a_cut_off_host_leaves_its_share_unused);
-    tcase_add_test(t, a_leaving_upstream_gets_no_new_work);
-    tcase_add_test(t, the_load_tool_measures_a_site);
-    tcase_add_test(t, the_control_tool_shows_what_is_wrong);
-    tcase_add_test(t, a_limit_of_a_workspace_holds_over_all_hosts);
-    tcase_add_test(t, bad_input_is_refused_and_not_run);
+    tcase_add_test(t, a_leaving_upstream_gets_no_new_requests);
+    tcase_add_test(t, the_load_generator_reports_its_requests);
+    tcase_add_test(t, chalkwayctl_shows_why_a_document_is_invalid);
+    tcase_add_test(t, a_workspace_limit_holds_across_all_hosts);
+    tcase_add_test(t, invalid_requests_are_rejected_and_not_run);
 }
 
 int main(void) {
