--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -457,7 +457,7 @@
 void entry_on_request(cw_exchange_t* x, void* user) {
     node_t* node = user;
     const char* path = cw_exchange_path(x);
-    bool ready = sync_is_ready(node->sync);
+    bool ready = sync_ready(node->sync);
     if (strcmp(path, "/healthz") == 0) {
         reply_json(x, HTTP_OK, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -170,7 +170,7 @@
 void sync_on_peer_revision(sync_t* s, uint64_t from, int64_t revision);
 void sync_tick(sync_t* s, int64_t now_ms);
 /* Whether a configuration has been received. */
-bool sync_is_ready(const sync_t* s);
+bool sync_ready(const sync_t* s);
 /* Whether this host polls the platform on behalf of its hall. */
 bool sync_is_poller(const sync_t* s);
 const char* sync_platform_state(const sync_t* s);
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -36,7 +36,7 @@
     cw_msg_t out;
 };
 
-bool sync_is_ready(const sync_t* s) {
+bool sync_ready(const sync_t* s) {
     return cw_store_revision(s->node->store) > 0;
 }
 
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -313,8 +313,7 @@
     start_site();
     char key[256];
     make_idempotency_key(http_of("a"), "one", key);
-    ck_assert_int_eq(send_status_call(http_of("a")).status,
-                     200); /* leaves an open connection that the next call reuses */
+    ck_assert_int_eq(send_status_call(http_of("a")).status, 200); /* leaves an idle connection that could be reused */
     set_service("reset_after=1");
     site_answer_t a = send_booking(http_of("a"), key, "one", 10000);
     ck_assert_int_eq(a.status, 502);
@@ -570,8 +569,7 @@
 }
 END_TEST
 
-/* A workspace limited to two concurrent requests sends nine through three hosts: all must be served, at most two at
- * once. */
+/* A workspace limited to 2 concurrent requests sends 9 through 3 hosts: all must be served, at most 2 at once. */
 START_TEST(a_workspace_limit_holds_across_all_hosts) {
     start_site();
     char digest[65];
