--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -80,7 +80,7 @@
    has ended, so it cannot be serving. */
 static void set_visible_share(const node_t* node, const owned_shard_t* owned) {
     uint32_t router_count = 0;
-    uint32_t seen = 0;
+    uint32_t visible_count = 0;
     for (uint32_t i = 0; i < node->listed_host_count; i++) {
         const listed_host_t* h = &node->listed_hosts[i];
         if (!h->is_router || h->leaving) {
@@ -88,9 +88,9 @@
         }
         const cw_member_t* m = cw_members_find(node->members, h->id);
         router_count++;
-        seen += m && (m->info.state != CW_MEMBER_DEAD || m->refused);
+        visible_count += m && (m->info.state != CW_MEMBER_DEAD || m->refused);
     }
-    cw_shard_visible(owned->shard, seen, router_count);
+    cw_shard_visible(owned->shard, visible_count, router_count);
 }
 
 /* Returns the pool that has a shard of this id, or NULL. */
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -684,11 +684,11 @@
     }
     int64_t stall_ms = stall_time_ms(r);
     at_ms = stall_ms < at_ms ? stall_ms : at_ms;
-    uint32_t before = cw_heap_top(&e->timers);
-    double before_key = before == CW_HEAP_NONE ? 0 : cw_heap_key(&e->timers, before);
+    uint32_t previous_top = cw_heap_top(&e->timers);
+    double previous_key = previous_top == CW_HEAP_NONE ? 0 : cw_heap_key(&e->timers, previous_top);
     cw_heap_set(&e->timers, (uint32_t)(r - e->requests), (double)at_ms);
     uint32_t top = cw_heap_top(&e->timers);
-    if (before == CW_HEAP_NONE || cw_heap_key(&e->timers, top) < before_key) {
+    if (previous_top == CW_HEAP_NONE || cw_heap_key(&e->timers, top) < previous_key) {
         arm_loop_timer(e);
     }
 }
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -257,11 +257,12 @@
 }
 
 static bool classify_model(request_t* r) {
-    json_error_t why;
-    json_t* root = json_loadb(r->body, r->body_size, 0, &why);
+    json_error_t parse_error;
+    json_t* root = json_loadb(r->body, r->body_size, 0, &parse_error);
     if (!json_is_object(root)) {
         char message[CW_MESSAGE_MAX];
-        snprintf(message, sizeof(message), "the body is no JSON object: line %d: %.120s", why.line, why.text);
+        snprintf(message, sizeof(message), "the body is no JSON object: line %d: %.120s", parse_error.line,
+                 parse_error.text);
         json_decref(root);
         reject(r, HTTP_BAD_REQUEST, "bad-json", "parse", message, 0);
         return false;
@@ -566,14 +567,14 @@
 /* Writes a histogram in Prometheus text format, with cumulative buckets. */
 static void write_hist(FILE* out, const char* name, const metric_t* m, const cw_hist_t* hist) {
     static const uint32_t bounds[] = {5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 30000, 60000};
-    uint64_t seen = 0;
+    uint64_t cumulative_count = 0;
     uint32_t bucket = 0;
     for (size_t i = 0; i < sizeof(bounds) / sizeof(bounds[0]); i++) {
         while (bucket < CW_HIST_BUCKETS && cw_hist_bound(bucket) <= bounds[i]) {
-            seen += hist->buckets[bucket++];
+            cumulative_count += hist->buckets[bucket++];
         }
         fprintf(out, "%s_bucket{workspace=\"%s\",class=\"%s\",le=\"%u\"} %llu\n", name, m->workspace, m->class,
-                bounds[i], (unsigned long long)seen);
+                bounds[i], (unsigned long long)cumulative_count);
     }
     fprintf(out, "%s_bucket{workspace=\"%s\",class=\"%s\",le=\"+Inf\"} %llu\n", name, m->workspace, m->class,
             (unsigned long long)hist->count);
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -66,9 +66,9 @@
     }
     revision = revision > s->deferred_revision ? revision : s->deferred_revision;
     s->deferred_revision = 0;
-    int64_t before = cw_store_revision(s->node->store);
+    int64_t previous_revision = cw_store_revision(s->node->store);
     cw_store_commit(s->node->store, revision);
-    if (revision <= before) {
+    if (revision <= previous_revision) {
         return;
     }
     cw_view_t* view = cw_store_view(s->node->store);
