--- a/io/message.c
+++ b/io/message.c
@@ -5,16 +5,16 @@
 #include <string.h>
 #include <strings.h>
 
-#define TEXT_MAX 512
-#define SKIP_BODY 1 /* what on_headers_complete returns when no body follows */
+#define FORMAT_MAX_BYTES 512
+#define SKIP_BODY 1 /* http-parser: returned by on_headers_complete when no body follows */
 
-static size_t text_add(cw_message_t* m, const char* data, size_t size) {
+static size_t text_append(cw_message_t* m, const char* data, size_t size) {
     size_t at = m->text.size;
     cw_buffer_add(&m->text, data, size);
     return at;
 }
 
-static void text_end(cw_message_t* m) {
+static void text_terminate(cw_message_t* m) {
     cw_buffer_add(&m->text, "", 1);
 }
 
@@ -25,42 +25,42 @@
 }
 
 static int on_url(http_parser* p, const char* at, size_t size) {
-    text_add(p->data, at, size);
+    text_append(p->data, at, size);
     return 0;
 }
 
-static int on_name(http_parser* p, const char* at, size_t size) {
+static int on_field_name(http_parser* p, const char* at, size_t size) {
     cw_message_t* m = p->data;
     if (m->state != CW_MESSAGE_HEAD) {
-        return 0; /* a trailer: not kept, the head's fields stay where they are */
+        return 0; /* trailer field: ignored, because appending to text would invalidate the pointers in fields */
     }
     if (memchr(at, ' ', size)) {
-        return 1; /* RFC 9112, 5.1: the parser lets it through, and a server might read the name without the blank */
+        return 1; /* RFC 9112, 5.1: http-parser accepts a space in a name, but a server might ignore the space */
     }
     if (m->in_value || m->field_count == 0) {
         if (m->field_count == CW_MESSAGE_FIELDS) {
             return 1;
         }
-        text_end(m); /* of the target or the value before */
+        text_terminate(m); /* terminates the target or the previous value */
         m->in_value = false;
         m->offsets[(size_t)2 * m->field_count] = (uint32_t)m->text.size;
         m->field_count++;
     }
-    text_add(m, at, size);
+    text_append(m, at, size);
     return 0;
 }
 
-static int on_value(http_parser* p, const char* at, size_t size) {
+static int on_field_value(http_parser* p, const char* at, size_t size) {
     cw_message_t* m = p->data;
     if (m->state != CW_MESSAGE_HEAD) {
         return 0;
     }
     if (!m->in_value) {
-        text_end(m);
+        text_terminate(m);
         m->in_value = true;
         m->offsets[(size_t)2 * m->field_count - 1] = (uint32_t)m->text.size;
     }
-    text_add(m, at, size);
+    text_append(m, at, size);
     return 0;
 }
 
@@ -80,7 +80,7 @@
 
 static int on_head_complete(http_parser* p) {
     cw_message_t* m = p->data;
-    text_end(m);
+    text_terminate(m);
     m->target = m->text.data;
     m->method = p->type == HTTP_REQUEST ? http_method_str((enum http_method)p->method) : NULL;
     m->status = p->status_code;
@@ -115,8 +115,8 @@
 
 static const http_parser_settings callbacks = {.on_message_begin = on_begin,
                                                .on_url = on_url,
-                                               .on_header_field = on_name,
-                                               .on_header_value = on_value,
+                                               .on_header_field = on_field_name,
+                                               .on_header_value = on_field_value,
                                                .on_headers_complete = on_head_complete,
                                                .on_body = on_body,
                                                .on_message_complete = on_complete};
@@ -156,8 +156,8 @@
     if (in_head) {
         m->head_bytes += used;
     }
-    enum http_errno problem = HTTP_PARSER_ERRNO(&m->parser);
-    if ((problem != HPE_OK && problem != HPE_PAUSED) || m->parser.upgrade) {
+    enum http_errno parse_error = HTTP_PARSER_ERRNO(&m->parser);
+    if ((parse_error != HPE_OK && parse_error != HPE_PAUSED) || m->parser.upgrade) {
         m->state = CW_MESSAGE_BROKEN;
     }
     return used;
@@ -179,14 +179,14 @@
 }
 
 uint32_t cw_message_field_times(const cw_message_t* m, const char* name) {
-    uint32_t times = 0;
+    uint32_t count = 0;
     for (uint32_t i = 0; i < m->field_count; i++) {
-        times += strcasecmp(m->fields[i].name, name) == 0;
+        count += strcasecmp(m->fields[i].name, name) == 0;
     }
-    return times;
+    return count;
 }
 
-static bool listed(const char* list, const char* name) {
+static bool is_listed(const char* list, const char* name) {
     size_t size = strlen(name);
     while (*list) {
         list += strspn(list, " \t,");
@@ -217,7 +217,7 @@
         }
     }
     for (uint32_t i = 0; i < m->field_count; i++) {
-        if (strcasecmp(m->fields[i].name, "Connection") == 0 && listed(m->fields[i].value, name)) {
+        if (strcasecmp(m->fields[i].name, "Connection") == 0 && is_listed(m->fields[i].value, name)) {
             return true;
         }
     }
@@ -225,7 +225,7 @@
 }
 
 void cw_message_add_text(cw_buffer_t* out, const char* fmt, ...) {
-    char text[TEXT_MAX];
+    char text[FORMAT_MAX_BYTES];
     va_list args;
     va_start(args, fmt);
     int n = vsnprintf(text, sizeof(text), fmt, args);
