--- a/io/httpd.c
+++ b/io/httpd.c
@@ -10,8 +10,8 @@
 #include "address.h"
 #include "buffer.h"
 
-#define STREAM_BLOCK 16384
-#define STREAM_COMPACT 65536 /* bytes taken over before the rest is moved to the front */
+#define STREAM_BLOCK_BYTES 16384
+#define STREAM_COMPACT_BYTES 65536 /* taken bytes in out beyond which the rest is moved to the front */
 
 struct cw_httpd_t {
     cw_httpd_desc_t desc;
@@ -20,7 +20,7 @@
     ev_io epoll_io;
     ev_timer timer;
     ev_prepare prepare;
-    bool run_due; /* connections were resumed */
+    bool run_due; /* connections were resumed: MHD_run has to be called before the loop blocks */
     uint32_t active;
 };
 
@@ -31,21 +31,21 @@
     char* path;
     cw_buffer_t body;
     cw_buffer_t out;
-    size_t out_start;              /* bytes of out that were taken over for sending */
-    struct MHD_Response* response; /* to be queued */
+    size_t out_taken;              /* bytes of out that libmicrohttpd has taken */
+    struct MHD_Response* response; /* not yet queued */
     unsigned status;
-    bool suspended;
-    bool handed_over; /* on_request was called */
-    bool released;    /* the user has given its answer or is told that the caller left */
-    bool too_long;
-    bool ended, whole;
-    ev_io gone_io;
+    bool is_suspended;
+    bool is_handed_over; /* on_request was called */
+    bool is_released;    /* the user has replied or been notified that the caller closed: no callback follows */
+    bool is_body_too_long;
+    bool is_ended, is_complete;
+    ev_io caller_io;
     void* data;
 };
 
 /* -- running libmicrohttpd ------------------------------------------------ */
 
-static void run(cw_httpd_t* h) {
+static void run_daemon(cw_httpd_t* h) {
     h->run_due = false;
     MHD_run(h->daemon);
     MHD_UNSIGNED_LONG_LONG timeout = 0;
@@ -59,13 +59,13 @@
 static void on_epoll(struct ev_loop* loop, ev_io* w, int events) {
     (void)loop;
     (void)events;
-    run(w->data);
+    run_daemon(w->data);
 }
 
 static void on_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    run(w->data);
+    run_daemon(w->data);
 }
 
 static void on_prepare(struct ev_loop* loop, ev_prepare* w, int events) {
@@ -73,13 +73,13 @@
     (void)events;
     cw_httpd_t* h = w->data;
     while (h->run_due) {
-        run(h);
+        run_daemon(h);
     }
 }
 
-static void resume(cw_exchange_t* x) {
-    if (x->suspended) {
-        x->suspended = false;
+static void resume_connection(cw_exchange_t* x) {
+    if (x->is_suspended) {
+        x->is_suspended = false;
         MHD_resume_connection(x->connection);
         x->httpd->run_due = true;
         ev_feed_event(x->httpd->desc.loop, &x->httpd->prepare, EV_PREPARE);
@@ -89,7 +89,7 @@
 /* -- exchanges ------------------------------------------------------------ */
 
 static void exchange_free(cw_exchange_t* x) {
-    ev_io_stop(x->httpd->desc.loop, &x->gone_io);
+    ev_io_stop(x->httpd->desc.loop, &x->caller_io);
     if (x->response) {
         MHD_destroy_response(x->response);
     }
@@ -108,13 +108,13 @@
     }
     x->response = response;
     x->status = status;
-    resume(x);
+    resume_connection(x);
 }
 
 void cw_exchange_reply(cw_exchange_t* x, unsigned status, const cw_header_t* headers, uint32_t count, const void* body,
                        size_t size) {
-    x->released = true;
-    ev_io_stop(x->httpd->desc.loop, &x->gone_io);
+    x->is_released = true;
+    ev_io_stop(x->httpd->desc.loop, &x->caller_io);
     struct MHD_Response* response = MHD_create_response_from_buffer(size, (void*)body, MHD_RESPMEM_MUST_COPY);
     set_response(x, response, status, headers, count);
 }
@@ -127,65 +127,66 @@
 static ssize_t read_stream(void* cls, uint64_t pos, char* buf, size_t max) {
     (void)pos;
     cw_exchange_t* x = cls;
-    size_t held = x->out.size - x->out_start;
-    if (!held) {
-        if (x->ended && x->whole) {
+    size_t pending = x->out.size - x->out_taken;
+    if (!pending) {
+        if (x->is_ended && x->is_complete) {
             return MHD_CONTENT_READER_END_OF_STREAM;
         }
-        if (x->ended) {
-            shutdown(caller_socket(x), SHUT_RDWR); /* libmicrohttpd may keep it open when nothing was sent yet */
+        if (x->is_ended) {
+            shutdown(caller_socket(x), SHUT_RDWR); /* libmicrohttpd may leave it open if nothing was sent */
             return MHD_CONTENT_READER_END_WITH_ERROR;
         }
-        x->suspended = true;
+        x->is_suspended = true;
         MHD_suspend_connection(x->connection);
         return 0;
     }
-    size_t n = held < max ? held : max;
-    memcpy(buf, x->out.data + x->out_start, n);
-    x->out_start += n;
-    if (n == held && !x->released && x->httpd->desc.on_drained) {
+    size_t n = pending < max ? pending : max;
+    memcpy(buf, x->out.data + x->out_taken, n);
+    x->out_taken += n;
+    if (n == pending && !x->is_released && x->httpd->desc.on_drained) {
         x->httpd->desc.on_drained(x, x->httpd->desc.user_data);
     }
     return (ssize_t)n;
 }
 
 void cw_exchange_stream(cw_exchange_t* x, unsigned status, const cw_header_t* headers, uint32_t count) {
-    set_response(x, MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, STREAM_BLOCK, read_stream, x, NULL), status,
-                 headers, count);
+    set_response(x, MHD_create_response_from_callback(MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream, x, NULL),
+                 status, headers, count);
 }
 
 size_t cw_exchange_push(cw_exchange_t* x, const void* data, size_t size) {
-    if (x->out_start && (x->out_start == x->out.size || x->out_start > STREAM_COMPACT)) {
-        cw_buffer_drop(&x->out, x->out_start);
-        x->out_start = 0;
+    if (x->out_taken && (x->out_taken == x->out.size || x->out_taken > STREAM_COMPACT_BYTES)) {
+        cw_buffer_drop(&x->out, x->out_taken);
+        x->out_taken = 0;
     }
     cw_buffer_add(&x->out, data, size);
-    resume(x);
+    resume_connection(x);
     return cw_exchange_pending(x);
 }
 
 size_t cw_exchange_pending(const cw_exchange_t* x) {
-    return x->out.size - x->out_start;
+    return x->out.size - x->out_taken;
 }
 
-void cw_exchange_finish(cw_exchange_t* x, bool whole) {
-    x->released = true;
-    x->ended = true;
-    x->whole = whole;
-    ev_io_stop(x->httpd->desc.loop, &x->gone_io);
-    resume(x);
+void cw_exchange_finish(cw_exchange_t* x, bool is_complete) {
+    x->is_released = true;
+    x->is_ended = true;
+    x->is_complete = is_complete;
+    ev_io_stop(x->httpd->desc.loop, &x->caller_io);
+    resume_connection(x);
 }
 
-static void caller_gone(cw_exchange_t* x) {
-    if (x->handed_over && !x->released) {
-        x->released = true;
+static void notify_caller_closed(cw_exchange_t* x) {
+    if (x->is_handed_over && !x->is_released) {
+        x->is_released = true;
         if (x->httpd->desc.on_gone) {
             x->httpd->desc.on_gone(x, x->httpd->desc.user_data);
         }
     }
 }
 
-/* The caller's socket became readable while its answer is outstanding: an end or a reset means that it left. */
+/* The caller's socket became readable before the response was complete: end of file or an error means that the caller
+   closed the connection. */
 static void on_caller_socket(struct ev_loop* loop, ev_io* w, int events) {
     (void)events;
     cw_exchange_t* x = w->data;
@@ -199,7 +200,7 @@
         return; /* a pipelined request */
     }
     bool streaming = x->status != 0;
-    caller_gone(x);
+    notify_caller_closed(x);
     if (streaming) {
         cw_exchange_finish(x, false);
     } else {
@@ -209,10 +210,10 @@
 
 static void watch_caller(cw_exchange_t* x) {
     int fd = caller_socket(x);
-    if (fd >= 0 && !x->released) {
-        ev_io_init(&x->gone_io, on_caller_socket, fd, EV_READ);
-        x->gone_io.data = x;
-        ev_io_start(x->httpd->desc.loop, &x->gone_io);
+    if (fd >= 0 && !x->is_released) {
+        ev_io_init(&x->caller_io, on_caller_socket, fd, EV_READ);
+        x->caller_io.data = x;
+        ev_io_start(x->httpd->desc.loop, &x->caller_io);
     }
 }
 
@@ -228,10 +229,10 @@
     x->connection = connection;
     x->method = strdup(method);
     x->path = strdup(url);
-    ev_io_init(&x->gone_io, on_caller_socket, -1, EV_READ);
+    ev_io_init(&x->caller_io, on_caller_socket, -1, EV_READ);
     h->active++;
     const char* length = MHD_lookup_connection_value(connection, MHD_HEADER_KIND, "Content-Length");
-    x->too_long = length && strtoull(length, NULL, 10) > h->desc.max_body;
+    x->is_body_too_long = length && strtoull(length, NULL, 10) > h->desc.max_body;
     return x;
 }
 
@@ -257,32 +258,32 @@
     cw_exchange_t* x = *con_cls;
     if (!x) {
         *con_cls = x = exchange_new(h, connection, url, method);
-        if (x->too_long) {
+        if (x->is_body_too_long) {
             reply_too_long(x);
             return queue_response(x);
         }
         return MHD_YES;
     }
     if (*upload_size) {
-        x->too_long = x->too_long || x->body.size + *upload_size > h->desc.max_body;
-        if (!x->too_long) {
+        x->is_body_too_long = x->is_body_too_long || x->body.size + *upload_size > h->desc.max_body;
+        if (!x->is_body_too_long) {
             cw_buffer_add(&x->body, upload, *upload_size);
         }
         *upload_size = 0;
         return MHD_YES;
     }
-    if (x->too_long && !x->response) {
+    if (x->is_body_too_long && !x->response) {
         reply_too_long(x);
     }
-    if (!x->response && !x->handed_over) {
-        x->handed_over = true;
+    if (!x->response && !x->is_handed_over) {
+        x->is_handed_over = true;
         h->desc.on_request(x, h->desc.user_data);
         watch_caller(x);
     }
     if (x->response) {
         return queue_response(x);
     }
-    x->suspended = true;
+    x->is_suspended = true;
     MHD_suspend_connection(connection);
     return MHD_YES;
 }
@@ -294,7 +295,7 @@
     (void)code;
     cw_exchange_t* x = *con_cls;
     if (x) {
-        caller_gone(x);
+        notify_caller_closed(x);
         exchange_free(x);
         *con_cls = NULL;
     }
