--- a/io/client.c
+++ b/io/client.c
@@ -5,17 +5,17 @@
 #include <string.h>
 #include <strings.h>
 
-#define DEFAULT_CONNECT_MS 1000L
-#define HEADER_LINE_MAX 1024
+#define DEFAULT_CONNECT_TIMEOUT_MS 1000L
+#define HEADER_LINE_MAX_BYTES 1024
 
 struct cw_client_t {
     struct ev_loop* loop;
     CURLM* multi;
     ev_timer timer;
     ev_prepare prepare;
-    cw_call_t* open;      /* all calls */
-    cw_call_t* cancelled; /* to be freed outside of curl's callbacks */
-    cw_call_t* resumed;   /* to be continued outside of curl's callbacks */
+    cw_call_t* open;      /* calls in progress */
+    cw_call_t* cancelled; /* to be freed in on_prepare, outside of libcurl's callbacks */
+    cw_call_t* resumed;   /* to be unpaused in on_prepare, outside of libcurl's callbacks */
 };
 
 struct cw_call_t {
@@ -23,7 +23,7 @@
     CURL* easy;
     struct curl_slist* headers;
     cw_call_desc_t desc;
-    bool sent, vetoed, head_told, framed, cancelled, paused, in_resumed;
+    bool sent, vetoed, is_head_notified, has_framing, cancelled, paused, in_resumed;
     unsigned status;
     cw_call_t* prev_open;
     cw_call_t* next_open;
@@ -31,10 +31,10 @@
     cw_call_t* next_resumed;
 };
 
-typedef struct socket_watch_t {
+typedef struct socket_watcher_t {
     ev_io io;
     cw_client_t* client;
-} socket_watch_t;
+} socket_watcher_t;
 
 /* -- curl and libev ------------------------------------------------------- */
 
@@ -59,41 +59,43 @@
     free(call);
 }
 
-static void tell_head(cw_call_t* call) {
-    if (call->head_told) {
+static void notify_head(cw_call_t* call) {
+    if (call->is_head_notified) {
         return;
     }
     long status = 0;
     char* type = NULL;
     curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
     curl_easy_getinfo(call->easy, CURLINFO_CONTENT_TYPE, &type);
-    call->head_told = true;
+    call->is_head_notified = true;
     call->status = (unsigned)status;
     if (call->desc.on_head) {
         call->desc.on_head(call->desc.user_data, call->status, type ? type : "");
     }
 }
 
-static void finish(cw_call_t* call, CURLcode code) {
+static void call_finish(cw_call_t* call, CURLcode code) {
     if (code == CURLE_OK) {
-        tell_head(call); /* an answer without a body */
+        notify_head(call); /* a response without a body */
     }
     if (call->cancelled) {
         return;
     }
     cw_call_result_t result = {.sent = call->sent, .vetoed = call->vetoed, .status = call->status};
-    result.whole = code == CURLE_OK && call->framed;
+    result.whole = code == CURLE_OK && call->has_framing;
     result.message =
-        code == CURLE_OK ? (call->framed ? "" : "the answer's end cannot be known") : curl_easy_strerror(code);
+        code == CURLE_OK
+            ? (call->has_framing ? "" : "the response has no Content-Length or Transfer-Encoding: it may be truncated")
+            : curl_easy_strerror(code);
     cw_call_desc_t desc = call->desc;
     call_free(call);
     desc.on_done(desc.user_data, &result);
 }
 
-static void collect(cw_client_t* c) {
-    int left = 0;
+static void collect_finished(cw_client_t* c) {
+    int messages_left = 0;
     CURLMsg* msg = NULL;
-    while ((msg = curl_multi_info_read(c->multi, &left))) {
+    while ((msg = curl_multi_info_read(c->multi, &messages_left))) {
         if (msg->msg != CURLMSG_DONE) {
             continue;
         }
@@ -101,53 +103,53 @@
         CURLcode code = msg->data.result;
         curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &call);
         if (!call->cancelled) {
-            finish(call, code);
+            call_finish(call, code);
         }
     }
 }
 
-static void act(cw_client_t* c, curl_socket_t fd, int flags) {
+static void socket_action(cw_client_t* c, curl_socket_t fd, int flags) {
     int running = 0;
     curl_multi_socket_action(c->multi, fd, flags, &running);
-    collect(c);
+    collect_finished(c);
 }
 
 static void on_socket(struct ev_loop* loop, ev_io* w, int events) {
     (void)loop;
-    socket_watch_t* watch = (socket_watch_t*)w;
+    socket_watcher_t* watcher = (socket_watcher_t*)w;
     int flags = ((events & EV_READ) ? CURL_CSELECT_IN : 0) | ((events & EV_WRITE) ? CURL_CSELECT_OUT : 0);
-    act(watch->client, w->fd, flags);
+    socket_action(watcher->client, w->fd, flags);
 }
 
 static void on_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    act(w->data, CURL_SOCKET_TIMEOUT, 0);
+    socket_action(w->data, CURL_SOCKET_TIMEOUT, 0);
 }
 
 static int set_socket(CURL* easy, curl_socket_t fd, int what, void* user, void* socket_data) {
     (void)easy;
     cw_client_t* c = user;
-    socket_watch_t* watch = socket_data;
-    if (watch) {
-        ev_io_stop(c->loop, &watch->io);
+    socket_watcher_t* watcher = socket_data;
+    if (watcher) {
+        ev_io_stop(c->loop, &watcher->io);
     }
     if (what == CURL_POLL_REMOVE) {
-        free(watch);
+        free(watcher);
         curl_multi_assign(c->multi, fd, NULL);
         return 0;
     }
-    if (!watch) {
-        watch = calloc(1, sizeof(*watch));
-        if (!watch) {
+    if (!watcher) {
+        watcher = calloc(1, sizeof(*watcher));
+        if (!watcher) {
             abort();
         }
-        watch->client = c;
-        curl_multi_assign(c->multi, fd, watch);
+        watcher->client = c;
+        curl_multi_assign(c->multi, fd, watcher);
     }
     int events = ((what & CURL_POLL_IN) ? EV_READ : 0) | ((what & CURL_POLL_OUT) ? EV_WRITE : 0);
-    ev_io_init(&watch->io, on_socket, fd, events);
-    ev_io_start(c->loop, &watch->io);
+    ev_io_init(&watcher->io, on_socket, fd, events);
+    ev_io_start(c->loop, &watcher->io);
     return 0;
 }
 
@@ -162,7 +164,7 @@
     return 0;
 }
 
-/* Does what may not be done inside curl's callbacks. */
+/* Resumes and frees calls, which is not allowed inside libcurl's callbacks. */
 static void on_prepare(struct ev_loop* loop, ev_prepare* w, int events) {
     (void)loop;
     (void)events;
@@ -229,17 +231,17 @@
     return CURL_PREREQFUNC_OK;
 }
 
-/* Notes whether the answer says where its body ends. */
+/* Records whether the response head delimits its body: by its status, Content-Length or Transfer-Encoding. */
 static size_t on_header(char* data, size_t size, size_t count, void* user) {
     cw_call_t* call = user;
     size_t len = size * count;
     if (len > 5 && strncasecmp(data, "HTTP/", 5) == 0) {
         long status = 0;
         curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &status);
-        call->framed = status == 204 || status == 304;
+        call->has_framing = status == 204 || status == 304;
     } else if ((len > 15 && strncasecmp(data, "content-length:", 15) == 0) ||
                (len > 18 && strncasecmp(data, "transfer-encoding:", 18) == 0)) {
-        call->framed = true;
+        call->has_framing = true;
     }
     return call->cancelled ? 0 : len;
 }
@@ -247,7 +249,7 @@
 static size_t on_body(char* data, size_t size, size_t count, void* user) {
     cw_call_t* call = user;
     if (!call->cancelled) {
-        tell_head(call);
+        notify_head(call);
     }
     if (call->cancelled) {
         return 0;
@@ -273,7 +275,7 @@
 static void set_headers(cw_call_t* call) {
     call->headers = curl_slist_append(NULL, "Expect:");
     for (uint32_t i = 0; i < call->desc.header_count; i++) {
-        char line[HEADER_LINE_MAX];
+        char line[HEADER_LINE_MAX_BYTES];
         snprintf(line, sizeof(line), "%s: %s", call->desc.headers[i].name, call->desc.headers[i].value);
         call->headers = curl_slist_append(call->headers, line);
     }
@@ -295,7 +297,7 @@
     call->desc = *desc;
     call->easy = curl_easy_init();
     CURL* e = call->easy;
-    long connect_ms = desc->connect_ms ? (long)desc->connect_ms : DEFAULT_CONNECT_MS;
+    long connect_ms = desc->connect_ms ? (long)desc->connect_ms : DEFAULT_CONNECT_TIMEOUT_MS;
     curl_easy_setopt(e, CURLOPT_URL, desc->url);
     curl_easy_setopt(e, CURLOPT_PRIVATE, call);
     curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
@@ -309,7 +311,7 @@
     curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
     curl_easy_setopt(e, CURLOPT_WRITEDATA, call);
     curl_easy_setopt(e, CURLOPT_NOPROXY, "*");
-    /* On a reused connection that turns out dead, curl would send the request again by itself. */
+    /* libcurl resends a request by itself when a reused connection turns out dead. */
     curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, desc->fresh ? 1L : 0L);
     set_body(call);
     set_headers(call);
--- a/io/client.h
+++ b/io/client.h
@@ -1,11 +1,11 @@
 #ifndef CW_IO_CLIENT_H
 #define CW_IO_CLIENT_H
 /*
-    HTTP client on a libev loop, by libcurl's multi interface.
+    HTTP client on a libev loop, built on libcurl's multi interface.
 
-    Connections are kept and reused, save where fresh is set. The owner
-    learns the exact moment before the first byte of a request leaves
-    (on_sending) and may still stop it there.
+    Idle connections are reused unless the call sets fresh. on_sending is
+    called immediately before the first byte of a request is sent; until it
+    returns true the request has certainly not been sent.
 */
 #include <ev.h>
 
@@ -15,24 +15,25 @@
 typedef struct cw_call_t cw_call_t;
 
 typedef struct cw_call_result_t {
-    bool whole;      /* the answer came to its proper end */
-    bool sent;       /* bytes of the request may have left */
-    bool vetoed;     /* on_sending said no */
-    unsigned status; /* 0: no head came */
-    const char* message;
+    bool whole;          /* the response is complete, as its framing says */
+    bool sent;           /* bytes of the request may have been sent */
+    bool vetoed;         /* on_sending returned false */
+    unsigned status;     /* 0: no response head received */
+    const char* message; /* reason when not whole, else "" */
 } cw_call_result_t;
 
 typedef struct cw_call_desc_t {
-    const char* method; /* default POST with a body, else GET */
+    const char* method; /* default: POST with a body, else GET */
     const char* url;
     const cw_header_t* headers;
     uint32_t header_count;
-    const void* body; /* must stay valid until the end */
+    const void* body; /* not copied: must stay valid until on_done */
     size_t size;
-    uint32_t connect_ms; /* default 1000 */
-    uint32_t timeout_ms; /* for all, default none */
-    bool fresh;          /* new connection: nothing may be sent twice */
-    /* All may be NULL but on_done. on_sending: return false to stop. on_data: return false to pause. */
+    uint32_t connect_ms; /* connect timeout, default 1000 */
+    uint32_t timeout_ms; /* for the whole call, default none */
+    bool fresh;          /* use a new connection: libcurl resends a request when a reused connection turns out dead */
+    /* Only on_done is required. on_sending returns false to abort the call before anything is sent. on_data returns
+       false to pause: the data is not consumed and is passed again after cw_call_resume. */
     bool (*on_sending)(void* user_data);
     void (*on_head)(void* user_data, unsigned status, const char* content_type);
     bool (*on_data)(void* user_data, const char* data, size_t size);
@@ -40,14 +41,16 @@
     void* user_data;
 } cw_call_desc_t;
 
+/* max_idle: connections kept for reuse, default 256. */
 cw_client_t* cw_client_setup(struct ev_loop* loop, uint32_t max_idle);
 void cw_client_shutdown(cw_client_t* c);
-/* Starts a call. on_done comes later, never from within. */
+/* Starts a call. on_done is called from the event loop, never from within this function. */
 cw_call_t* cw_client_call(cw_client_t* c, const cw_call_desc_t* desc);
-/* Ends a call; no callback comes any more. May be called from any callback. */
+/* Cancels a call; none of its callbacks is called afterwards. May be called from any callback. */
 void cw_call_cancel(cw_call_t* call);
+/* Continues a call that on_data paused. */
 void cw_call_resume(cw_call_t* call);
-/* Value of a header of the answer once the head came, else NULL. */
+/* Value of a response header field; NULL when it is absent or the head has not been received. */
 const char* cw_call_header(cw_call_t* call, const char* name);
 
 #endif
