--- a/io/peers.c
+++ b/io/peers.c
@@ -9,28 +9,28 @@
 
 #include "buffer.h"
 
-#define READ_BLOCK 65536
+#define READ_BLOCK_BYTES 65536
 #define BACKOFF_MIN_MS 50
 #define BACKOFF_MAX_MS 2000
-#define DATAGRAM_MAX 4096
-#define HELLO_MS 5000 /* a link that has not said hello by then is closed */
+#define DATAGRAM_MAX_BYTES 4096
+#define HELLO_TIMEOUT_MS 5000 /* an accepted link without a hello message after this time is closed */
 #define MS_PER_S 1000.0
 
 typedef struct link_t {
     cw_peers_t* peers;
-    int fd;        /* -1: closed, kept for its back-off */
-    uint64_t host; /* 0: accepted and not introduced yet */
-    char address[CW_ADDR_TEXT];
+    int fd;                     /* -1: closed, entry kept for its back-off */
+    uint64_t host;              /* 0: accepted, no hello received yet */
+    char address[CW_ADDR_TEXT]; /* "" after the hello of an accepted link: only the other side reconnects */
     bool connecting;
-    int connect_errno; /* connect failed at once; told in the next turn, not from within a send */
+    int connect_errno; /* connect failed immediately; reported in the next loop iteration, not from within a send */
     bool used;
-    bool dirty; /* in the list of links to flush */
+    bool dirty; /* in cw_peers_t.dirty */
     ev_io read_io, write_io;
     uint8_t* in;
     size_t in_size, in_capacity;
     cw_buffer_t out;
-    double active_s; /* loop time of the last frame */
-    double retry_s;  /* no new attempt before */
+    double active_s; /* loop time of the last frame in either direction */
+    double retry_s;  /* loop time before which no connection attempt is made */
     uint32_t backoff_ms;
 } link_t;
 
@@ -43,9 +43,9 @@
     ev_prepare prepare;
     ev_timer sweep;
     link_t* links;
-    link_t** dirty; /* links with something new to send */
+    link_t** dirty; /* links with new data, flushed before the loop blocks */
     uint32_t dirty_count;
-    cw_msg_t message; /* decoded last */
+    cw_msg_t message; /* the frame decoded last */
     cw_gossip_t gossip;
     cw_peers_stats_t stats;
 };
@@ -55,7 +55,7 @@
 
 /* -- links ---------------------------------------------------------------- */
 
-static link_t* link_free_slot(cw_peers_t* p) {
+static link_t* link_alloc(cw_peers_t* p) {
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         if (!p->links[i].used) {
             p->links[i] = (link_t){
@@ -80,7 +80,7 @@
     return closed;
 }
 
-static void link_watch(link_t* l) {
+static void link_start_reading(link_t* l) {
     ev_io_init(&l->read_io, link_read, l->fd, EV_READ);
     ev_io_init(&l->write_io, link_write, l->fd, EV_WRITE);
     l->read_io.data = l->write_io.data = l;
@@ -89,7 +89,7 @@
     setsockopt(l->fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
 }
 
-/* Closes the socket. A link this side opened stays as a note of its back-off. */
+/* Closes the socket. After a failure, the entry of a link that this host opened is kept: it holds the back-off. */
 static void link_end(link_t* l, bool failed, bool refused) {
     cw_peers_t* p = l->peers;
     if (l->fd >= 0) {
@@ -131,7 +131,7 @@
     }
 }
 
-static void link_hello(link_t* l) {
+static void link_send_hello(link_t* l) {
     cw_peers_t* p = l->peers;
     cw_msg_t msg = {.type = CW_MSG_HELLO};
     msg.hello.version = CW_WIRE_VERSION;
@@ -195,7 +195,7 @@
 
 /* -- frames --------------------------------------------------------------- */
 
-static void link_refuse(link_t* l, cw_error_t* err) {
+static void link_reject(link_t* l, cw_error_t* err) {
     cw_peers_t* p = l->peers;
     if (l->address[0]) {
         cw_copy(err->peer, sizeof(err->peer), l->address);
@@ -206,57 +206,57 @@
     link_close(l, true);
 }
 
-/* First message of a link: says who the peer is. */
-static bool link_introduce(link_t* l, const cw_msg_t* msg) {
+/* Handles the first message of a link, which identifies the peer. */
+static bool link_handle_hello(link_t* l, const cw_msg_t* msg) {
     cw_error_t err = {0};
     if (msg->type != CW_MSG_HELLO) {
-        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "the first message is no hello");
+        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "the first message is not a hello");
     } else if (strcmp(msg->hello.cluster, l->peers->desc.cluster) != 0) {
-        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "the peer is of cluster \"%s\"", msg->hello.cluster);
+        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "the peer belongs to cluster \"%s\"", msg->hello.cluster);
     } else if (l->host && l->host != msg->hello.host) {
-        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "another host answers at this address");
+        cw_fail(&err, CW_ERR_PROTOCOL, "hello", l->address, "the peer at this address is another host than expected");
     }
     if (err.status != CW_OK) {
-        link_refuse(l, &err);
+        link_reject(l, &err);
         return false;
     }
     if (!l->host) {
         l->host = msg->hello.host;
-        l->address[0] = 0; /* the other side reconnects */
+        l->address[0] = 0; /* reconnecting is up to the other side */
     }
     return true;
 }
 
-static bool link_frame(link_t* l, const uint8_t* body, size_t size) {
+static bool link_handle_frame(link_t* l, const uint8_t* body, size_t size) {
     cw_peers_t* p = l->peers;
     cw_error_t err = {0};
     if (cw_wire_decode(p->wire, body, size, &p->message, &err) != CW_OK) {
-        link_refuse(l, &err);
+        link_reject(l, &err);
         return false;
     }
     p->stats.frames_in++;
     l->active_s = ev_now(p->desc.loop);
     if (!l->host || p->message.type == CW_MSG_HELLO) {
-        return link_introduce(l, &p->message);
+        return link_handle_hello(l, &p->message);
     }
     p->desc.on_message(p->desc.user_data, l->host, &p->message);
     return l->used && l->fd >= 0;
 }
 
-static void link_frames(link_t* l) {
+static void link_parse_frames(link_t* l) {
     size_t at = 0;
     while (l->in_size - at >= CW_FRAME_HEADER) {
         uint32_t body = cw_wire_body_size(l->in + at);
         if (body > CW_FRAME_MAX || body == 0) {
             cw_error_t err = {0};
-            cw_fail(&err, CW_ERR_PROTOCOL, "frame", l->address, "a frame of %u bytes", body);
-            link_refuse(l, &err);
+            cw_fail(&err, CW_ERR_PROTOCOL, "frame", l->address, "invalid frame size: %u bytes", body);
+            link_reject(l, &err);
             return;
         }
         if (l->in_size - at < CW_FRAME_HEADER + (size_t)body) {
             break;
         }
-        if (!link_frame(l, l->in + at + CW_FRAME_HEADER, body)) {
+        if (!link_handle_frame(l, l->in + at + CW_FRAME_HEADER, body)) {
             return;
         }
         at += CW_FRAME_HEADER + (size_t)body;
@@ -269,15 +269,15 @@
     (void)loop;
     (void)events;
     link_t* l = w->data;
-    if (l->in_capacity - l->in_size < READ_BLOCK) {
-        l->in_capacity = l->in_size + READ_BLOCK;
+    if (l->in_capacity - l->in_size < READ_BLOCK_BYTES) {
+        l->in_capacity = l->in_size + READ_BLOCK_BYTES;
         uint8_t* grown = realloc(l->in, l->in_capacity);
         if (!grown) {
             abort();
         }
         l->in = grown;
     }
-    ssize_t n = recv(l->fd, l->in + l->in_size, READ_BLOCK, 0);
+    ssize_t n = recv(l->fd, l->in + l->in_size, READ_BLOCK_BYTES, 0);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
@@ -287,7 +287,7 @@
     }
     l->in_size += (size_t)n;
     l->peers->stats.bytes_in += (uint64_t)n;
-    link_frames(l);
+    link_parse_frames(l);
 }
 
 /* -- opening -------------------------------------------------------------- */
@@ -302,7 +302,7 @@
     if (fd < 0) {
         return;
     }
-    link_t* l = link_free_slot(p);
+    link_t* l = link_alloc(p);
     if (!l) {
         close(fd);
         return;
@@ -310,8 +310,8 @@
     l->fd = fd;
     cw_addr_format(&addr, l->address);
     p->stats.links++;
-    link_watch(l);
-    link_hello(l);
+    link_start_reading(l);
+    link_send_hello(l);
 }
 
 static cw_status_t link_connect(link_t* l) {
@@ -327,21 +327,21 @@
     int result = connect(l->fd, (struct sockaddr*)&addr, sizeof(addr));
     l->connecting = result != 0;
     l->connect_errno = (result != 0 && errno != EINPROGRESS) ? errno : 0;
-    link_watch(l);
+    link_start_reading(l);
     if (l->connect_errno) {
         ev_feed_event(l->peers->desc.loop, &l->write_io, EV_WRITE);
     } else if (l->connecting) {
         ev_io_start(l->peers->desc.loop, &l->write_io);
     }
-    link_hello(l);
+    link_send_hello(l);
     return CW_OK;
 }
 
-/* The open link to the host, or a new one; NULL with the reason in status. */
-static link_t* link_to(cw_peers_t* p, uint64_t host, const char* address, cw_status_t* status) {
+/* Returns the open link to the host or opens one; NULL with the reason in status. */
+static link_t* link_get_or_open(cw_peers_t* p, uint64_t host, const char* address, cw_status_t* status) {
     link_t* l = link_find(p, host);
     if (!l) {
-        l = link_free_slot(p);
+        l = link_alloc(p);
         if (!l) {
             *status = CW_ERR_FULL;
             return NULL;
@@ -361,12 +361,12 @@
 
 void cw_peers_open(cw_peers_t* p, uint64_t host, const char* address) {
     cw_status_t status = CW_OK;
-    link_to(p, host, address, &status);
+    link_get_or_open(p, host, address, &status);
 }
 
 cw_status_t cw_peers_send(cw_peers_t* p, uint64_t host, const char* address, const cw_msg_t* msg) {
     cw_status_t status = CW_OK;
-    link_t* l = link_to(p, host, address, &status);
+    link_t* l = link_get_or_open(p, host, address, &status);
     if (!l) {
         return status;
     }
@@ -379,7 +379,7 @@
     return CW_OK;
 }
 
-/* Closes links that are idle or never said hello, and forgets old back-offs. */
+/* Closes links that are idle or sent no hello in time, and removes entries kept for an old back-off. */
 static void on_sweep(struct ev_loop* loop, ev_timer* w, int events) {
     (void)events;
     cw_peers_t* p = w->data;
@@ -387,7 +387,7 @@
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
         double idle_ms = (now - l->active_s) * MS_PER_S;
-        if (l->used && (idle_ms > p->desc.idle_ms || (!l->host && idle_ms > HELLO_MS))) {
+        if (l->used && (idle_ms > p->desc.idle_ms || (!l->host && idle_ms > HELLO_TIMEOUT_MS))) {
             link_close(l, false);
         }
     }
@@ -409,7 +409,7 @@
     (void)loop;
     (void)events;
     cw_peers_t* p = w->data;
-    uint8_t data[DATAGRAM_MAX];
+    uint8_t data[DATAGRAM_MAX_BYTES];
     ssize_t n = 0;
     while ((n = recv(w->fd, data, sizeof(data), MSG_DONTWAIT)) > 0) {
         cw_error_t err = {0};
@@ -453,7 +453,7 @@
     ev_io_init(&p->listen_io, on_accept, p->listen_fd, EV_READ);
     ev_io_init(&p->udp_io, on_datagram, p->udp_fd, EV_READ);
     ev_prepare_init(&p->prepare, on_prepare);
-    ev_set_priority(&p->prepare, EV_MINPRI); /* after all that may still send in this turn */
+    ev_set_priority(&p->prepare, EV_MINPRI); /* run after all prepare watchers that may still send in this iteration */
     ev_timer_init(&p->sweep, on_sweep, 1.0, 1.0);
     p->listen_io.data = p->udp_io.data = p->prepare.data = p->sweep.data = p;
     ev_io_start(p->desc.loop, &p->listen_io);
