--- a/io/stream.c
+++ b/io/stream.c
@@ -6,8 +6,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_BLOCK 16384
-#define COMPACT_BYTES 32768 /* bytes sent before the rest is moved to the front */
+#define READ_BLOCK_BYTES 16384
+#define COMPACT_BYTES 32768 /* sent bytes in out beyond which the rest is moved to the front */
 #define MS_PER_S 1000U
 #define KEEPALIVE_PROBES 2
 
@@ -62,8 +62,8 @@
     s->handlers->on_end(s->owner, end);
 }
 
-/* By the error of the call that failed: only a reset says that somebody is there. */
-static void stream_break(cw_stream_t* s) {
+/* Ends the stream by the errno of the failed call. Only a reset shows that the peer's machine is still reachable. */
+static void stream_fail(cw_stream_t* s) {
     stream_end(s, errno == ECONNRESET || errno == EPIPE ? CW_STREAM_RESET : CW_STREAM_LOST);
 }
 
@@ -71,14 +71,14 @@
     (void)loop;
     (void)events;
     cw_stream_t* s = w->data;
-    char data[READ_BLOCK];
+    char data[READ_BLOCK_BYTES];
     ssize_t n = recv(s->fd, data, sizeof(data), 0);
     if (n > 0) {
         s->handlers->on_data(s->owner, data, (size_t)n);
     } else if (n == 0) {
         stream_end(s, CW_STREAM_FINISHED);
     } else if (errno != EAGAIN && errno != EINTR) {
-        stream_break(s);
+        stream_fail(s);
     }
 }
 
@@ -101,8 +101,8 @@
     return true;
 }
 
-/* Sends until the socket takes no more; false when it is broken. */
-static bool send_some(cw_stream_t* s) {
+/* Sends until the socket would block; false on any other error. */
+static bool send_pending(cw_stream_t* s) {
     while (cw_stream_unsent(s)) {
         ssize_t n = send(s->fd, s->out.data + s->out_start, cw_stream_unsent(s), MSG_NOSIGNAL);
         if (n < 0) {
@@ -131,8 +131,8 @@
         finish_connecting(s);
         return;
     }
-    if (!send_some(s)) {
-        stream_break(s);
+    if (!send_pending(s)) {
+        stream_fail(s);
         return;
     }
     compact(s);
@@ -154,11 +154,11 @@
     if (s->fd < 0 || s->connecting || !cw_stream_unsent(s) || ev_is_active(&s->write_io)) {
         return;
     }
-    if (send_some(s)) {
+    if (send_pending(s)) {
         compact(s);
     }
     if (cw_stream_unsent(s)) {
-        ev_io_start(s->loop, &s->write_io); /* a broken socket is found there */
+        ev_io_start(s->loop, &s->write_io); /* on_writable also reports the error of a broken socket */
     }
 }
 
--- a/io/stream.h
+++ b/io/stream.h
@@ -1,10 +1,10 @@
 #ifndef CW_IO_STREAM_H
 #define CW_IO_STREAM_H
 /*
-    One TCP connection on a libev loop, non-blocking, with a buffer for what waits to be sent.
+    Non-blocking TCP connection on a libev loop with a send buffer.
 
-    The owner embeds cw_stream_t. After any callback the stream is not touched again, so a callback may close the
-    stream and free its owner. on_end comes at most once and the socket is closed by then.
+    The owner embeds cw_stream_t. The stream is not accessed after a callback returns, so a callback may close the
+    stream and free its owner. on_end is called at most once, after the socket has been closed.
 */
 #include <ev.h>
 #include <netinet/in.h>
@@ -13,16 +13,16 @@
 #include "buffer.h"
 
 typedef enum cw_stream_end_t {
-    CW_STREAM_FINISHED = 0, /* the peer closed its side in order */
+    CW_STREAM_FINISHED = 0, /* the peer closed its sending side (FIN) */
     CW_STREAM_RESET,        /* reset by the peer */
-    CW_STREAM_LOST,         /* nothing came back in time: the peer, or the way to it, is gone */
-    CW_STREAM_REFUSED       /* the connection did not come up */
+    CW_STREAM_LOST,         /* no acknowledgement in time, or another error: the peer or the network path is down */
+    CW_STREAM_REFUSED       /* the connection could not be established */
 } cw_stream_end_t;
 
 typedef struct cw_stream_handlers_t {
     void (*on_open)(void* owner); /* connected; may be NULL */
     void (*on_data)(void* owner, const char* data, size_t size);
-    void (*on_drained)(void* owner); /* all that was written has been taken over; may be NULL */
+    void (*on_drained)(void* owner); /* the kernel has taken all bytes written; may be NULL */
     void (*on_end)(void* owner, cw_stream_end_t end);
 } cw_stream_handlers_t;
 
@@ -37,26 +37,28 @@
     size_t out_start; /* bytes of out that have been sent */
 } cw_stream_t;
 
-/* Takes over an accepted socket. */
+/* Takes ownership of an accepted, non-blocking socket and starts reading. */
 void cw_stream_accept(cw_stream_t* s, struct ev_loop* loop, int fd, const cw_stream_handlers_t* handlers, void* owner);
-/* Starts to connect; CW_ERR_IO when no socket can be had or the address is refused at once. */
+/* Starts to connect; on_open or on_end follows. CW_ERR_IO: no socket can be opened or connect fails immediately. */
 cw_status_t cw_stream_connect(cw_stream_t* s, struct ev_loop* loop, const struct sockaddr_in* address,
                               const cw_stream_handlers_t* handlers, void* owner);
-/* A peer that acknowledges nothing for so long is taken as gone; also probes it when idle. */
+/* Ends the stream with CW_STREAM_LOST when the peer acknowledges nothing for silent_ms; idle connections are probed
+   with TCP keep-alive. */
 void cw_stream_watch_peer(cw_stream_t* s, uint32_t silent_ms);
-/* Queues bytes; cw_stream_flush sends them. */
+/* Appends to the send buffer; cw_stream_flush sends it. */
 void cw_stream_write(cw_stream_t* s, const void* data, size_t size);
-/* Sends what can be sent now, the rest later. Errors come by on_end, never from within. */
+/* Sends as much as the socket takes now, the rest when it becomes writable. Errors are reported by on_end from the
+   event loop, never from within this function. */
 void cw_stream_flush(cw_stream_t* s);
-/* Bytes that wait to be sent. */
+/* Number of bytes in the send buffer. */
 size_t cw_stream_unsent(const cw_stream_t* s);
-/* Stops or goes on reading: a reader that is behind slows its sender. */
+/* Stops or resumes reading, for backpressure: while reading is paused, TCP flow control slows the sender down. */
 void cw_stream_pause(cw_stream_t* s, bool paused);
-/* Sends the end of this side's bytes; the peer's may still come. */
+/* Closes the sending side; data from the peer is still read. */
 void cw_stream_finish(cw_stream_t* s);
-/* Closes the socket; no callback comes any more. May be called twice. */
+/* Closes the socket; no callback is called afterwards. Does nothing when already closed. */
 void cw_stream_close(cw_stream_t* s);
-/* Closes with a reset, so that nothing that was cut looks complete. */
+/* Closes with a TCP reset, so that the peer does not take truncated data for complete. */
 void cw_stream_abort(cw_stream_t* s);
 
 #endif
