--- a/io/buffer.c
+++ b/io/buffer.c
@@ -3,12 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAPACITY 256
+#define INITIAL_CAPACITY_BYTES 256
 
 void cw_buffer_add(cw_buffer_t* b, const void* data, size_t size) {
     size_t needed = b->size + size + 1;
     if (needed > b->capacity) {
-        size_t capacity = b->capacity ? b->capacity : FIRST_CAPACITY;
+        size_t capacity = b->capacity ? b->capacity : INITIAL_CAPACITY_BYTES;
         while (capacity < needed) {
             capacity *= 2;
         }
--- a/io/buffer.h
+++ b/io/buffer.h
@@ -1,20 +1,21 @@
 #ifndef CW_IO_BUFFER_H
 #define CW_IO_BUFFER_H
-/* Bytes that grow at their end, always with a zero after the last one. All zero is an empty buffer. */
+/* Growable byte buffer, always zero-terminated once allocated. A zero-initialized cw_buffer_t is an empty buffer. */
 #include <stddef.h>
 
 typedef struct cw_buffer_t {
-    char* data; /* NULL while nothing was added */
-    size_t size;
+    char* data;  /* NULL until something is added */
+    size_t size; /* bytes, without the terminating zero */
     size_t capacity;
 } cw_buffer_t;
 
-/* Appends; aborts when memory runs out. */
+/* Appends size bytes; aborts the process when out of memory. */
 void cw_buffer_add(cw_buffer_t* b, const void* data, size_t size);
-/* Drops the first size bytes. */
+/* Removes the first size bytes and moves the rest to the front. The buffer must have been allocated. */
 void cw_buffer_drop(cw_buffer_t* b, size_t size);
+/* Frees the memory; the buffer is empty and usable again. */
 void cw_buffer_free(cw_buffer_t* b);
-/* The text, "" when nothing was added. */
+/* The content as a zero-terminated string; "" for an empty buffer. */
 const char* cw_buffer_text(const cw_buffer_t* b);
 
 #endif
--- a/io/clock.h
+++ b/io/clock.h
@@ -1,18 +1,18 @@
 #ifndef CW_IO_CLOCK_H
 #define CW_IO_CLOCK_H
 /*
-    The clock by which everything ages: news, lists, configuration, keys, leases, deadlines, retry windows, suspicions.
-   It counts the time for which the machine was suspended, which the monotonic clock, and so the loop's timers, leave
-   out: by that one a host that slept for four seconds would take all that it knows to be four seconds younger than it
-   is. This file alone reads it.
+    The clock for every age and expiry: load reports, server lists, configuration, keys, leases, deadlines, retry
+   windows, suspicions. It is CLOCK_BOOTTIME, which includes the time for which the machine was suspended.
+   CLOCK_MONOTONIC, and therefore the event loop's timers, leave that time out: after a suspension of four seconds, all
+   state would look four seconds younger than it is. Only this module reads CLOCK_BOOTTIME.
 */
 #include <stdint.h>
 
-/* Milliseconds, suspended time included. */
+/* Milliseconds since boot, suspended time included. */
 int64_t cw_clock_ms(void);
-/* Milliseconds for which the machine was suspended, since it was started. */
+/* Milliseconds for which the machine has been suspended since boot. */
 int64_t cw_clock_suspended_ms(void);
-/* For tests: from now on the machine seems to have been suspended for so much longer. */
+/* For tests: simulates a suspension of ms by adding it to both values above; repeated calls add up. */
 void cw_clock_suspend(int64_t ms);
 
 #endif
--- a/io/lines.c
+++ b/io/lines.c
@@ -13,7 +13,7 @@
             return;
         }
         if (n < 0) {
-            cw_buffer_free(&l->out); /* nobody will read it */
+            cw_buffer_free(&l->out); /* for example EPIPE: no reader is left */
             break;
         }
         cw_buffer_drop(&l->out, (size_t)n);
@@ -27,7 +27,7 @@
     flush(w->data);
 }
 
-/* All lines of one turn of the loop leave in one write. */
+/* Writes all lines of one loop iteration with one system call. */
 static void on_prepare(struct ev_loop* loop, ev_prepare* w, int events) {
     (void)loop;
     (void)events;
--- a/io/options.c
+++ b/io/options.c
@@ -14,7 +14,7 @@
             return 0;
         case ARGP_KEY_END:
             if (!options->settings) {
-                argp_error(state, "a settings file is needed: -c FILE");
+                argp_error(state, "missing settings file: -c FILE");
             }
             return 0;
         default:
@@ -24,8 +24,8 @@
 
 cw_options_t cw_options_parse(int argc, char** argv, const char* version, const char* purpose) {
     static const struct argp_option entries[] = {
-        {"config", 'c', "FILE", 0, "settings (INI)", 0},
-        {"check", 'k', NULL, 0, "check the settings and end", 0},
+        {"config", 'c', "FILE", 0, "settings file (INI)", 0},
+        {"check", 'k', NULL, 0, "check the settings file and exit", 0},
         {0},
     };
     const struct argp argp = {.options = entries, .parser = parse_option, .doc = purpose};
