--- a/standins/standin.c
+++ b/standins/standin.c
@@ -35,9 +35,9 @@
     cw_httpd_shutdown(s->http);
 }
 
-double standin_arg(cw_exchange_t* x, const char* name, double initial) {
+double standin_arg(cw_exchange_t* x, const char* name, double default_value) {
     const char* text = cw_exchange_arg(x, name);
-    return text ? strtod(text, NULL) : initial;
+    return text ? strtod(text, NULL) : default_value;
 }
 
 void standin_reply(cw_exchange_t* x, unsigned status, const char* json) {
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,6 +1,6 @@
 #ifndef CW_STANDIN_H
 #define CW_STANDIN_H
-/* What the stand-ins share: the server, the ready line, a planned end. */
+/* Shared by the stand-ins: HTTP server, ready line on standard output, exit on SIGTERM, clock. */
 #include <ev.h>
 
 #include "../io/httpd.h"
@@ -11,12 +11,16 @@
     ev_signal on_term;
 } standin_t;
 
-/* Starts the server, prints "ready http=IP:PORT" and ends the loop on SIGTERM. False after an error message. */
+/* Starts the HTTP server on the default loop, which SIGTERM stops, and prints "ready http=IP:PORT". On failure prints
+   the error to standard error and returns false. */
 bool standin_setup(standin_t* s, const cw_httpd_desc_t* desc);
+/* Runs the loop until SIGTERM, then shuts the server down. */
 void standin_run(standin_t* s);
-/* Number in the query, or initial. */
-double standin_arg(cw_exchange_t* x, const char* name, double initial);
+/* Query argument as a number; default_value when absent. */
+double standin_arg(cw_exchange_t* x, const char* name, double default_value);
+/* Sends a complete response of type application/json. */
 void standin_reply(cw_exchange_t* x, unsigned status, const char* json);
+/* Milliseconds of the monotonic clock. */
 int64_t standin_now(void);
 
 #endif
