--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -1,32 +1,33 @@
 /*
-    fake-upstream: stand-in of a server behind a gateway, engine or plain service, in chalkway's own dialect.
-
-    Any path but /health and /admin/set is work. A request that names another server in Chalkway-Server is answered 421,
-    one that finds the queue full 503 with Chalkway-Not-Run.
-
-    Engine (--slots above 0 and --prefill): up to --slots requests run at once, the more urgent ones first. Each step
-   reads up to CHUNK_TOKENS of the most urgent prompt that is not read yet and makes one event of every request that is.
-   Event number K of request ID is "id: K", "data: <hash of ID and K>"; OUT events of "Chalkway-Tokens: IN,OUT" are
-   made; Last-Event-Id lets them begin after that one.
-
-    Service (no --prefill): after --ms the answer is "ran ID".
-
-    POST /admin/set?slow=X     every step, and each call, takes X times as long
-                   &limit=X    answers name a rate of X requests a second, -1: none
-                   &rest=X     half of the requests are turned away with 503 and X seconds of Retry-After, 0: none
-                   &leaving=1  answers say that it leaves
-
-    A body that begins with "deadly" ends the process DEADLY_MS after its request began to run, in the midst of all that
-   runs beside it.
-
-    Standard output, after the ready line: what ran, one line each, times in ms of the monotonic clock.
-        U MS begin ID SERVER PRIORITY TOKENS
-        U MS end|gone ID SERVER
-        U MS reach|died ID SERVER     a deadly request came; the process ends under it
-        U MS came ID SERVER           any request for it
-        U MS rate - SERVER PER_S      the rate that it names from now on, -1: none
-        U MS named|parts ID SERVER    an answer names the rate, or says that it leaves
-        U MS away ID SERVER REST_MS   it is turned away, with so long a rest
+    fake-upstream: stand-in for a server behind a gateway, engine or plain service, that speaks chalkway's native
+    protocol.
+
+    Every path other than /health and /admin/set is a request to execute. A request whose Chalkway-Server names another
+    server is answered 421, a request without an id or with the queue full 503, both with Chalkway-Not-Run.
+
+    Engine (--prefill above 0): up to --slots requests run at once, taken from the queue by priority. Each step
+    prefills up to CHUNK_TOKENS of the most urgent unfinished prompt and produces one event for every request whose
+    prefill is complete. Event K of request ID is "id: K", "data: <hash of ID and K>". "Chalkway-Tokens: IN,OUT" gives
+    the prompt length and the number of events; Last-Event-Id: K resumes after event K.
+
+    Service (no --prefill): after --ms the response is "ran ID".
+
+    POST /admin/set?slow=X     every step and every call takes X times as long
+                   &limit=X    responses advertise a rate limit of X requests per second, -1: none
+                   &rest=X     every second request is answered 503 with Retry-After: X seconds, 0: none
+                   &leaving=1  responses announce that the server is leaving
+
+    A body that begins with "deadly" is a query of death: CRASH_DELAY_MS after the request started to run, the process
+    exits without a response to any running request.
+
+    Standard output, after the ready line: one line per event, MS is the monotonic clock in milliseconds.
+        U MS begin ID SERVER PRIORITY TOKENS   the request started to run
+        U MS end|gone ID SERVER       it completed; its caller closed the connection
+        U MS reach|died ID SERVER     a query of death arrived; the process exits because of it
+        U MS came ID SERVER           a request with an id arrived, before it is queued or rejected
+        U MS rate - SERVER PER_S      the advertised rate changed, -1: none
+        U MS named|parts ID SERVER    a response advertised the rate; announced that the server is leaving
+        U MS away ID SERVER REST_MS   the request was rejected with Retry-After
 */
 #include <argp.h>
 #include <inttypes.h>
@@ -42,20 +43,20 @@
 
 #define MAX_JOBS 1024
 #define CHUNK_TOKENS 512
-#define STEP_MS 3.0         /* of a step in which nothing is read */
-#define STEP_RUN_MS 0.02    /* more for each request that runs */
-#define LINES_BYTES 4194304 /* of lines that nobody has read */
-#define PRIORITY_LAST 9
+#define STEP_MS 3.0              /* duration of a step without prefill */
+#define STEP_PER_REQUEST_MS 0.02 /* added to a step for each running request */
+#define LINES_MAX_BYTES 4194304  /* buffer for lines that the reader of standard output has not taken yet */
+#define PRIORITY_LOWEST 9
 #define HEADERS_MAX 6
-#define DEADLY_MS 60.0
-#define DEADLY_STATUS 3 /* of the process that ends under a request */
+#define CRASH_DELAY_MS 60.0
+#define CRASH_EXIT_STATUS 3 /* exit status after a query of death */
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool used, running, begun, deadly;
+    bool used, running, has_begun, is_deadly;
     char id[64];
-    uint32_t priority, tokens, unread, made, length;
-    ev_timer timer; /* of a call, or until a deadly request ends the process */
+    uint32_t priority, tokens, prefill_left, events_sent, event_count;
+    ev_timer timer; /* end of a service call, or delay before the crash */
     struct upstream_t* upstream;
 } job_t;
 
@@ -64,46 +65,47 @@
     cw_lines_t lines;
     const char* id;
     uint32_t slots, queue_max;
-    double prefill_us; /* 0: a service */
-    double call_ms, slow;
-    double limit_per_s; /* that it names, < 0: none */
-    double rest_s;      /* that it asks for, 0: none */
-    bool leaving;       /* its answers say so */
+    double prefill_us; /* per prompt token; 0: plain service */
+    double call_ms, slowdown;
+    double advertised_per_s; /* rate limit in responses; < 0: none */
+    double backoff_s;        /* Retry-After of rejected requests; 0: none is rejected */
+    bool is_leaving;         /* announced in responses */
     job_t jobs[MAX_JOBS];
-    cw_heap_t queue; /* waiting jobs by priority and arrival */
-    double arrivals;
+    cw_heap_t queue; /* waiting jobs by priority, then arrival */
+    double arrival_count;
     uint32_t running;
-    uint32_t turns; /* requests that came while it asked for rest */
+    uint32_t backoff_requests; /* requests received while backoff_s was set */
     ev_timer step;
 } upstream_t;
 
-static void say_id(upstream_t* u, const char* what, const char* id) {
+static void log_event(upstream_t* u, const char* event_name, const char* id) {
     char line[160];
-    snprintf(line, sizeof(line), "U %" PRId64 " %s %s %s", standin_now(), what, id, u->id);
+    snprintf(line, sizeof(line), "U %" PRId64 " %s %s %s", standin_now(), event_name, id, u->id);
     cw_lines_add(&u->lines, line);
 }
 
-static void say(upstream_t* u, const char* what, const job_t* job) {
-    say_id(u, what, job->id);
+static void log_job_event(upstream_t* u, const char* event_name, const job_t* job) {
+    log_event(u, event_name, job->id);
 }
 
-static void say_begin(upstream_t* u, const job_t* job) {
+static void log_begin(upstream_t* u, const job_t* job) {
     char line[200];
     snprintf(line, sizeof(line), "U %" PRId64 " begin %s %s %u %u", standin_now(), job->id, u->id, job->priority,
              job->tokens);
     cw_lines_add(&u->lines, line);
 }
 
-/* What the head of an answer asks of its host, beside the request's id: fills up to HEADERS_MAX headers. */
-static uint32_t add_pushback(upstream_t* u, const char* id, char limit[24], cw_header_t* headers, uint32_t count) {
-    if (u->limit_per_s >= 0) {
-        snprintf(limit, 24, "%.3f", u->limit_per_s);
-        headers[count++] = (cw_header_t){"Chalkway-Server-Limit", limit};
-        say_id(u, "named", id);
+/* Appends the headers of server pushback, advertised rate and leaving, to the first count headers. rate_text backs the
+   value and must outlive the headers. Returns the new count. */
+static uint32_t add_pushback(upstream_t* u, const char* id, char rate_text[24], cw_header_t* headers, uint32_t count) {
+    if (u->advertised_per_s >= 0) {
+        snprintf(rate_text, 24, "%.3f", u->advertised_per_s);
+        headers[count++] = (cw_header_t){"Chalkway-Server-Limit", rate_text};
+        log_event(u, "named", id);
     }
-    if (u->leaving) {
+    if (u->is_leaving) {
         headers[count++] = (cw_header_t){"Chalkway-Server-Leaving", "1"};
-        say_id(u, "parts", id);
+        log_event(u, "parts", id);
     }
     return count;
 }
@@ -118,58 +120,58 @@
 
 static void on_call_done(struct ev_loop* loop, ev_timer* w, int events);
 
-static void on_deadly(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_crash(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     job_t* job = w->data;
-    say(job->upstream, "died", job);
+    log_job_event(job->upstream, "died", job);
     cw_lines_shutdown(&job->upstream->lines);
-    _exit(DEADLY_STATUS);
+    _exit(CRASH_EXIT_STATUS);
 }
 
-static void begin(upstream_t* u, job_t* job) {
-    job->running = job->begun = true;
+static void begin_job(upstream_t* u, job_t* job) {
+    job->running = job->has_begun = true;
     u->running++;
-    say_begin(u, job);
-    if (u->prefill_us <= 0 || job->deadly) {
-        double ms = job->deadly ? DEADLY_MS : u->call_ms * u->slow;
-        ev_timer_init(&job->timer, job->deadly ? on_deadly : on_call_done, ms / 1000.0, 0.0);
+    log_begin(u, job);
+    if (u->prefill_us <= 0 || job->is_deadly) {
+        double ms = job->is_deadly ? CRASH_DELAY_MS : u->call_ms * u->slowdown;
+        ev_timer_init(&job->timer, job->is_deadly ? on_crash : on_call_done, ms / 1000.0, 0.0);
         job->timer.data = job;
         ev_timer_start(u->standin.loop, &job->timer);
     }
 }
 
-static job_t* next_to_read(upstream_t* u) {
+static job_t* next_prefill(upstream_t* u) {
     job_t* first = NULL;
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
-        if (job->used && job->running && job->unread && (!first || job->priority < first->priority)) {
+        if (job->used && job->running && job->prefill_left && (!first || job->priority < first->priority)) {
             first = job;
         }
     }
     return first;
 }
 
-static uint32_t chunk_of(const job_t* job) {
-    return job && job->unread < CHUNK_TOKENS ? job->unread : job ? CHUNK_TOKENS : 0;
+static uint32_t prefill_chunk(const job_t* job) {
+    return job && job->prefill_left < CHUNK_TOKENS ? job->prefill_left : job ? CHUNK_TOKENS : 0;
 }
 
 static void admit(upstream_t* u) {
     while (u->running < u->slots && u->queue.count) {
         uint32_t i = cw_heap_top(&u->queue);
         cw_heap_remove(&u->queue, i);
-        begin(u, &u->jobs[i]);
+        begin_job(u, &u->jobs[i]);
     }
     if (u->prefill_us > 0 && u->running && !ev_is_active(&u->step)) {
-        uint32_t chunk = chunk_of(next_to_read(u));
-        double ms = STEP_MS + STEP_RUN_MS * u->running + chunk * u->prefill_us / 1000.0;
-        ev_timer_set(&u->step, ms * u->slow / 1000.0, 0.0);
+        uint32_t chunk = prefill_chunk(next_prefill(u));
+        double ms = STEP_MS + STEP_PER_REQUEST_MS * u->running + chunk * u->prefill_us / 1000.0;
+        ev_timer_set(&u->step, ms * u->slowdown / 1000.0, 0.0);
         ev_timer_start(u->standin.loop, &u->step);
     }
 }
 
-static void end(upstream_t* u, job_t* job) {
-    say(u, "end", job);
+static void end_job(upstream_t* u, job_t* job) {
+    log_job_event(u, "end", job);
     job_free(job);
     admit(u);
 }
@@ -180,18 +182,18 @@
     job_t* job = w->data;
     char body[80];
     int size = snprintf(body, sizeof(body), "ran %s", job->id);
-    char limit[24];
+    char rate_text[24];
     cw_header_t headers[HEADERS_MAX] = {{"Chalkway-Request-Id", job->id}};
-    uint32_t count = add_pushback(job->upstream, job->id, limit, headers, 1);
+    uint32_t count = add_pushback(job->upstream, job->id, rate_text, headers, 1);
     cw_exchange_reply(job->x, 200, headers, count, body, (size_t)size);
-    end(job->upstream, job);
+    end_job(job->upstream, job);
 }
 
-static void make_event(job_t* job) {
+static void send_event(job_t* job) {
     char event[96];
-    job->made++;
-    int n = snprintf(event, sizeof(event), "id: %u\ndata: %016llx\n\n", job->made,
-                     (unsigned long long)XXH64(job->id, strlen(job->id), job->made));
+    job->events_sent++;
+    int n = snprintf(event, sizeof(event), "id: %u\ndata: %016llx\n\n", job->events_sent,
+                     (unsigned long long)XXH64(job->id, strlen(job->id), job->events_sent));
     cw_exchange_push(job->x, event, (size_t)n);
 }
 
@@ -199,27 +201,28 @@
     (void)loop;
     (void)events;
     upstream_t* u = w->data;
-    job_t* read = next_to_read(u);
+    job_t* prefilling = next_prefill(u);
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
-        bool whole = job->made >= job->length && !job->deadly; /* a deadly one never ends well */
-        if (job->used && job->running && !job->unread && job != read && !whole) {
-            make_event(job);
-            whole = job->made >= job->length && !job->deadly;
+        bool is_complete =
+            job->events_sent >= job->event_count && !job->is_deadly; /* a query of death never completes */
+        if (job->used && job->running && !job->prefill_left && job != prefilling && !is_complete) {
+            send_event(job);
+            is_complete = job->events_sent >= job->event_count && !job->is_deadly;
         }
-        if (job->used && job->running && !job->unread && whole) {
+        if (job->used && job->running && !job->prefill_left && is_complete) {
             cw_exchange_finish(job->x, true);
-            say(u, "end", job);
+            log_job_event(u, "end", job);
             job_free(job);
         }
     }
-    if (read) {
-        read->unread -= chunk_of(read);
+    if (prefilling) {
+        prefilling->prefill_left -= prefill_chunk(prefilling);
     }
     admit(u);
 }
 
-static job_t* job_new(upstream_t* u) {
+static job_t* job_alloc(upstream_t* u) {
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         if (!u->jobs[i].used) {
             u->jobs[i] = (job_t){.used = true, .upstream = u};
@@ -234,20 +237,21 @@
     cw_exchange_reply(x, status, headers, 2, "", 0);
 }
 
-/* Turns the request away and asks its host for rest. */
-static void turn_away(upstream_t* u, cw_exchange_t* x, const char* id) {
+/* Rejects the request with 503 and Retry-After. */
+static void reject_with_backoff(upstream_t* u, cw_exchange_t* x, const char* id) {
     char line[160];
-    char rest[24];
-    char limit[24];
-    snprintf(rest, sizeof(rest), "%.3f", u->rest_s);
-    cw_header_t headers[HEADERS_MAX] = {{"Chalkway-Not-Run", "1"}, {"Chalkway-Request-Id", id}, {"Retry-After", rest}};
-    uint32_t count = add_pushback(u, id, limit, headers, 3);
+    char retry_after[24];
+    char rate_text[24];
+    snprintf(retry_after, sizeof(retry_after), "%.3f", u->backoff_s);
+    cw_header_t headers[HEADERS_MAX] = {
+        {"Chalkway-Not-Run", "1"}, {"Chalkway-Request-Id", id}, {"Retry-After", retry_after}};
+    uint32_t count = add_pushback(u, id, rate_text, headers, 3);
     cw_exchange_reply(x, 503, headers, count, "", 0);
-    snprintf(line, sizeof(line), "U %" PRId64 " away %s %s %.0f", standin_now(), id, u->id, u->rest_s * 1000);
+    snprintf(line, sizeof(line), "U %" PRId64 " away %s %s %.0f", standin_now(), id, u->id, u->backoff_s * 1000);
     cw_lines_add(&u->lines, line);
 }
 
-static void work(upstream_t* u, cw_exchange_t* x) {
+static void handle_request(upstream_t* u, cw_exchange_t* x) {
     const char* id = cw_exchange_header(x, "Chalkway-Request-Id");
     const char* server = cw_exchange_header(x, "Chalkway-Server");
     const char* tokens = cw_exchange_header(x, "Chalkway-Tokens");
@@ -258,38 +262,38 @@
         return;
     }
     if (id) {
-        say_id(u, "came", id);
+        log_event(u, "came", id);
     }
-    if (id && u->rest_s > 0 && ++u->turns % 2) {
-        turn_away(u, x, id);
+    if (id && u->backoff_s > 0 && ++u->backoff_requests % 2) {
+        reject_with_backoff(u, x, id);
         return;
     }
-    job_t* job = id && u->queue.count < u->queue_max ? job_new(u) : NULL;
+    job_t* job = id && u->queue.count < u->queue_max ? job_alloc(u) : NULL;
     if (!job) {
         reject(x, 503, id ? id : "");
         return;
     }
     job->x = x;
     cw_copy(job->id, sizeof(job->id), id);
-    job->priority = priority ? (uint32_t)strtoul(priority, NULL, 10) : PRIORITY_LAST;
+    job->priority = priority ? (uint32_t)strtoul(priority, NULL, 10) : PRIORITY_LOWEST;
     if (tokens) {
-        sscanf(tokens, "%u,%u", &job->tokens, &job->length);
+        sscanf(tokens, "%u,%u", &job->tokens, &job->event_count);
     }
-    job->unread = job->tokens;
-    job->made = after ? (uint32_t)strtoul(after, NULL, 10) : 0;
+    job->prefill_left = job->tokens;
+    job->events_sent = after ? (uint32_t)strtoul(after, NULL, 10) : 0;
     cw_exchange_set_data(x, job);
     size_t size = 0;
-    job->deadly = strncmp(cw_exchange_body(x, &size), "deadly", strlen("deadly")) == 0;
-    if (job->deadly) {
-        say(u, "reach", job);
+    job->is_deadly = strncmp(cw_exchange_body(x, &size), "deadly", strlen("deadly")) == 0;
+    if (job->is_deadly) {
+        log_job_event(u, "reach", job);
     }
     if (u->prefill_us > 0) {
-        char limit[24];
+        char rate_text[24];
         cw_header_t headers[HEADERS_MAX] = {{"Content-Type", "text/event-stream"}, {"Chalkway-Request-Id", job->id}};
-        uint32_t count = add_pushback(u, job->id, limit, headers, 2);
+        uint32_t count = add_pushback(u, job->id, rate_text, headers, 2);
         cw_exchange_stream(x, 200, headers, count);
     }
-    cw_heap_set(&u->queue, (uint32_t)(job - u->jobs), job->priority * 1e9 + u->arrivals++);
+    cw_heap_set(&u->queue, (uint32_t)(job - u->jobs), job->priority * 1e9 + u->arrival_count++);
     admit(u);
 }
 
@@ -300,19 +304,19 @@
         const cw_header_t headers[] = {{"Chalkway-Server-Id", u->id}};
         cw_exchange_reply(x, 200, headers, 1, "", 0);
     } else if (strcmp(path, "/admin/set") == 0) {
-        double limit_per_s = standin_arg(x, "limit", u->limit_per_s);
-        if (limit_per_s != u->limit_per_s) {
+        double advertised_per_s = standin_arg(x, "limit", u->advertised_per_s);
+        if (advertised_per_s != u->advertised_per_s) {
             char line[120];
-            u->limit_per_s = limit_per_s;
-            snprintf(line, sizeof(line), "U %" PRId64 " rate - %s %.3f", standin_now(), u->id, limit_per_s);
+            u->advertised_per_s = advertised_per_s;
+            snprintf(line, sizeof(line), "U %" PRId64 " rate - %s %.3f", standin_now(), u->id, advertised_per_s);
             cw_lines_add(&u->lines, line);
         }
-        u->slow = standin_arg(x, "slow", u->slow);
-        u->rest_s = standin_arg(x, "rest", u->rest_s);
-        u->leaving = u->leaving || standin_arg(x, "leaving", 0) > 0;
+        u->slowdown = standin_arg(x, "slow", u->slowdown);
+        u->backoff_s = standin_arg(x, "rest", u->backoff_s);
+        u->is_leaving = u->is_leaving || standin_arg(x, "leaving", 0) > 0;
         standin_reply(x, 200, "{}");
     } else {
-        work(u, x);
+        handle_request(u, x);
     }
 }
 
@@ -320,8 +324,8 @@
     upstream_t* u = user;
     job_t* job = cw_exchange_data(x);
     if (job && job->used && job->x == x) {
-        if (job->begun) {
-            say(u, "gone", job);
+        if (job->has_begun) {
+            log_job_event(u, "gone", job);
         }
         job_free(job);
         admit(u);
@@ -353,15 +357,17 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"id", 'i', "ID", 0, "of this life of the server", 0},
-        {"slots", 's', "N", 0, "requests at once, default 8", 0},
-        {"queue", 'q', "N", 0, "requests that may wait, default 25", 0},
-        {"prefill", 'p', "US", 0, "engine: time to read a prompt token", 0},
-        {"ms", 'm', "MS", 0, "service: time of a call, default 50", 0},
+        {"id", 'i', "ID", 0, "id of this incarnation of the server", 0},
+        {"slots", 's', "N", 0, "concurrent requests, default 8", 0},
+        {"queue", 'q', "N", 0, "queue length, default 25", 0},
+        {"prefill", 'p', "US", 0, "engine: prefill time per prompt token", 0},
+        {"ms", 'm', "MS", 0, "service: duration of a call, default 50", 0},
         {0},
     };
-    const struct argp argp = {.options = options, .parser = parse_option, .doc = "Stand-in of a gateway's server."};
-    static upstream_t upstream = {.id = "s", .slots = 8, .queue_max = 25, .call_ms = 50, .slow = 1, .limit_per_s = -1};
+    const struct argp argp = {
+        .options = options, .parser = parse_option, .doc = "Stand-in for a server behind a gateway."};
+    static upstream_t upstream = {
+        .id = "s", .slots = 8, .queue_max = 25, .call_ms = 50, .slowdown = 1, .advertised_per_s = -1};
     upstream_t* u = &upstream;
     argp_parse(&argp, argc, argv, 0, NULL, u);
     u->queue = cw_heap_setup(MAX_JOBS, NULL);
@@ -370,7 +376,7 @@
                            .address = "127.0.0.1:0", .on_request = on_request, .on_gone = on_gone, .user_data = u})) {
         return 1;
     }
-    cw_lines_setup(&u->lines, u->standin.loop, 1, LINES_BYTES);
+    cw_lines_setup(&u->lines, u->standin.loop, 1, LINES_MAX_BYTES);
     ev_timer_init(&u->step, on_step, 0.0, 0.0);
     u->step.data = u;
     standin_run(&u->standin);
