--- a/standins/fake_engine.c
+++ b/standins/fake_engine.c
@@ -1,17 +1,18 @@
 /*
-    fake-engine: stand-in of a model engine with continuous batching.
+    fake-engine: stand-in for a model engine with continuous batching.
 
     POST /v1/chat/completions, /v1/completions
-        The prompt holds "id=ID len=N". The answer is N tokens, each made from ID and its position, so that a caller
-        can check every byte. With "stream": true they come as events, the last one "[DONE]". max_tokens bounds N.
-        Header Chalkway-Priority orders the queue; Chalkway-Resume-From: K begins the answer at token K.
-    GET  /v1/load       {"running", "waiting", "draining"}, as it was --lag ago
+        The prompt contains "id=ID len=N". The response has N tokens, each derived from ID and its position, so that
+        the caller can verify every byte. With "stream": true they are sent as events, followed by "[DONE]". max_tokens
+        limits N. Chalkway-Priority orders the queue; Chalkway-Resume-From: K starts the response at token K.
+    GET  /v1/load       {"running", "waiting", "draining"}; running is --lag old, the others are current
     POST /admin/set?step_ms=X&drain=0|1&crash_after=N&lag_ms=N&cut_after=N
-        crash_after: the process ends after N more tokens. cut_after: the next stream is cut after N tokens.
-    GET  /admin/stats   tokens made, tokens of callers that left, most at once, requests
+        crash_after: the process exits after N more steps of single requests, that is tokens or prefill steps.
+        cut_after: the next stream to reach N tokens is broken off there.
+    GET  /admin/stats   requests; tokens produced, of these for callers that closed; highest number of running requests
 
-    All running requests advance one token a step. A step takes step_ms + batch * batch_us. A prompt takes its tokens
-    times prefill_us before the first one, unless its start is in the prefix cache.
+    All running requests advance by one token per step. A step takes step_ms plus batch_us for each running request.
+    Before its first token a prompt takes prefill_us per token, unless its first PREFIX_CHARS are in the prefix cache.
 */
 #include <argp.h>
 #include <jansson.h>
@@ -26,17 +27,17 @@
 
 #define MAX_JOBS 4096
 #define PREFIX_CHARS 256
-#define CACHE_PREFIXES 64
-#define LAG_SAMPLES 64
-#define LAG_STEP_MS 100
+#define CACHE_ENTRIES 64
+#define LOAD_SAMPLES 64
+#define SAMPLE_INTERVAL_MS 100
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool used, running, stream;
+    bool used, running, is_streaming;
     char id[64];
-    uint32_t length, made, sent_from;
-    double prefill_steps; /* steps until the first token */
-    cw_buffer_t text;     /* of a whole answer */
+    uint32_t token_count, tokens_sent, sent_from;
+    double prefill_steps; /* prefill steps left before the first token */
+    cw_buffer_t text;     /* response so far, unless streamed */
 } job_t;
 
 typedef struct engine_t {
@@ -44,24 +45,24 @@
     uint32_t slots;
     double step_ms, batch_us, prefill_us;
     job_t jobs[MAX_JOBS];
-    cw_heap_t queue; /* waiting jobs by priority and arrival */
-    double arrivals;
-    uint32_t running, most;
-    uint64_t requests, tokens, wasted;
-    bool draining;
+    cw_heap_t queue; /* waiting jobs by priority, then arrival */
+    double arrival_count;
+    uint32_t running, max_running;
+    uint64_t request_count, total_tokens, wasted_tokens;
+    bool is_draining;
     int64_t crash_after, cut_after; /* negative: not set */
-    uint64_t cache[CACHE_PREFIXES];
+    uint64_t cache[CACHE_ENTRIES];
     uint32_t cache_next;
-    uint32_t lag_ms;
-    uint32_t samples[LAG_SAMPLES]; /* running, one each LAG_STEP_MS */
-    uint32_t sample_at;
-    double step_due_s; /* loop time at which the present step ends */
+    uint32_t report_lag_ms;
+    uint32_t samples[LOAD_SAMPLES]; /* ring buffer: number of running jobs, every SAMPLE_INTERVAL_MS */
+    uint32_t next_sample;
+    double step_due_s; /* loop time at which the current step ends */
     ev_timer step, sample;
 } engine_t;
 
 /* -- jobs ----------------------------------------------------------------- */
 
-/* Token k of an answer. */
+/* Writes token k of the response; returns its length. */
 static int write_token(char out[32], const char* id, uint32_t k) {
     uint64_t hash = XXH64(id, strlen(id), k);
     return snprintf(out, 32, "w%05u ", (unsigned)(hash % 100000));
@@ -74,13 +75,14 @@
     *job = (job_t){0};
 }
 
-static bool cached(engine_t* e, uint64_t prefix) {
-    for (uint32_t i = 0; i < CACHE_PREFIXES; i++) {
+/* Whether the prefix is cached; if not, it replaces the oldest entry. */
+static bool cache_has_or_add(engine_t* e, uint64_t prefix) {
+    for (uint32_t i = 0; i < CACHE_ENTRIES; i++) {
         if (e->cache[i] == prefix) {
             return true;
         }
     }
-    e->cache[e->cache_next++ % CACHE_PREFIXES] = prefix;
+    e->cache[e->cache_next++ % CACHE_ENTRIES] = prefix;
     return false;
 }
 
@@ -95,9 +97,9 @@
         e->jobs[i].running = true;
         e->running++;
     }
-    e->most = e->running > e->most ? e->running : e->most;
+    e->max_running = e->running > e->max_running ? e->running : e->max_running;
     if (e->running && !ev_is_active(&e->step)) {
-        /* Steps follow each other without the lateness of the timer adding up. */
+        /* A step starts at the due time of the previous one, so that timer delays do not accumulate. */
         double now_s = ev_now(e->standin.loop);
         double begin_s = now_s - e->step_due_s < 0.01 ? e->step_due_s : now_s;
         e->step_due_s = begin_s + step_s(e);
@@ -108,14 +110,14 @@
 }
 
 static void job_finish(engine_t* e, job_t* job) {
-    if (job->stream) {
+    if (job->is_streaming) {
         static const char end[] = "data: [DONE]\n\n";
         cw_exchange_push(job->x, end, sizeof(end) - 1);
         cw_exchange_finish(job->x, true);
     } else {
         json_t* root = json_pack("{s:s,s:[{s:i,s:{s:s,s:s},s:s}],s:{s:i}}", "object", "chat.completion", "choices",
                                  "index", 0, "message", "role", "assistant", "content", cw_buffer_text(&job->text),
-                                 "finish_reason", "stop", "usage", "completion_tokens", (int)job->length);
+                                 "finish_reason", "stop", "usage", "completion_tokens", (int)job->token_count);
         char* text = json_dumps(root, JSON_COMPACT);
         standin_reply(job->x, 200, text);
         free(text);
@@ -124,12 +126,12 @@
     job_free(e, job);
 }
 
-static void job_token(engine_t* e, job_t* job) {
+static void job_send_token(engine_t* e, job_t* job) {
     char token[32];
-    int n = write_token(token, job->id, job->made);
-    job->made++;
-    e->tokens++;
-    if (job->stream) {
+    int n = write_token(token, job->id, job->tokens_sent);
+    job->tokens_sent++;
+    e->total_tokens++;
+    if (job->is_streaming) {
         char event[128];
         n = snprintf(event, sizeof(event), "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s\"}}]}\n\n",
                      token);
@@ -144,16 +146,16 @@
         job->prefill_steps -= 1.0;
         return;
     }
-    if (job->made >= job->length) { /* resumed after its last token */
+    if (job->tokens_sent >= job->token_count) { /* the caller resumed after the last token */
         job_finish(e, job);
         return;
     }
-    job_token(e, job);
-    if (job->stream && e->cut_after >= 0 && job->made >= (uint64_t)e->cut_after) {
+    job_send_token(e, job);
+    if (job->is_streaming && e->cut_after >= 0 && job->tokens_sent >= (uint64_t)e->cut_after) {
         e->cut_after = -1;
         cw_exchange_finish(job->x, false);
         job_free(e, job);
-    } else if (job->made >= job->length) {
+    } else if (job->tokens_sent >= job->token_count) {
         job_finish(e, job);
     }
 }
@@ -184,16 +186,16 @@
     const char* text = json_string_value(content);
     const char* id = text ? strstr(text, "id=") : NULL;
     const char* len = text ? strstr(text, "len=") : NULL;
-    if (!id || !len || sscanf(id, "id=%63s", job->id) != 1 || sscanf(len, "len=%u", &job->length) != 1) {
+    if (!id || !len || sscanf(id, "id=%63s", job->id) != 1 || sscanf(len, "len=%u", &job->token_count) != 1) {
         return false;
     }
     json_int_t max = json_integer_value(json_object_get(root, "max_tokens"));
-    job->length = (max > 0 && max < job->length) ? (uint32_t)max : job->length;
-    job->stream = json_is_true(json_object_get(root, "stream"));
-    return job->length > 0;
+    job->token_count = (max > 0 && max < job->token_count) ? (uint32_t)max : job->token_count;
+    job->is_streaming = json_is_true(json_object_get(root, "stream"));
+    return job->token_count > 0;
 }
 
-static job_t* job_new(engine_t* e) {
+static job_t* job_alloc(engine_t* e) {
     for (int i = 0; i < MAX_JOBS; i++) {
         if (!e->jobs[i].used) {
             e->jobs[i] = (job_t){.used = true};
@@ -203,11 +205,11 @@
     return NULL;
 }
 
-static void complete(engine_t* e, cw_exchange_t* x) {
+static void handle_completion(engine_t* e, cw_exchange_t* x) {
     size_t size = 0;
     const char* body = cw_exchange_body(x, &size);
     json_t* root = json_loadb(body, size, 0, NULL);
-    job_t* job = e->draining ? NULL : job_new(e);
+    job_t* job = e->is_draining ? NULL : job_alloc(e);
     const char* prompt = NULL;
     if (!job || !parse_prompt(job, root, &prompt)) {
         standin_reply(x, job ? 400 : 503, job ? "{\"error\":\"no id and len\"}" : "{\"error\":\"draining\"}");
@@ -217,32 +219,34 @@
         json_decref(root);
         return;
     }
-    e->requests++;
+    e->request_count++;
     job->x = x;
-    const char* from = cw_exchange_header(x, "Chalkway-Resume-From");
-    job->made = from ? (uint32_t)strtoul(from, NULL, 10) : 0;
+    const char* resume_from = cw_exchange_header(x, "Chalkway-Resume-From");
+    job->tokens_sent = resume_from ? (uint32_t)strtoul(resume_from, NULL, 10) : 0;
     const char* priority = cw_exchange_header(x, "Chalkway-Priority");
     size_t len = strlen(prompt);
-    if (!cached(e, XXH64(prompt, len < PREFIX_CHARS ? len : PREFIX_CHARS, 0))) {
+    if (!cache_has_or_add(e, XXH64(prompt, len < PREFIX_CHARS ? len : PREFIX_CHARS, 0))) {
         job->prefill_steps = (double)size / 4 * e->prefill_us / 1000.0 / e->step_ms;
     }
     cw_exchange_set_data(x, job);
-    if (job->stream) {
+    if (job->is_streaming) {
         const cw_header_t headers[] = {{"Content-Type", "text/event-stream"}};
         cw_exchange_stream(x, 200, headers, 1);
     }
     json_decref(root);
-    cw_heap_set(&e->queue, (uint32_t)(job - e->jobs), (priority ? strtod(priority, NULL) : 3) * 1e9 + e->arrivals++);
+    cw_heap_set(&e->queue, (uint32_t)(job - e->jobs),
+                (priority ? strtod(priority, NULL) : 3) * 1e9 + e->arrival_count++);
     admit(e);
 }
 
 static void reply_load(const engine_t* e, cw_exchange_t* x) {
-    uint32_t back = e->lag_ms / LAG_STEP_MS;
-    back = back < LAG_SAMPLES ? back : LAG_SAMPLES - 1;
-    uint32_t running = back ? e->samples[(e->sample_at + LAG_SAMPLES - back) % LAG_SAMPLES] : e->running;
+    uint32_t samples_back = e->report_lag_ms / SAMPLE_INTERVAL_MS;
+    samples_back = samples_back < LOAD_SAMPLES ? samples_back : LOAD_SAMPLES - 1;
+    uint32_t running =
+        samples_back ? e->samples[(e->next_sample + LOAD_SAMPLES - samples_back) % LOAD_SAMPLES] : e->running;
     char reply[128];
     snprintf(reply, sizeof(reply), "{\"running\":%u,\"waiting\":%u,\"draining\":%s}", running, e->queue.count,
-             e->draining ? "true" : "false");
+             e->is_draining ? "true" : "false");
     standin_reply(x, 200, reply);
 }
 
@@ -254,18 +258,18 @@
     } else if (strcmp(path, "/admin/stats") == 0) {
         char reply[192];
         snprintf(reply, sizeof(reply), "{\"requests\":%llu,\"tokens\":%llu,\"wasted\":%llu,\"most\":%u}",
-                 (unsigned long long)e->requests, (unsigned long long)e->tokens, (unsigned long long)e->wasted,
-                 e->most);
+                 (unsigned long long)e->request_count, (unsigned long long)e->total_tokens,
+                 (unsigned long long)e->wasted_tokens, e->max_running);
         standin_reply(x, 200, reply);
     } else if (strcmp(path, "/admin/set") == 0) {
         e->step_ms = standin_arg(x, "step_ms", e->step_ms);
-        e->draining = standin_arg(x, "drain", e->draining) != 0;
+        e->is_draining = standin_arg(x, "drain", e->is_draining) != 0;
         e->crash_after = (int64_t)standin_arg(x, "crash_after", (double)e->crash_after);
         e->cut_after = (int64_t)standin_arg(x, "cut_after", (double)e->cut_after);
-        e->lag_ms = (uint32_t)standin_arg(x, "lag_ms", e->lag_ms);
+        e->report_lag_ms = (uint32_t)standin_arg(x, "lag_ms", e->report_lag_ms);
         standin_reply(x, 200, "{}");
     } else if (strncmp(path, "/v1/", 4) == 0) {
-        complete(e, x);
+        handle_completion(e, x);
     } else {
         standin_reply(x, 404, "{}");
     }
@@ -275,7 +279,7 @@
     engine_t* e = user;
     job_t* job = cw_exchange_data(x);
     if (job && job->used && job->x == x) {
-        e->wasted += job->made;
+        e->wasted_tokens += job->tokens_sent;
         job_free(e, job);
         admit(e);
     }
@@ -285,15 +289,15 @@
     (void)loop;
     (void)events;
     engine_t* e = w->data;
-    e->samples[e->sample_at++ % LAG_SAMPLES] = e->running;
-    e->sample_at %= LAG_SAMPLES;
+    e->samples[e->next_sample++ % LOAD_SAMPLES] = e->running;
+    e->next_sample %= LOAD_SAMPLES;
 }
 
 /* -- start ---------------------------------------------------------------- */
 
 typedef struct args_t {
     const char* address;
-    uint32_t slots, lag_ms;
+    uint32_t slots, report_lag_ms;
     double step_ms, batch_us, prefill_us;
 } args_t;
 
@@ -316,7 +320,7 @@
             args->prefill_us = strtod(arg, NULL);
             return 0;
         case 'l':
-            args->lag_ms = (uint32_t)strtoul(arg, NULL, 10);
+            args->report_lag_ms = (uint32_t)strtoul(arg, NULL, 10);
             return 0;
         default:
             return ARGP_ERR_UNKNOWN;
@@ -325,22 +329,22 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"address", 'a', "IP:PORT", 0, "to listen on, default 127.0.0.1:0", 0},
-        {"slots", 's', "N", 0, "requests at once, default 8", 0},
-        {"step", 't', "MS", 0, "time of a step, default 10", 0},
-        {"batch", 'b', "US", 0, "more time of a step for each request, default 100", 0},
-        {"prefill", 'p', "US", 0, "time for a prompt token that is not cached, default 50", 0},
+        {"address", 'a', "IP:PORT", 0, "listen address, default 127.0.0.1:0", 0},
+        {"slots", 's', "N", 0, "concurrent requests, default 8", 0},
+        {"step", 't', "MS", 0, "duration of a step, default 10", 0},
+        {"batch", 'b', "US", 0, "added to a step per running request, default 100", 0},
+        {"prefill", 'p', "US", 0, "prefill time per uncached prompt token, default 50", 0},
         {"lag", 'l', "MS", 0, "age of load reports, default 500", 0},
         {0},
     };
-    const struct argp argp = {.options = options, .parser = parse_option, .doc = "Stand-in of a model engine."};
+    const struct argp argp = {.options = options, .parser = parse_option, .doc = "Stand-in for a model engine."};
     args_t args = {
-        .address = "127.0.0.1:0", .slots = 8, .lag_ms = 500, .step_ms = 10, .batch_us = 100, .prefill_us = 50};
+        .address = "127.0.0.1:0", .slots = 8, .report_lag_ms = 500, .step_ms = 10, .batch_us = 100, .prefill_us = 50};
     argp_parse(&argp, argc, argv, 0, NULL, &args);
     static engine_t engine;
     engine_t* e = &engine;
     e->slots = args.slots;
-    e->lag_ms = args.lag_ms;
+    e->report_lag_ms = args.report_lag_ms;
     e->step_ms = args.step_ms;
     e->batch_us = args.batch_us;
     e->prefill_us = args.prefill_us;
@@ -352,7 +356,7 @@
         return 1;
     }
     ev_timer_init(&e->step, on_step, 0.0, 0.0);
-    ev_timer_init(&e->sample, on_sample, LAG_STEP_MS / 1000.0, LAG_STEP_MS / 1000.0);
+    ev_timer_init(&e->sample, on_sample, SAMPLE_INTERVAL_MS / 1000.0, SAMPLE_INTERVAL_MS / 1000.0);
     e->step.data = e->sample.data = e;
     ev_timer_start(e->standin.loop, &e->sample);
     standin_run(&e->standin);
