--- a/standins/fake_platform.c
+++ b/standins/fake_platform.c
@@ -1,15 +1,17 @@
 /*
-    fake-platform: stand-in of the users' configuration service.
+    fake-platform: stand-in for the users' configuration service.
 
     GET  /v1/kv                      all keys: {"revision", "items": [{"key", "revision", "value"}]}
-    GET  /v1/watch?since=R&wait_ms=W changes after R; answers when there is one or after W
-    GET  /v1/hosts                   {"hosts": [...]}: as published, lagging by --host-lag
-    POST /admin/put                  {"items": [{"key", "value"}]}; value null deletes
+    GET  /v1/watch?since=R&wait_ms=W long poll: changes after revision R; responds on a change, at the latest after W ms
+    GET  /v1/hosts                   {"hosts": [...]}: as published --host-lag ago
+    POST /admin/put                  {"items": [{"key", "value"}]}; value null deletes the key
     POST /admin/hosts                {"hosts": [...]}
     POST /admin/mode?down=0|1&stale=0|1&slow_ms=N
-    GET  /admin/stats                calls in all and refused for the rate
+                                     down: every call is answered 503. stale: responses show the revision that was
+                                     current when stale was set. slow_ms: responses are delayed by N ms.
+    GET  /admin/stats                number of calls, calls rejected (rate limit or down), revision
 
-    It is limited to 2,000 calls a second. Stale: it answers with what it knew when it became stale.
+    Calls beyond 2,000 per second are answered 503; /admin is not limited.
 */
 #include <argp.h>
 #include <jansson.h>
@@ -21,21 +23,21 @@
 #include "standin.h"
 
 #define MAX_WATCHES 1024
-#define CALLS_A_SECOND 2000
+#define MAX_CALLS_PER_S 2000
 
 typedef struct item_t {
     char* key;
-    char* value; /* NULL: deleted */
+    char* value; /* NULL: tombstone of a deleted key */
     int64_t revision;
 } item_t;
 
 typedef struct watch_t {
     cw_exchange_t* x;
-    int64_t since, until_ms;
+    int64_t since, deadline_ms;
 } watch_t;
 
 typedef struct delayed_t {
-    cw_exchange_t* x; /* NULL: the caller left */
+    cw_exchange_t* x; /* NULL: the caller closed the connection */
     ev_timer timer;
 } delayed_t;
 
@@ -45,20 +47,20 @@
     size_t count;
     int64_t revision;
     int64_t stale_revision; /* 0: not stale */
-    bool down;
-    uint32_t slow_ms;
-    uint64_t calls, refused;
+    bool is_down;
+    uint32_t response_delay_ms;
+    uint64_t calls, rejected;
     cw_bucket_t bucket;
     watch_t watches[MAX_WATCHES];
-    char* hosts; /* as seen by readers */
-    char* next_hosts;
-    int64_t hosts_at_ms;
+    char* hosts; /* visible to callers */
+    char* pending_hosts;
+    int64_t pending_hosts_due_ms;
     uint32_t host_lag_ms;
     ev_timer tick;
 } platform_t;
 
-/* What readers may see: all up to this revision. */
-static int64_t visible(const platform_t* p) {
+/* Callers see items up to this revision. */
+static int64_t visible_revision(const platform_t* p) {
     return p->stale_revision ? p->stale_revision : p->revision;
 }
 
@@ -66,26 +68,26 @@
     json_t* list = json_array();
     for (size_t i = 0; i < p->count; i++) {
         const item_t* item = &p->items[i];
-        if (item->revision > since && item->revision <= visible(p) && (item->value || with_deleted)) {
+        if (item->revision > since && item->revision <= visible_revision(p) && (item->value || with_deleted)) {
             json_array_append_new(list, json_pack("{s:s,s:I,s:s?}", "key", item->key, "revision",
                                                   (json_int_t)item->revision, "value", item->value));
         }
     }
-    json_t* root = json_pack("{s:I,s:o}", "revision", (json_int_t)visible(p), "items", list);
+    json_t* root = json_pack("{s:I,s:o}", "revision", (json_int_t)visible_revision(p), "items", list);
     char* text = json_dumps(root, JSON_COMPACT);
     standin_reply(x, 200, text);
     free(text);
     json_decref(root);
 }
 
-static void answer_watches(platform_t* p) {
+static void reply_watches(platform_t* p) {
     int64_t now_ms = standin_now();
     for (int i = 0; i < MAX_WATCHES; i++) {
         watch_t* w = &p->watches[i];
-        if (w->x && (p->down || visible(p) > w->since || now_ms >= w->until_ms)) {
+        if (w->x && (p->is_down || visible_revision(p) > w->since || now_ms >= w->deadline_ms)) {
             cw_exchange_t* x = w->x;
             w->x = NULL;
-            if (p->down) {
+            if (p->is_down) {
                 standin_reply(x, 503, "{}");
             } else {
                 reply_items(p, x, w->since, true);
@@ -113,7 +115,7 @@
     item->revision = ++p->revision;
 }
 
-/* Takes values as text, or as JSON that is kept as text. */
+/* A value is a string or a JSON object, which is stored as text. */
 static void admin_put(platform_t* p, cw_exchange_t* x) {
     json_t* root = json_loads(cw_exchange_body(x, NULL), 0, NULL);
     size_t i = 0;
@@ -131,16 +133,16 @@
     char reply[64];
     snprintf(reply, sizeof(reply), "{\"revision\":%lld}", (long long)p->revision);
     standin_reply(x, 200, reply);
-    answer_watches(p);
+    reply_watches(p);
 }
 
 static void admin_mode(platform_t* p, cw_exchange_t* x) {
-    p->down = standin_arg(x, "down", p->down) != 0;
-    p->slow_ms = (uint32_t)standin_arg(x, "slow_ms", p->slow_ms);
+    p->is_down = standin_arg(x, "down", p->is_down) != 0;
+    p->response_delay_ms = (uint32_t)standin_arg(x, "slow_ms", p->response_delay_ms);
     bool stale = standin_arg(x, "stale", p->stale_revision != 0) != 0;
     p->stale_revision = stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
     standin_reply(x, 200, "{}");
-    answer_watches(p);
+    reply_watches(p);
 }
 
 static void start_watch(platform_t* p, cw_exchange_t* x) {
@@ -148,8 +150,8 @@
     int64_t wait_ms = (int64_t)standin_arg(x, "wait_ms", 0);
     for (int i = 0; i < MAX_WATCHES; i++) {
         if (!p->watches[i].x) {
-            p->watches[i] = (watch_t){.x = x, .since = since, .until_ms = standin_now() + wait_ms};
-            answer_watches(p);
+            p->watches[i] = (watch_t){.x = x, .since = since, .deadline_ms = standin_now() + wait_ms};
+            reply_watches(p);
             return;
         }
     }
@@ -183,14 +185,14 @@
 static void reply_stats(const platform_t* p, cw_exchange_t* x) {
     char reply[128];
     snprintf(reply, sizeof(reply), "{\"calls\":%llu,\"refused\":%llu,\"revision\":%lld}", (unsigned long long)p->calls,
-             (unsigned long long)p->refused, (long long)p->revision);
+             (unsigned long long)p->rejected, (long long)p->revision);
     standin_reply(x, 200, reply);
 }
 
 static void admin_hosts(platform_t* p, cw_exchange_t* x) {
-    free(p->next_hosts);
-    p->next_hosts = strdup(cw_exchange_body(x, NULL));
-    p->hosts_at_ms = standin_now() + p->host_lag_ms;
+    free(p->pending_hosts);
+    p->pending_hosts = strdup(cw_exchange_body(x, NULL));
+    p->pending_hosts_due_ms = standin_now() + p->host_lag_ms;
     standin_reply(x, 200, "{}");
 }
 
@@ -207,14 +209,14 @@
         reply_stats(p, x);
     } else {
         p->calls++;
-        if (p->down || !cw_bucket_take(&p->bucket, standin_now(), 1)) {
-            p->refused++;
+        if (p->is_down || !cw_bucket_take(&p->bucket, standin_now(), 1)) {
+            p->rejected++;
             standin_reply(x, 503, "{}");
-        } else if (p->slow_ms) {
+        } else if (p->response_delay_ms) {
             delayed_t* d = cw_alloc(NULL, 1, sizeof(*d));
             d->x = x;
             cw_exchange_set_data(x, d);
-            ev_timer_init(&d->timer, on_delay, p->slow_ms / 1000.0, 0.0);
+            ev_timer_init(&d->timer, on_delay, p->response_delay_ms / 1000.0, 0.0);
             d->timer.data = d;
             ev_timer_start(p->standin.loop, &d->timer);
         } else {
@@ -238,12 +240,12 @@
     (void)loop;
     (void)events;
     platform_t* p = w->data;
-    if (p->next_hosts && standin_now() >= p->hosts_at_ms) {
+    if (p->pending_hosts && standin_now() >= p->pending_hosts_due_ms) {
         free(p->hosts);
-        p->hosts = p->next_hosts;
-        p->next_hosts = NULL;
+        p->hosts = p->pending_hosts;
+        p->pending_hosts = NULL;
     }
-    answer_watches(p);
+    reply_watches(p);
 }
 
 typedef struct args_t {
@@ -267,17 +269,18 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"address", 'a', "IP:PORT", 0, "to listen on, default 127.0.0.1:0", 0},
-        {"host-lag", 'l', "MS", 0, "delay of the host list, default 2000", 0},
+        {"address", 'a', "IP:PORT", 0, "listen address, default 127.0.0.1:0", 0},
+        {"host-lag", 'l', "MS", 0, "delay until a published host list is visible, default 2000", 0},
         {0},
     };
-    const struct argp argp = {.options = options, .parser = parse_option, .doc = "Stand-in of the platform."};
+    const struct argp argp = {
+        .options = options, .parser = parse_option, .doc = "Stand-in for the platform's configuration service."};
     args_t args = {.address = "127.0.0.1:0", .host_lag_ms = 2000};
     argp_parse(&argp, argc, argv, 0, NULL, &args);
     static platform_t platform;
     platform_t* p = &platform;
     p->host_lag_ms = args.host_lag_ms;
-    p->bucket = (cw_bucket_t){.rate = CALLS_A_SECOND};
+    p->bucket = (cw_bucket_t){.rate = MAX_CALLS_PER_S};
     if (!standin_setup(&p->standin, &(cw_httpd_desc_t){.address = args.address,
                                                        .max_body = (size_t)64 << 20,
                                                        .idle_s = 600,
--- a/standins/fake_service.c
+++ b/standins/fake_service.c
@@ -1,12 +1,14 @@
 /*
-    fake-service: stand-in of a plain application service.
+    fake-service: stand-in for a plain application service.
 
-    Any other path: --slots calls run at once, the others wait in order. After --ms the body is answered as {"ran": N,
-   "echo": BODY}, N the number of times this call ran; a call is known by the member "call" of its JSON body.
+    Every other path is a call: up to --slots run at once, the others wait in order of arrival. After --ms the response
+    is {"ran": N, "echo": BODY}, where N is how many times this call has run. Calls are identified by the member "call"
+    of the JSON body.
 
-    GET  /admin/stats        runs, calls that ran more than once, most at once
+    GET  /admin/stats        runs; repeated runs of a call; runs whose caller closed; highest number of running calls
     POST /admin/set?ms=N&reset_after=N&drain=0|1
-                             reset_after: the next N requests run, then their connection is cut without an answer
+                             reset_after: the next N calls run, but their connection is broken off without a response.
+                             drain: new calls are answered 503.
     GET  /v1/load            {"running", "draining"}
 */
 #include <argp.h>
@@ -21,22 +23,22 @@
 #define MAX_CALLS 1000000
 
 typedef struct job_t {
-    cw_exchange_t* x; /* NULL: the caller left */
+    cw_exchange_t* x; /* NULL: the caller closed the connection */
     ev_timer timer;
-    uint32_t run;
-    bool cut;
-    struct job_t* next; /* waits behind this one */
+    uint32_t run_number;
+    bool is_reset;
+    struct job_t* next; /* next in the queue */
 } job_t;
 
 typedef struct service_t {
     standin_t standin;
-    double ms;
+    double call_ms;
     uint32_t slots;
-    job_t *first, *last; /* waiting */
-    uint32_t running, most, cut;
-    uint64_t runs, repeated, left;
-    bool draining;
-    cw_map_t calls; /* call id -> runs */
+    job_t *queue_head, *queue_tail; /* waiting calls */
+    uint32_t running, max_running, resets_left;
+    uint64_t runs, repeated_runs, caller_closed_count;
+    bool is_draining;
+    cw_map_t calls; /* hash of the call's name -> number of runs */
 } service_t;
 
 static uint32_t count_run(service_t* s, const char* call) {
@@ -47,71 +49,71 @@
         cw_map_put(&s->calls, id, runs);
     }
     s->runs++;
-    s->repeated += runs > 1;
+    s->repeated_runs += runs > 1;
     return runs;
 }
 
-static void on_job(struct ev_loop* loop, ev_timer* w, int events);
+static void on_job_done(struct ev_loop* loop, ev_timer* w, int events);
 
-/* Starts waiting calls while there are slots. A call whose caller left before it ran is dropped. */
-static void run_next(service_t* s) {
-    while (s->first && s->running < s->slots) {
-        job_t* job = s->first;
-        s->first = job->next;
+/* Starts waiting calls while slots are free. A call whose caller closed the connection before it ran is dropped. */
+static void start_queued_jobs(service_t* s) {
+    while (s->queue_head && s->running < s->slots) {
+        job_t* job = s->queue_head;
+        s->queue_head = job->next;
         if (!job->x) {
             free(job);
             continue;
         }
         json_t* root = json_loads(cw_exchange_body(job->x, NULL), 0, NULL);
         const char* call = json_string_value(json_object_get(root, "call"));
-        job->run = call ? count_run(s, call) : 0;
+        job->run_number = call ? count_run(s, call) : 0;
         s->runs += call ? 0 : 1;
         json_decref(root);
         s->running++;
-        s->most = s->running > s->most ? s->running : s->most;
-        ev_timer_init(&job->timer, on_job, s->ms / 1000.0, 0.0);
+        s->max_running = s->running > s->max_running ? s->running : s->max_running;
+        ev_timer_init(&job->timer, on_job_done, s->call_ms / 1000.0, 0.0);
         job->timer.data = job;
         ev_timer_start(s->standin.loop, &job->timer);
     }
 }
 
-static void finish(service_t* s, job_t* job) {
+static void finish_job(service_t* s, job_t* job) {
     cw_exchange_t* x = job->x;
     s->running--;
     if (!x) {
-        s->left++;
-    } else if (job->cut) {
+        s->caller_closed_count++;
+    } else if (job->is_reset) {
         cw_exchange_stream(x, 200, NULL, 0);
         cw_exchange_finish(x, false);
     } else {
-        json_t* root = json_pack("{s:i,s:s}", "ran", (int)job->run, "echo", cw_exchange_body(x, NULL));
+        json_t* root = json_pack("{s:i,s:s}", "ran", (int)job->run_number, "echo", cw_exchange_body(x, NULL));
         char* text = json_dumps(root, JSON_COMPACT);
         standin_reply(x, 200, text);
         free(text);
         json_decref(root);
     }
     free(job);
-    run_next(s);
+    start_queued_jobs(s);
 }
 
-static void on_job(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_job_done(struct ev_loop* loop, ev_timer* w, int events) {
     (void)events;
-    finish(ev_userdata(loop), w->data);
+    finish_job(ev_userdata(loop), w->data);
 }
 
-static void start(service_t* s, cw_exchange_t* x) {
+static void enqueue(service_t* s, cw_exchange_t* x) {
     job_t* job = cw_alloc(NULL, 1, sizeof(*job));
     job->x = x;
-    job->cut = s->cut > 0;
-    s->cut -= s->cut ? 1 : 0;
+    job->is_reset = s->resets_left > 0;
+    s->resets_left -= s->resets_left ? 1 : 0;
     cw_exchange_set_data(x, job);
-    if (s->first) {
-        s->last->next = job;
+    if (s->queue_head) {
+        s->queue_tail->next = job;
     } else {
-        s->first = job;
+        s->queue_head = job;
     }
-    s->last = job;
-    run_next(s);
+    s->queue_tail = job;
+    start_queued_jobs(s);
 }
 
 static void on_request(cw_exchange_t* x, void* user) {
@@ -120,20 +122,22 @@
     char reply[192];
     if (strcmp(path, "/admin/stats") == 0) {
         snprintf(reply, sizeof(reply), "{\"runs\":%llu,\"repeated\":%llu,\"left\":%llu,\"most\":%u}",
-                 (unsigned long long)s->runs, (unsigned long long)s->repeated, (unsigned long long)s->left, s->most);
+                 (unsigned long long)s->runs, (unsigned long long)s->repeated_runs,
+                 (unsigned long long)s->caller_closed_count, s->max_running);
         standin_reply(x, 200, reply);
     } else if (strcmp(path, "/admin/set") == 0) {
-        s->ms = standin_arg(x, "ms", s->ms);
-        s->cut = (uint32_t)standin_arg(x, "reset_after", s->cut);
-        s->draining = standin_arg(x, "drain", s->draining) != 0;
+        s->call_ms = standin_arg(x, "ms", s->call_ms);
+        s->resets_left = (uint32_t)standin_arg(x, "reset_after", s->resets_left);
+        s->is_draining = standin_arg(x, "drain", s->is_draining) != 0;
         standin_reply(x, 200, "{}");
     } else if (strcmp(path, "/v1/load") == 0) {
-        snprintf(reply, sizeof(reply), "{\"running\":%u,\"draining\":%s}", s->running, s->draining ? "true" : "false");
+        snprintf(reply, sizeof(reply), "{\"running\":%u,\"draining\":%s}", s->running,
+                 s->is_draining ? "true" : "false");
         standin_reply(x, 200, reply);
-    } else if (s->draining) {
+    } else if (s->is_draining) {
         standin_reply(x, 503, "{\"error\":\"draining\"}");
     } else {
-        start(s, x);
+        enqueue(s, x);
     }
 }
 
@@ -147,7 +151,7 @@
 
 typedef struct args_t {
     const char* address;
-    double ms;
+    double call_ms;
     uint32_t slots;
 } args_t;
 
@@ -158,7 +162,7 @@
             args->address = arg;
             return 0;
         case 'm':
-            args->ms = strtod(arg, NULL);
+            args->call_ms = strtod(arg, NULL);
             return 0;
         case 's':
             args->slots = (uint32_t)strtoul(arg, NULL, 10);
@@ -170,16 +174,17 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"address", 'a', "IP:PORT", 0, "to listen on, default 127.0.0.1:0", 0},
-        {"ms", 'm', "MS", 0, "time of one call, default 10", 0},
-        {"slots", 's', "N", 0, "calls at once, default 64", 0},
+        {"address", 'a', "IP:PORT", 0, "listen address, default 127.0.0.1:0", 0},
+        {"ms", 'm', "MS", 0, "duration of a call, default 10", 0},
+        {"slots", 's', "N", 0, "concurrent calls, default 64", 0},
         {0},
     };
-    const struct argp argp = {.options = options, .parser = parse_option, .doc = "Stand-in of a plain service."};
-    args_t args = {.address = "127.0.0.1:0", .ms = 10, .slots = 64};
+    const struct argp argp = {
+        .options = options, .parser = parse_option, .doc = "Stand-in for a plain application service."};
+    args_t args = {.address = "127.0.0.1:0", .call_ms = 10, .slots = 64};
     argp_parse(&argp, argc, argv, 0, NULL, &args);
     static service_t service;
-    service.ms = args.ms;
+    service.call_ms = args.call_ms;
     service.slots = args.slots;
     service.calls = cw_map_setup(MAX_CALLS, NULL);
     if (!standin_setup(&service.standin, &(cw_httpd_desc_t){.address = args.address,
--- a/standins/fake_source.c
+++ b/standins/fake_source.c
@@ -1,13 +1,15 @@
 /*
-    fake-source: stand-in of where a gateway's configuration and list of servers are published, in chalkway's own form.
+    fake-source: stand-in for the configuration source of a gateway, which publishes the configuration document and the
+    server list in chalkway's native format.
 
-    GET  /catalog?after=R   the document (chalkway_catalog.h), empty when its revision is R
-    GET  /servers           the list of servers (chalkway_servers.h)
+    GET  /catalog?after=R   the document (chalkway_catalog.h); an empty body when its revision is R
+    GET  /servers           the server list (chalkway_servers.h)
     POST /admin/catalog     publishes the body as the document
-    POST /admin/servers     publishes the body as the list
+    POST /admin/servers     publishes the body as the server list
     POST /admin/mode?down=0|1&slow_ms=N&lose=N&stale=0|1
-                            down: 503. slow_ms: each answer waits. lose: of 100 answers so many never come.
-                            stale: it answers with what was published when it became stale.
+                            down: every response is 503. slow_ms: responses are delayed by N ms.
+                            lose: N of 100 requests are never answered.
+                            stale: responses show what was published when stale was set.
 */
 #include <argp.h>
 #include <jansson.h>
@@ -17,32 +19,32 @@
 
 #include "standin.h"
 
-/* An answer that waits. */
+/* A response delayed by response_delay_ms. */
 typedef struct delayed_t {
-    cw_exchange_t* x; /* NULL: the caller left */
+    cw_exchange_t* x; /* NULL: the caller closed the connection */
     ev_timer timer;
 } delayed_t;
 
-/* A published document and what a stale source still tells. */
+/* A published document, and its copy from when the source became stale. NULL: nothing published. */
 typedef struct document_t {
-    char* now;
+    char* current;
     char* stale;
 } document_t;
 
 typedef struct source_standin_t {
     standin_t standin;
     document_t catalog, servers;
-    bool down, stale;
-    uint32_t slow_ms, lose, calls;
+    bool is_down, stale;
+    uint32_t response_delay_ms, lost_percent, call_count;
 } source_standin_t;
 
 static void publish(document_t* d, const char* text) {
-    free(d->now);
-    d->now = strdup(text);
+    free(d->current);
+    d->current = strdup(text);
 }
 
-static const char* told(const source_standin_t* s, const document_t* d) {
-    return s->stale ? d->stale : d->now;
+static const char* visible_text(const source_standin_t* s, const document_t* d) {
+    return s->stale ? d->stale : d->current;
 }
 
 static int64_t revision_of(const char* text) {
@@ -54,13 +56,13 @@
 
 static void serve(source_standin_t* s, cw_exchange_t* x) {
     bool catalog = strcmp(cw_exchange_path(x), "/catalog") == 0;
-    const char* text = told(s, catalog ? &s->catalog : &s->servers);
+    const char* text = visible_text(s, catalog ? &s->catalog : &s->servers);
     if (!text) {
         standin_reply(x, 404, "{}");
         return;
     }
-    bool same = catalog && revision_of(text) == (int64_t)standin_arg(x, "after", -1);
-    standin_reply(x, 200, same ? "" : text);
+    bool is_unchanged = catalog && revision_of(text) == (int64_t)standin_arg(x, "after", -1);
+    standin_reply(x, 200, is_unchanged ? "" : text);
 }
 
 static void on_delay(struct ev_loop* loop, ev_timer* w, int events) {
@@ -74,11 +76,11 @@
     free(d);
 }
 
-static void delay(source_standin_t* s, cw_exchange_t* x) {
+static void delay_response(source_standin_t* s, cw_exchange_t* x) {
     delayed_t* d = cw_alloc(NULL, 1, sizeof(*d));
     d->x = x;
     cw_exchange_set_data(x, d);
-    ev_timer_init(&d->timer, on_delay, s->slow_ms / 1000.0, 0.0);
+    ev_timer_init(&d->timer, on_delay, s->response_delay_ms / 1000.0, 0.0);
     d->timer.data = d;
     ev_timer_start(s->standin.loop, &d->timer);
 }
@@ -88,12 +90,12 @@
     document_t* documents[] = {&s->catalog, &s->servers};
     for (size_t i = 0; i < 2 && stale && !s->stale; i++) {
         free(documents[i]->stale);
-        documents[i]->stale = documents[i]->now ? strdup(documents[i]->now) : NULL;
+        documents[i]->stale = documents[i]->current ? strdup(documents[i]->current) : NULL;
     }
     s->stale = stale;
-    s->down = standin_arg(x, "down", s->down) != 0;
-    s->slow_ms = (uint32_t)standin_arg(x, "slow_ms", s->slow_ms);
-    s->lose = (uint32_t)standin_arg(x, "lose", s->lose);
+    s->is_down = standin_arg(x, "down", s->is_down) != 0;
+    s->response_delay_ms = (uint32_t)standin_arg(x, "slow_ms", s->response_delay_ms);
+    s->lost_percent = (uint32_t)standin_arg(x, "lose", s->lost_percent);
     standin_reply(x, 200, "{}");
 }
 
@@ -108,12 +110,12 @@
         standin_reply(x, 200, "{}");
     } else if (strcmp(path, "/admin/mode") == 0) {
         set_mode(s, x);
-    } else if (s->down) {
+    } else if (s->is_down) {
         standin_reply(x, 503, "{}");
-    } else if (++s->calls % 100 < s->lose) {
+    } else if (++s->call_count % 100 < s->lost_percent) {
         cw_exchange_set_data(x, NULL); /* never answered */
-    } else if (s->slow_ms) {
-        delay(s, x);
+    } else if (s->response_delay_ms) {
+        delay_response(s, x);
     } else {
         serve(s, x);
     }
@@ -137,10 +139,10 @@
 }
 
 int main(int argc, char** argv) {
-    static const struct argp_option options[] = {{"address", 'a', "IP:PORT", 0, "to listen on, default 127.0.0.1:0", 0},
-                                                 {0}};
+    static const struct argp_option options[] = {
+        {"address", 'a', "IP:PORT", 0, "listen address, default 127.0.0.1:0", 0}, {0}};
     const struct argp argp = {
-        .options = options, .parser = parse_option, .doc = "Stand-in of a gateway's configuration source."};
+        .options = options, .parser = parse_option, .doc = "Stand-in for the configuration source of a gateway."};
     const char* address = "127.0.0.1:0";
     argp_parse(&argp, argc, argv, 0, NULL, &address);
     static source_standin_t source;
