--- a/io/client.c
+++ b/io/client.c
@@ -23,7 +23,7 @@
     CURL* easy;
     struct curl_slist* headers;
     cw_call_desc_t desc;
-    bool sent, vetoed, is_head_notified, has_framing, cancelled, paused, in_resumed;
+    bool sent, vetoed, is_head_notified, has_framing, cancelled, is_paused, is_in_resumed;
     unsigned status;
     cw_call_t* prev_open;
     cw_call_t* next_open;
@@ -39,7 +39,7 @@
 /* -- curl and libev ------------------------------------------------------- */
 
 static void call_free(cw_call_t* call) {
-    for (cw_call_t** at = &call->client->resumed; call->in_resumed && *at; at = &(*at)->next_resumed) {
+    for (cw_call_t** at = &call->client->resumed; call->is_in_resumed && *at; at = &(*at)->next_resumed) {
         if (*at == call) {
             *at = call->next_resumed;
             break;
@@ -172,7 +172,7 @@
     while (c->resumed) {
         cw_call_t* call = c->resumed;
         c->resumed = call->next_resumed;
-        call->in_resumed = false;
+        call->is_in_resumed = false;
         if (!call->cancelled) {
             curl_easy_pause(call->easy, CURLPAUSE_CONT);
         }
@@ -254,8 +254,8 @@
     if (call->cancelled) {
         return 0;
     }
-    call->paused = call->desc.on_data && !call->desc.on_data(call->desc.user_data, data, size * count);
-    return call->paused ? CURL_WRITEFUNC_PAUSE : size * count;
+    call->is_paused = call->desc.on_data && !call->desc.on_data(call->desc.user_data, data, size * count);
+    return call->is_paused ? CURL_WRITEFUNC_PAUSE : size * count;
 }
 
 static void set_body(cw_call_t* call) {
@@ -329,9 +329,9 @@
 }
 
 void cw_call_resume(cw_call_t* call) {
-    if (call->paused && !call->in_resumed) {
-        call->paused = false;
-        call->in_resumed = true;
+    if (call->is_paused && !call->is_in_resumed) {
+        call->is_paused = false;
+        call->is_in_resumed = true;
         call->next_resumed = call->client->resumed;
         call->client->resumed = call;
         ev_feed_event(call->client->loop, &call->client->prepare, EV_PREPARE);
--- a/io/httpd.c
+++ b/io/httpd.c
@@ -20,7 +20,7 @@
     ev_io epoll_io;
     ev_timer timer;
     ev_prepare prepare;
-    bool run_due; /* connections were resumed: MHD_run has to be called before the loop blocks */
+    bool is_run_due; /* connections were resumed: MHD_run has to be called before the loop blocks */
     uint32_t active;
 };
 
@@ -46,7 +46,7 @@
 /* -- running libmicrohttpd ------------------------------------------------ */
 
 static void run_daemon(cw_httpd_t* h) {
-    h->run_due = false;
+    h->is_run_due = false;
     MHD_run(h->daemon);
     MHD_UNSIGNED_LONG_LONG timeout = 0;
     if (MHD_get_timeout(h->daemon, &timeout) == MHD_YES) {
@@ -72,7 +72,7 @@
     (void)loop;
     (void)events;
     cw_httpd_t* h = w->data;
-    while (h->run_due) {
+    while (h->is_run_due) {
         run_daemon(h);
     }
 }
@@ -81,7 +81,7 @@
     if (x->is_suspended) {
         x->is_suspended = false;
         MHD_resume_connection(x->connection);
-        x->httpd->run_due = true;
+        x->httpd->is_run_due = true;
         ev_feed_event(x->httpd->desc.loop, &x->httpd->prepare, EV_PREPARE);
     }
 }
--- a/io/message.c
+++ b/io/message.c
@@ -37,12 +37,12 @@
     if (memchr(at, ' ', size)) {
         return 1; /* RFC 9112, 5.1: http-parser accepts a space in a name, but a server might ignore the space */
     }
-    if (m->in_value || m->field_count == 0) {
+    if (m->is_in_value || m->field_count == 0) {
         if (m->field_count == CW_MESSAGE_FIELDS) {
             return 1;
         }
         text_terminate(m); /* terminates the target or the previous value */
-        m->in_value = false;
+        m->is_in_value = false;
         m->offsets[(size_t)2 * m->field_count] = (uint32_t)m->text.size;
         m->field_count++;
     }
@@ -55,9 +55,9 @@
     if (m->state != CW_MESSAGE_HEAD) {
         return 0;
     }
-    if (!m->in_value) {
+    if (!m->is_in_value) {
         text_terminate(m);
-        m->in_value = true;
+        m->is_in_value = true;
         m->offsets[(size_t)2 * m->field_count - 1] = (uint32_t)m->text.size;
     }
     text_append(m, at, size);
@@ -141,7 +141,7 @@
     m->state = CW_MESSAGE_IDLE;
     m->bodiless = false;
     m->field_count = 0;
-    m->in_value = false;
+    m->is_in_value = false;
     m->head_bytes = 0;
     m->status = 0;
     m->framing = CW_FRAMING_NONE;
--- a/io/message.h
+++ b/io/message.h
@@ -63,7 +63,7 @@
     /* private */
     cw_buffer_t text;                        /* target, names and values, each zero-terminated */
     uint32_t offsets[CW_MESSAGE_FIELDS * 2]; /* start of each name and value in text: name, value, name, ... */
-    bool in_value;
+    bool is_in_value;
     size_t head_bytes; /* bytes consumed by calls that began before the end of the head */
 };
 
--- a/io/peers.c
+++ b/io/peers.c
@@ -21,9 +21,9 @@
     int fd;                     /* -1: closed, entry kept for its back-off */
     uint64_t host;              /* 0: accepted, no hello received yet */
     char address[CW_ADDR_TEXT]; /* "" after the hello of an accepted link: only the other side reconnects */
-    bool connecting;
+    bool is_connecting;
     int connect_errno; /* connect failed immediately; reported in the next loop iteration, not from within a send */
-    bool used;
+    bool is_used;
     bool dirty; /* in cw_peers_t.dirty */
     ev_io read_io, write_io;
     uint8_t* in;
@@ -57,9 +57,9 @@
 
 static link_t* link_alloc(cw_peers_t* p) {
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
-        if (!p->links[i].used) {
+        if (!p->links[i].is_used) {
             p->links[i] = (link_t){
-                .peers = p, .fd = -1, .used = true, .dirty = p->links[i].dirty, .active_s = ev_now(p->desc.loop)};
+                .peers = p, .fd = -1, .is_used = true, .dirty = p->links[i].dirty, .active_s = ev_now(p->desc.loop)};
             return &p->links[i];
         }
     }
@@ -70,7 +70,7 @@
     link_t* closed = NULL;
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
-        if (l->used && l->host == host) {
+        if (l->is_used && l->host == host) {
             if (l->fd >= 0) {
                 return l;
             }
@@ -111,7 +111,7 @@
         double jitter = 0.5 + (double)rand() / RAND_MAX;
         l->retry_s = ev_now(p->desc.loop) + l->backoff_ms * jitter / MS_PER_S;
     } else {
-        l->used = false;
+        l->is_used = false;
     }
     if (host && p->desc.on_closed) {
         p->desc.on_closed(p->desc.user_data, host, refused);
@@ -141,7 +141,7 @@
 }
 
 static void link_flush(link_t* l) {
-    if (l->connecting || !l->out.size) {
+    if (l->is_connecting || !l->out.size) {
         return;
     }
     ssize_t n = send(l->fd, l->out.data, l->out.size, MSG_NOSIGNAL);
@@ -163,7 +163,7 @@
 static void link_write(struct ev_loop* loop, ev_io* w, int events) {
     (void)events;
     link_t* l = w->data;
-    if (l->connecting) {
+    if (l->is_connecting) {
         int failed = 0;
         socklen_t len = sizeof(failed);
         getsockopt(l->fd, SOL_SOCKET, SO_ERROR, &failed, &len);
@@ -172,7 +172,7 @@
             link_end(l, true, failed == ECONNREFUSED);
             return;
         }
-        l->connecting = false;
+        l->is_connecting = false;
         l->backoff_ms = 0;
         ev_io_stop(loop, w);
     }
@@ -186,7 +186,7 @@
     for (uint32_t i = 0; i < p->dirty_count; i++) {
         link_t* l = p->dirty[i];
         l->dirty = false;
-        if (l->used && l->fd >= 0 && !ev_is_active(&l->write_io)) {
+        if (l->is_used && l->fd >= 0 && !ev_is_active(&l->write_io)) {
             link_flush(l);
         }
     }
@@ -240,7 +240,7 @@
         return link_handle_hello(l, &p->message);
     }
     p->desc.on_message(p->desc.user_data, l->host, &p->message);
-    return l->used && l->fd >= 0;
+    return l->is_used && l->fd >= 0;
 }
 
 static void link_parse_frames(link_t* l) {
@@ -325,12 +325,12 @@
     }
     l->peers->stats.links++;
     int result = connect(l->fd, (struct sockaddr*)&addr, sizeof(addr));
-    l->connecting = result != 0;
+    l->is_connecting = result != 0;
     l->connect_errno = (result != 0 && errno != EINPROGRESS) ? errno : 0;
     link_start_reading(l);
     if (l->connect_errno) {
         ev_feed_event(l->peers->desc.loop, &l->write_io, EV_WRITE);
-    } else if (l->connecting) {
+    } else if (l->is_connecting) {
         ev_io_start(l->peers->desc.loop, &l->write_io);
     }
     link_send_hello(l);
@@ -387,7 +387,7 @@
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
         double idle_ms = (now - l->active_s) * MS_PER_S;
-        if (l->used && (idle_ms > p->desc.idle_ms || (!l->host && idle_ms > HELLO_TIMEOUT_MS))) {
+        if (l->is_used && (idle_ms > p->desc.idle_ms || (!l->host && idle_ms > HELLO_TIMEOUT_MS))) {
             link_close(l, false);
         }
     }
@@ -466,7 +466,7 @@
 void cw_peers_shutdown(cw_peers_t* p) {
     p->desc.on_closed = NULL;
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
-        if (p->links[i].used) {
+        if (p->links[i].is_used) {
             link_close(&p->links[i], false);
         }
     }
--- a/standins/fake_engine.c
+++ b/standins/fake_engine.c
@@ -33,7 +33,7 @@
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool used, running, is_streaming;
+    bool is_used, running, is_streaming;
     char id[64];
     uint32_t token_count, tokens_sent, sent_from;
     double prefill_steps; /* prefill steps left before the first token */
@@ -52,7 +52,7 @@
     bool is_draining;
     int64_t crash_after, cut_after; /* negative: not set */
     uint64_t cache[CACHE_ENTRIES];
-    uint32_t cache_next;
+    uint32_t next_cache_entry;
     uint32_t report_lag_ms;
     uint32_t samples[LOAD_SAMPLES]; /* ring buffer: number of running jobs, every SAMPLE_INTERVAL_MS */
     uint32_t next_sample;
@@ -82,7 +82,7 @@
             return true;
         }
     }
-    e->cache[e->cache_next++ % CACHE_ENTRIES] = prefix;
+    e->cache[e->next_cache_entry++ % CACHE_ENTRIES] = prefix;
     return false;
 }
 
@@ -165,7 +165,7 @@
     (void)events;
     engine_t* e = w->data;
     for (int i = 0; i < MAX_JOBS; i++) {
-        if (e->jobs[i].used && e->jobs[i].running) {
+        if (e->jobs[i].is_used && e->jobs[i].running) {
             if (e->crash_after >= 0 && e->crash_after-- == 0) {
                 _Exit(3);
             }
@@ -197,8 +197,8 @@
 
 static job_t* job_alloc(engine_t* e) {
     for (int i = 0; i < MAX_JOBS; i++) {
-        if (!e->jobs[i].used) {
-            e->jobs[i] = (job_t){.used = true};
+        if (!e->jobs[i].is_used) {
+            e->jobs[i] = (job_t){.is_used = true};
             return &e->jobs[i];
         }
     }
@@ -278,7 +278,7 @@
 static void on_gone(cw_exchange_t* x, void* user) {
     engine_t* e = user;
     job_t* job = cw_exchange_data(x);
-    if (job && job->used && job->x == x) {
+    if (job && job->is_used && job->x == x) {
         e->wasted_tokens += job->tokens_sent;
         job_free(e, job);
         admit(e);
--- a/standins/fake_source.c
+++ b/standins/fake_source.c
@@ -55,13 +55,13 @@
 }
 
 static void serve(source_standin_t* s, cw_exchange_t* x) {
-    bool catalog = strcmp(cw_exchange_path(x), "/catalog") == 0;
-    const char* text = visible_text(s, catalog ? &s->catalog : &s->servers);
+    bool is_catalog = strcmp(cw_exchange_path(x), "/catalog") == 0;
+    const char* text = visible_text(s, is_catalog ? &s->catalog : &s->servers);
     if (!text) {
         standin_reply(x, 404, "{}");
         return;
     }
-    bool is_unchanged = catalog && revision_of(text) == (int64_t)standin_arg(x, "after", -1);
+    bool is_unchanged = is_catalog && revision_of(text) == (int64_t)standin_arg(x, "after", -1);
     standin_reply(x, 200, is_unchanged ? "" : text);
 }
 
--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -53,7 +53,7 @@
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool used, running, has_begun, is_deadly;
+    bool is_used, running, has_begun, is_deadly;
     char id[64];
     uint32_t priority, tokens, prefill_left, events_sent, event_count;
     ev_timer timer; /* end of a service call, or delay before the crash */
@@ -145,7 +145,7 @@
     job_t* first = NULL;
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
-        if (job->used && job->running && job->prefill_left && (!first || job->priority < first->priority)) {
+        if (job->is_used && job->running && job->prefill_left && (!first || job->priority < first->priority)) {
             first = job;
         }
     }
@@ -206,11 +206,11 @@
         job_t* job = &u->jobs[i];
         bool is_complete =
             job->events_sent >= job->event_count && !job->is_deadly; /* a query of death never completes */
-        if (job->used && job->running && !job->prefill_left && job != prefilling && !is_complete) {
+        if (job->is_used && job->running && !job->prefill_left && job != prefilling && !is_complete) {
             send_event(job);
             is_complete = job->events_sent >= job->event_count && !job->is_deadly;
         }
-        if (job->used && job->running && !job->prefill_left && is_complete) {
+        if (job->is_used && job->running && !job->prefill_left && is_complete) {
             cw_exchange_finish(job->x, true);
             log_job_event(u, "end", job);
             job_free(job);
@@ -224,8 +224,8 @@
 
 static job_t* job_alloc(upstream_t* u) {
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
-        if (!u->jobs[i].used) {
-            u->jobs[i] = (job_t){.used = true, .upstream = u};
+        if (!u->jobs[i].is_used) {
+            u->jobs[i] = (job_t){.is_used = true, .upstream = u};
             return &u->jobs[i];
         }
     }
@@ -323,7 +323,7 @@
 static void on_gone(cw_exchange_t* x, void* user) {
     upstream_t* u = user;
     job_t* job = cw_exchange_data(x);
-    if (job && job->used && job->x == x) {
+    if (job && job->is_used && job->x == x) {
         if (job->has_begun) {
             log_job_event(u, "gone", job);
         }
