--- a/tests/soak_clock.c
+++ b/tests/soak_clock.c
@@ -14,7 +14,7 @@
 #define NS_PER_MS 1000000
 #define NS_PER_S 1000000000
 
-static volatile int64_t slept_ms;
+static volatile int64_t suspended_total_ms;
 static int (*read_clock)(clockid_t, struct timespec*);
 static const char* path;
 
@@ -32,7 +32,7 @@
     for (ssize_t i = 0; i < size && text[i] >= '0' && text[i] <= '9'; i++) {
         ms = ms * 10 + (text[i] - '0');
     }
-    slept_ms = ms;
+    suspended_total_ms = ms;
 }
 
 __attribute__((constructor)) static void begin(void) {
@@ -47,7 +47,7 @@
     }
     int result = read_clock(id, out);
     if (result == 0 && (id == CLOCK_MONOTONIC || id == CLOCK_MONOTONIC_COARSE || id == CLOCK_MONOTONIC_RAW)) {
-        int64_t ns = (int64_t)out->tv_sec * NS_PER_S + out->tv_nsec - slept_ms * NS_PER_MS;
+        int64_t ns = (int64_t)out->tv_sec * NS_PER_S + out->tv_nsec - suspended_total_ms * NS_PER_MS;
         out->tv_sec = (time_t)(ns / NS_PER_S);
         out->tv_nsec = (long)(ns % NS_PER_S);
     }
--- a/tests/soak_sleep.h
+++ b/tests/soak_sleep.h
@@ -9,29 +9,29 @@
 #include "../tools/soak_site.h"
 
 /* The file in which a host's clock reads for how long it slept. */
-static inline void soak_sleep_path(const proc_t* p, char* out, size_t size) {
+static inline void soak_suspend_path(const proc_t* p, char* out, size_t size) {
     snprintf(out, size, "%s/%s.sleep", p->soak->dir, p->name);
 }
 
 /* In the host's process, before its program is loaded. */
-static inline void soak_sleep_prepare(const proc_t* p) {
+static inline void soak_suspend_prepare(const proc_t* p) {
     char path[192];
     char file[192];
-    snprintf(path, sizeof(path), "%s/soak-clock.so", p->soak->build);
-    soak_sleep_path(p, file, sizeof(file));
+    snprintf(path, sizeof(path), "%s/soak-clock.so", p->soak->build_dir);
+    soak_suspend_path(p, file, sizeof(file));
     setenv("LD_PRELOAD", path, 1);
     setenv("CHALKWAY_SOAK_SLEEP", file, 1);
 }
 
-static inline void soak_sleep_write(const proc_t* p) {
+static inline void soak_suspend_write(const proc_t* p) {
     char path[192];
-    soak_sleep_path(p, path, sizeof(path));
+    soak_suspend_path(p, path, sizeof(path));
     FILE* file = fopen(path, "w");
     if (!file) {
         perror(path);
         return;
     }
-    fprintf(file, "%" PRId64, p->slept_ms);
+    fprintf(file, "%" PRId64, p->suspended_total_ms);
     fclose(file);
 }
 
--- a/tests/test_soak_check.c
+++ b/tests/test_soak_check.c
@@ -16,80 +16,82 @@
 static soak_result_t judge(const char* text) {
     static char record[65536];
     snprintf(record, sizeof(record), "%s%s", FLEET, text);
-    return soak_judge(record, GRACE_MS, DRAIN_MS);
+    return soak_check_record(record, GRACE_MS, DRAIN_MS);
 }
 
 /* Only this check fails. */
 static void expect(const char* text, soak_check_t check) {
     soak_result_t r = judge(text);
-    for (int i = 0; i < SOAK_CHECKS; i++) {
+    for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
         ck_assert_msg((r.count[i] > 0) == (i == (int)check), "%s: %u, %s", soak_check_name((soak_check_t)i), r.count[i],
-                      r.first[i]);
+                      r.first_finding[i]);
     }
-    ck_assert(soak_failed(&r));
+    ck_assert(soak_has_failed(&r));
 }
 
 START_TEST(a_good_record_passes) {
     soak_result_t r = judge(SERVED "C 95 sent c get h:1 0\nC 99 left c\n");
-    ck_assert(!soak_failed(&r));
+    ck_assert(!soak_has_failed(&r));
     ck_assert_uint_eq(r.sent, 3);
     ck_assert_uint_eq(r.served, 2);
-    ck_assert_uint_eq(r.left, 1);
+    ck_assert_uint_eq(r.abandoned, 1);
     ck_assert_uint_eq(r.calm_served, 2);
 }
 END_TEST
 
 START_TEST(a_second_run_is_found_where_it_may_not_be) {
-    expect(SERVED "U 95 begin b v1 2 0\nU 99 end b v1\n", SOAK_TWICE);
+    expect(SERVED "U 95 begin b v1 2 0\nU 99 end b v1\n", SOAK_RAN_TWICE);
     soak_result_t r = judge(SERVED "U 95 begin a e1 0 500\nU 99 end a e1\n"); /* may be resumed */
-    ck_assert(!soak_failed(&r));
+    ck_assert(!soak_has_failed(&r));
 }
 END_TEST
 
 /* The upstream's line came first, in the same millisecond. */
 START_TEST(lines_of_one_millisecond_are_put_in_order) {
     soak_result_t r = judge("S 5 fault burst -\nU 10 begin b v1 2 0\nC 10 sent b call h:1 0\nC 11 done b 503 1 0 1\n");
-    ck_assert_uint_eq(r.count[SOAK_REFUSED], 1);
+    ck_assert_uint_eq(r.count[SOAK_RAN_AFTER_REFUSAL], 1);
 }
 END_TEST
 
 START_TEST(a_broken_promise_is_found) {
-    expect("S 5 fault burst -\nC 10 sent b call h:1 0\nU 11 begin b v1 2 0\nC 12 done b 503 1 0 1\n", SOAK_REFUSED);
+    expect("S 5 fault burst -\nC 10 sent b call h:1 0\nU 11 begin b v1 2 0\nC 12 done b 503 1 0 1\n",
+           SOAK_RAN_AFTER_REFUSAL);
 }
 END_TEST
 
 START_TEST(a_wrong_answer_is_found) {
     soak_result_t r = judge("S 5 fault burst -\nC 10 sent b call h:1 0\nU 11 begin b v1 2 0\nC 12 done b 200 1 0 1\n");
-    ck_assert_uint_eq(r.count[SOAK_MIXED], 1);
+    ck_assert_uint_eq(r.count[SOAK_WRONG_RESPONSE], 1);
 }
 END_TEST
 
 #define CUT "C 210 sent b call h:1 0\nU 211 begin b v1 2 0\nC 250 done b 0 0 0 0\nU 251 gone b v1\n"
 
 START_TEST(a_request_lost_by_a_planned_stop_is_found) {
-    expect("S 200 fault stop h:1\n" CUT "S 300 ended h:1 0\nS 310 over stop h:1\n", SOAK_LOST);
+    expect("S 200 fault stop h:1\n" CUT "S 300 ended h:1 0\nS 310 over stop h:1\n", SOAK_LOST_ON_STOP);
     soak_result_t killed = judge("S 200 fault kill h:1\n" CUT "S 310 over kill h:1\n");
-    ck_assert_uint_eq(killed.count[SOAK_LOST], 0);
+    ck_assert_uint_eq(killed.count[SOAK_LOST_ON_STOP], 0);
     soak_result_t crashed = judge("S 200 fault stop h:1\nS 205 fault crash v1\n" CUT "S 300 ended h:1 0\n");
-    ck_assert_uint_eq(crashed.count[SOAK_LOST], 0);
+    ck_assert_uint_eq(crashed.count[SOAK_LOST_ON_STOP], 0);
 }
 END_TEST
 
 START_TEST(a_host_that_does_not_end_in_order_is_found) {
-    expect("S 5 fault stop h:1\nS 300 ended h:1 139\nS 310 over stop h:1\n", SOAK_STOP);
-    expect("S 5 fault stop h:1\nS 9000 ended h:1 0\nS 9010 over stop h:1\n", SOAK_STOP);
-    expect("S 2 started h:1\nS 205 fault reload h:1\nS 300 ended h:1 129\n", SOAK_STOP);
-    expect("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n", SOAK_STOP); /* not by the signal */
-    ck_assert_uint_eq(judge("S 2 started h:1\nS 5 fault reload h:1\nS 300 ended h:1 129\n").count[SOAK_STOP], 0);
-    ck_assert_uint_eq(judge("S 2 started h:1\nS 5 fault stop h:1\nS 6 ended h:1 143\n").count[SOAK_STOP], 0);
+    expect("S 5 fault stop h:1\nS 300 ended h:1 139\nS 310 over stop h:1\n", SOAK_UNCLEAN_EXIT);
+    expect("S 5 fault stop h:1\nS 9000 ended h:1 0\nS 9010 over stop h:1\n", SOAK_UNCLEAN_EXIT);
+    expect("S 2 started h:1\nS 205 fault reload h:1\nS 300 ended h:1 129\n", SOAK_UNCLEAN_EXIT);
+    expect("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n", SOAK_UNCLEAN_EXIT); /* not by the signal */
+    ck_assert_uint_eq(judge("S 2 started h:1\nS 5 fault reload h:1\nS 300 ended h:1 129\n").count[SOAK_UNCLEAN_EXIT],
+                      0);
+    ck_assert_uint_eq(judge("S 2 started h:1\nS 5 fault stop h:1\nS 6 ended h:1 143\n").count[SOAK_UNCLEAN_EXIT], 0);
 }
 END_TEST
 
 START_TEST(a_refusal_by_idle_engines_is_found) {
     soak_result_t r = judge("C 10 sent a medium h:1 7000\nC 12 done a 503 1 0 1\n");
-    ck_assert_uint_eq(r.count[SOAK_IDLE], 1);
+    ck_assert_uint_eq(r.count[SOAK_REFUSED_WHILE_IDLE], 1);
     soak_result_t stirred = judge("S 5 fault burst -\nC 10 sent a medium h:1 7000\nC 12 done a 503 1 0 1\n");
-    ck_assert_uint_eq(stirred.count[SOAK_IDLE], 0);
+    ck_assert_uint_eq(stirred.count[SOAK_REFUSED_WHILE_IDLE], 0);
 }
 END_TEST
 
@@ -104,7 +106,7 @@
                                   "U %d begin l%d e1 2 %u\n",
                                   10 + i, i, 12 + i, i, 14 + i, i, long_tokens, 16 + i, i, long_tokens);
         }
-        ck_assert_uint_eq(judge(text).count[SOAK_PUT_BEHIND] > 0, long_tokens > 4000);
+        ck_assert_uint_eq(judge(text).count[SOAK_PRIORITY_INVERSION] > 0, long_tokens > 4000);
     }
 }
 END_TEST
@@ -112,7 +114,7 @@
 START_TEST(work_given_to_a_server_that_left_is_found) {
     expect("S 5 leaves v1\nC 4000 sent b call h:1 0\nU 4010 begin b v1 2 0\nU 4050 end b v1\n"
            "C 4051 done b 200 1 1 40\n",
-           SOAK_LEFT);
+           SOAK_SENT_TO_LEAVING);
 }
 END_TEST
 
@@ -123,7 +125,7 @@
     for (int at = 4000; at <= 8000; at += 4000) {
         snprintf(text, sizeof(text), "%sC %d sent b call h:1 0\nU %d begin b v1 2 0\nU %d end b v1\n", leaves, at,
                  at + 1, at + 2);
-        ck_assert_uint_eq(judge(text).count[SOAK_LEFT], at > 6500);
+        ck_assert_uint_eq(judge(text).count[SOAK_SENT_TO_LEAVING], at > 6500);
     }
 }
 END_TEST
@@ -136,7 +138,7 @@
                               "C 10 sent a%d short h:1 500\nU 12 begin a%d e1 0 500\nC 20 left a%d\nU 900 end a%d e1\n",
                               i, i, i, i);
     }
-    expect(text, SOAK_WORKED_ON);
+    expect(text, SOAK_RAN_AFTER_CANCEL);
 }
 END_TEST
 
@@ -159,8 +161,8 @@
                                   at, i, at + 1, i, at + 2, i, at + 3, i, at + 4, i, at + 50);
         }
         soak_result_t r = judge(text);
-        ck_assert_uint_eq(r.count[SOAK_DEADLY], reaches == 8);
-        ck_assert_uint_eq(r.deadly_ended, reaches);
+        ck_assert_uint_eq(r.count[SOAK_QUERY_OF_DEATH], reaches == 8);
+        ck_assert_uint_eq(r.qod_crashes, reaches);
         ck_assert_uint_eq(r.sent, 0);
     }
 }
@@ -178,8 +180,8 @@
                               at, i, at, i, at, i, at + 50);
     }
     soak_result_t r = judge(text);
-    ck_assert_uint_eq(r.count[SOAK_DEADLY], 1);
-    ck_assert_uint_eq(r.deadly_ended, 8);
+    ck_assert_uint_eq(r.count[SOAK_QUERY_OF_DEATH], 1);
+    ck_assert_uint_eq(r.qod_crashes, 8);
 }
 END_TEST
 
@@ -195,15 +197,15 @@
                                   "C %d done d%d 502 1 0 0 0\nS %d over died v1\n",
                                   at, i, at + 1, i, at + 3, i, at + 4, i, at + 50);
         }
-        ck_assert_uint_eq(judge(text).count[SOAK_DEADLY], !young);
+        ck_assert_uint_eq(judge(text).count[SOAK_QUERY_OF_DEATH], !young);
     }
 }
 END_TEST
 
 START_TEST(an_ordinary_request_that_is_held_back_is_found) {
-    expect(SERVED "S 92 fault died v1\nC 95 sent c get h:1 0 -\nC 99 done c 503 1 0 1 1\n", SOAK_SHUT_OUT);
+    expect(SERVED "S 92 fault died v1\nC 95 sent c get h:1 0 -\nC 99 done c 503 1 0 1 1\n", SOAK_FALSE_QUARANTINE);
     soak_result_t r = judge(SERVED "C 95 sent c get h:1 0 deadly-1\nC 99 done c 503 1 0 1 1\n");
-    ck_assert(!soak_failed(&r));
+    ck_assert(!soak_has_failed(&r));
 }
 END_TEST
 
@@ -224,9 +226,9 @@
 }
 
 START_TEST(a_rate_that_is_not_kept_is_found) {
-    expect(rate_record("h:1"), SOAK_RATE);
+    expect(rate_record("h:1"), SOAK_RATE_EXCEEDED);
     soak_result_t r = judge(rate_record("h:2"));
-    ck_assert(!soak_failed(&r));
+    ck_assert(!soak_has_failed(&r));
 }
 END_TEST
 
@@ -239,21 +241,21 @@
 START_TEST(a_rest_that_is_not_kept_is_found) {
     expect(TURNED_AWAY COMES("a", "h:1", "2000", "2001") COMES("b", "h:1", "2100", "2101")
                COMES("c", "h:1", "2200", "2201"),
-           SOAK_REST);
+           SOAK_BACKOFF_IGNORED);
     soak_result_t r = judge(TURNED_AWAY COMES("a", "h:1", "2000", "2001") COMES("b", "h:1", "2100", "2101")
                                 COMES("c", "h:2", "2200", "2201") COMES("d", "h:1", "4100", "4101"));
-    ck_assert_uint_eq(r.count[SOAK_REST], 0);
+    ck_assert_uint_eq(r.count[SOAK_BACKOFF_IGNORED], 0);
 }
 END_TEST
 
 #define SAYS_IT_LEAVES "C 1000 sent n call h:1 0\nU 1001 came n v1\nU 1002 parts n v1\nC 1003 done n 200 1 1 2\n"
 
 START_TEST(a_request_after_an_upstream_said_that_it_leaves_is_found) {
-    expect(SAYS_IT_LEAVES COMES("a", "h:1", "5000", "5001"), SOAK_TOLD_LEFT);
+    expect(SAYS_IT_LEAVES COMES("a", "h:1", "5000", "5001"), SOAK_LEAVING_IGNORED);
     soak_result_t r = judge(SAYS_IT_LEAVES COMES("a", "h:1", "2000", "2001") COMES("b", "h:2", "5000", "5001"));
-    ck_assert_uint_eq(r.count[SOAK_TOLD_LEFT], 0);
+    ck_assert_uint_eq(r.count[SOAK_LEAVING_IGNORED], 0);
     r = judge(SAYS_IT_LEAVES "S 3000 down v1\nS 3100 up v1 0\n" COMES("a", "h:1", "7500", "7501"));
-    ck_assert_uint_eq(r.count[SOAK_TOLD_LEFT], 0); /* its next life says nothing of the kind */
+    ck_assert_uint_eq(r.count[SOAK_LEAVING_IGNORED], 0); /* its next life says nothing of the kind */
 }
 END_TEST
 
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -17,10 +17,10 @@
 #include "../standins/standin.h"
 #include "soak_site.h"
 
-#define START_MS 3000   /* from the first process to the first request */
-#define STIRRED_MS 9000 /* length of a disturbed part */
-#define CALM_MS 12000   /* of a calm one: two windows of the judge after its settling time */
-#define LAST_MS 3000    /* from the callers' last request until the hosts are told to stop */
+#define STARTUP_MS 3000     /* from the first process to the first request */
+#define FAULT_PHASE_MS 9000 /* length of a disturbed part */
+#define CALM_PHASE_MS 12000 /* of a calm one: two windows of the judge after its settling time */
+#define STOP_DELAY_MS 3000  /* from the callers' last request until the hosts are told to stop */
 
 static void on_phase(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
@@ -28,43 +28,43 @@
     soak_t* s = w->data;
     if (!s->caller_proc) {
         soak_start_callers(s);
-        soak_note(s, "over start -");
+        soak_record_event(s, "over start -");
     }
-    s->stirred_until_ms = standin_now() + STIRRED_MS;
+    s->faults_until_ms = standin_now() + FAULT_PHASE_MS;
     soak_faults_begin(s);
-    soak_after(s, &s->phase, STIRRED_MS + CALM_MS);
+    soak_start_timer(s, &s->phase_timer, FAULT_PHASE_MS + CALM_PHASE_MS);
 }
 
 static void on_finish(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    if (s->ending) { /* the callers have had time: hosts are told to stop */
+    if (s->is_ending) { /* the callers have had time: hosts are told to stop */
         for (uint32_t i = 0; i < s->proc_count; i++) {
             proc_t* p = &s->procs[i];
             if (p->kind == PROC_HOST && p->pid) {
                 char target[48];
                 soak_proc_name(p, target, sizeof(target));
-                soak_note(s, "fault stop %s", target);
-                p->stopping = true;
+                soak_record_event(s, "fault stop %s", target);
+                p->is_stopping = true;
                 kill(p->pid, SIGTERM);
             }
         }
         return;
     }
-    s->ending = true;
-    ev_timer_stop(s->loop, &s->phase);
+    s->is_ending = true;
+    ev_timer_stop(s->loop, &s->phase_timer);
     soak_faults_stop(s);
-    soak_note(s, "finish");
+    soak_record_event(s, "finish");
     kill(s->caller_proc->pid, SIGTERM);
-    soak_after(s, &s->end, LAST_MS);
+    soak_start_timer(s, &s->end_timer, STOP_DELAY_MS);
 }
 
 /* -- the whole ------------------------------------------------------------ */
 
 static void start(soak_t* s) {
-    soak_note(s, "fault start -");
-    soak_watch_machine(s);
+    soak_record_event(s, "fault start -");
+    soak_watch_scheduling(s);
     soak_start_source(s);
     for (uint32_t i = 0; i < s->engines + s->services; i++) {
         soak_start_upstream(s, i < s->engines);
@@ -72,11 +72,11 @@
     for (uint32_t i = 0; i < s->hosts; i++) {
         soak_start_host(s, i);
     }
-    ev_timer_init(&s->phase, on_phase, 0.0, 0.0);
-    ev_timer_init(&s->end, on_finish, 0.0, 0.0);
-    s->phase.data = s->end.data = s;
-    soak_after(s, &s->phase, START_MS);
-    soak_after(s, &s->end, START_MS + (int64_t)s->seconds * 1000);
+    ev_timer_init(&s->phase_timer, on_phase, 0.0, 0.0);
+    ev_timer_init(&s->end_timer, on_finish, 0.0, 0.0);
+    s->phase_timer.data = s->end_timer.data = s;
+    soak_start_timer(s, &s->phase_timer, STARTUP_MS);
+    soak_start_timer(s, &s->end_timer, STARTUP_MS + (int64_t)s->seconds * 1000);
 }
 
 static void write_record(const soak_t* s) {
@@ -89,12 +89,12 @@
     }
 }
 
-static void remove_folder(const soak_t* s) {
+static void remove_dir(const soak_t* s) {
     char path[128];
     static const char* const kinds[] = {"ini", "log", "sleep"};
     for (uint32_t i = 0; i < s->hosts; i++) {
         for (int k = 0; k < 3; k++) {
-            snprintf(path, sizeof(path), "%s/%s.%u.%s", s->dir, s->base, i + 1, kinds[k]);
+            snprintf(path, sizeof(path), "%s/%s.%u.%s", s->dir, s->address_prefix, i + 1, kinds[k]);
             unlink(path);
         }
     }
@@ -104,26 +104,27 @@
 }
 
 static bool report(const soak_t* s) {
-    soak_result_t r = soak_judge(cw_buffer_text(&s->record), SOAK_GRACE_MS, SOAK_DRAIN_MS);
-    bool failed = soak_failed(&r);
+    soak_result_t r = soak_check_record(cw_buffer_text(&s->record), SOAK_GRACE_MS, SOAK_DRAIN_MS);
+    bool failed = soak_has_failed(&r);
     printf("seed %" PRIu64
            ": %u sent, %u served, %u refused, %u failed, %u left; calm %u sent, %u served, %u refused\n",
-           s->seed, r.sent, r.served, r.refused, r.failed, r.left, r.calm_sent, r.calm_served, r.calm_refused);
-    if (r.deadly_bodies) {
-        printf("  %u deadly bodies sent %u times: %u upstreams ended under them\n", r.deadly_bodies, r.deadly_sent,
-               r.deadly_ended);
+           s->seed, r.sent, r.served, r.refused, r.failed, r.abandoned, r.calm_sent, r.calm_served, r.calm_refused);
+    if (r.qod_bodies) {
+        printf("  %u deadly bodies sent %u times: %u upstreams ended under them\n", r.qod_bodies, r.qod_sent,
+               r.qod_crashes);
     }
-    for (int i = 0; i < SOAK_CHECKS; i++) {
+    for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
         if (r.count[i]) {
             printf("  %s %s: %u (allowed %u), first: %s\n",
                    r.count[i] > soak_check_allowed((soak_check_t)i) ? "BROKEN" : "seen",
-                   soak_check_name((soak_check_t)i), r.count[i], soak_check_allowed((soak_check_t)i), r.first[i]);
+                   soak_check_name((soak_check_t)i), r.count[i], soak_check_allowed((soak_check_t)i),
+                   r.first_finding[i]);
         }
     }
-    if (s->late_times) {
+    if (s->late_count) {
         printf("  the machine let this program wait %u times, up to %" PRId64
                " ms: no moment near them counts as calm\n",
-               s->late_times, s->late_ms);
+               s->late_count, s->longest_late_ms);
     }
     printf("seed %" PRIu64 ": %s\n", s->seed, failed ? "FAILED" : "passed");
     return !failed;
@@ -131,9 +132,9 @@
 
 static bool read_record(soak_t* s) {
     char data[65536];
-    FILE* file = fopen(s->kept_record, "r");
+    FILE* file = fopen(s->record_path, "r");
     if (!file) {
-        perror(s->kept_record);
+        perror(s->record_path);
         return false;
     }
     for (size_t size = 0; (size = fread(data, 1, sizeof(data), file)) > 0;) {
@@ -149,7 +150,7 @@
     uint32_t number = (uint32_t)strtoul(text, NULL, 10);
     switch (key) {
         case 'b':
-            s->build = arg;
+            s->build_dir = arg;
             return 0;
         case 's':
             s->seed = strtoull(text, NULL, 10);
@@ -170,16 +171,16 @@
             s->callers = number;
             return 0;
         case 'r':
-            s->per_s = strtod(text, NULL);
+            s->requests_per_s = strtod(text, NULL);
             return 0;
         case 'd':
             s->deadly = number;
             return 0;
         case 'k':
-            s->keep = true;
+            s->keeps_dir = true;
             return 0;
         case 'j':
-            s->kept_record = arg;
+            s->record_path = arg;
             return 0;
         default:
             return ARGP_ERR_UNKNOWN;
@@ -202,7 +203,7 @@
         {0},
     };
     const struct argp argp = {.options = options, .parser = parse_option, .doc = "A soak of real processes."};
-    static soak_t soak = {.build = "build",
+    static soak_t soak = {.build_dir = "build",
                           .seed = 1,
                           .seconds = 54,
                           .hosts = 5,
@@ -210,16 +211,16 @@
                           .services = 3,
                           .deadly = 3,
                           .callers = 60,
-                          .per_s = 120};
+                          .requests_per_s = 120};
     soak_t* s = &soak;
     argp_parse(&argp, argc, argv, 0, NULL, s);
-    if (s->kept_record) {
+    if (s->record_path) {
         return read_record(s) && report(s) ? 0 : 1;
     }
     signal(SIGPIPE, SIG_IGN);
     s->loop = ev_default_loop(0);
     s->client = cw_client_setup(s->loop, 16);
-    snprintf(s->base, sizeof(s->base), "127.%d.%d", 1 + getpid() / 250 % 250, getpid() % 250);
+    snprintf(s->address_prefix, sizeof(s->address_prefix), "127.%d.%d", 1 + getpid() / 250 % 250, getpid() % 250);
     snprintf(s->dir, sizeof(s->dir), "/tmp/chalkway-soak-XXXXXX");
     if (!mkdtemp(s->dir)) {
         perror(s->dir);
@@ -227,13 +228,13 @@
     }
     start(s);
     ev_run(s->loop, 0);
-    soak_end_processes(s);
+    soak_kill_processes(s);
     write_record(s);
     bool passed = report(s);
-    if (s->keep || !passed) {
+    if (s->keeps_dir || !passed) {
         printf("record and logs: %s\n", s->dir);
     } else {
-        remove_folder(s);
+        remove_dir(s);
     }
     return passed ? 0 : 1;
 }
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -34,7 +34,7 @@
     const char* name;
     const char* path;       /* prefix of its route */
     const char* route_kind; /* as in the catalog */
-    bool resume;
+    bool is_resumable;
     uint32_t tier, target_ms, timeout_ms;
     uint32_t tokens_min, tokens_max; /* of the prompt, 0: a plain call */
     uint32_t events;
@@ -48,29 +48,29 @@
 
 /* What a record was found to break, by check. */
 typedef enum soak_check_t {
-    SOAK_TWICE = 0,  /* a request that may not be repeated ran more than once */
-    SOAK_REFUSED,    /* told as not run, and ran */
-    SOAK_MIXED,      /* an answer that was taken as whole is not the request's */
-    SOAK_LOST,       /* a host that was stopped as planned left a request without an answer */
-    SOAK_IDLE,       /* refused in calm seconds while many engines had nothing to do */
-    SOAK_PUT_BEHIND, /* refused in calm seconds while larger, less urgent prompts began */
-    SOAK_LEFT,       /* a server got something new long after it was published as leaving */
-    SOAK_WORKED_ON,  /* upstreams worked on long after the caller had left */
-    SOAK_STOP,       /* a host did not end in order after it was told to stop, or ended by itself */
-    SOAK_RECOVERY,   /* after the last fault too few are served */
-    SOAK_DEADLY,     /* a body under which three upstreams ended goes on reaching upstreams */
-    SOAK_SHUT_OUT,   /* an ordinary request was held back as one that ends upstreams */
-    SOAK_RATE,       /* an upstream got more than the rate that it named */
-    SOAK_REST,       /* or too much from a host that it had asked for rest */
-    SOAK_TOLD_LEFT,  /* or something long after it had told the host that it leaves */
-    SOAK_CHECKS
+    SOAK_RAN_TWICE = 0,      /* a request that may not be repeated ran more than once */
+    SOAK_RAN_AFTER_REFUSAL,  /* told as not run, and ran */
+    SOAK_WRONG_RESPONSE,     /* an answer that was taken as whole is not the request's */
+    SOAK_LOST_ON_STOP,       /* a host that was stopped as planned left a request without an answer */
+    SOAK_REFUSED_WHILE_IDLE, /* refused in calm seconds while many engines had nothing to do */
+    SOAK_PRIORITY_INVERSION, /* refused in calm seconds while larger, less urgent prompts began */
+    SOAK_SENT_TO_LEAVING,    /* a server got something new long after it was published as leaving */
+    SOAK_RAN_AFTER_CANCEL,   /* upstreams worked on long after the caller had left */
+    SOAK_UNCLEAN_EXIT,       /* a host did not end in order after it was told to stop, or ended by itself */
+    SOAK_RECOVERY,           /* after the last fault too few are served */
+    SOAK_QUERY_OF_DEATH,     /* a body under which three upstreams ended goes on reaching upstreams */
+    SOAK_FALSE_QUARANTINE,   /* an ordinary request was held back as one that ends upstreams */
+    SOAK_RATE_EXCEEDED,      /* an upstream got more than the rate that it named */
+    SOAK_BACKOFF_IGNORED,    /* or too much from a host that it had asked for rest */
+    SOAK_LEAVING_IGNORED,    /* or something long after it had told the host that it leaves */
+    SOAK_CHECK_COUNT
 } soak_check_t;
 
 typedef struct soak_result_t {
-    uint32_t count[SOAK_CHECKS];
-    char first[SOAK_CHECKS][160];                      /* the first finding of each */
-    uint32_t sent, served, refused, failed, left;      /* of ordinary requests */
-    uint32_t deadly_bodies, deadly_sent, deadly_ended; /* ended: upstreams, under all of the bodies */
+    uint32_t count[SOAK_CHECK_COUNT];
+    char first_finding[SOAK_CHECK_COUNT][160];         /* the first finding of each */
+    uint32_t sent, served, refused, failed, abandoned; /* of ordinary requests */
+    uint32_t qod_bodies, qod_sent, qod_crashes;        /* ended: upstreams, under all of the bodies */
     uint32_t calm_sent, calm_served, calm_refused;
 } soak_result_t;
 
@@ -78,8 +78,8 @@
 /* Findings beyond which a check has failed. */
 uint32_t soak_check_allowed(soak_check_t check);
 /* Judges a record. grace_ms and drain_ms as in the hosts' settings. */
-soak_result_t soak_judge(const char* record, uint32_t grace_ms, uint32_t drain_ms);
+soak_result_t soak_check_record(const char* record, uint32_t grace_ms, uint32_t drain_ms);
 /* Whether any check has failed. */
-bool soak_failed(const soak_result_t* result);
+bool soak_has_failed(const soak_result_t* result);
 
 #endif
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -7,222 +7,222 @@
 
 #define FAULT_MIN_MS 300
 #define FAULT_SPREAD_MS 3500
-#define PAUSE_MIN_MS 200 /* from one fault to the next */
-#define PAUSE_SPREAD_MS 1200
-#define LEAVE_MS (SOAK_DRAIN_MS + 4000) /* a server that leaves serves on for so long */
-#define SLOW_TIMES 5
-#define LIMIT_MS 9000  /* long enough to be judged */
-#define HERD_ONE_IN 25 /* faults that hit all hosts at once */
+#define FAULT_INTERVAL_MIN_MS 200 /* from one fault to the next */
+#define FAULT_INTERVAL_SPREAD_MS 1200
+#define LEAVE_DURATION_MS (SOAK_DRAIN_MS + 4000) /* a server that leaves serves on for so long */
+#define SLOW_FACTOR 5
+#define RATE_LIMIT_DURATION_MS 9000 /* long enough to be judged */
+#define KILL_ALL_ONE_IN 25          /* faults that hit all hosts at once */
 
 typedef struct fault_kind_t {
     const char* name;
-    proc_kind_t on; /* PROC_SOURCE and PROC_CALLERS: there is one */
+    proc_kind_t target_kind; /* PROC_SOURCE and PROC_CALLERS: there is one */
     uint32_t weight;
-    bool (*begin)(active_t* a); /* false: not now */
-    void (*end)(active_t* a);
+    bool (*begin)(active_fault_t* a); /* false: not now */
+    void (*end)(active_fault_t* a);
 } fault_kind_t;
 
-static bool stop_begin(active_t* a) {
-    a->target->stopping = true;
+static bool stop_begin(active_fault_t* a) {
+    a->target->is_stopping = true;
     kill(a->target->pid, SIGTERM);
     return true;
 }
 
-static bool kill_begin(active_t* a) {
-    a->target->stopping = true;
+static bool kill_begin(active_fault_t* a) {
+    a->target->is_stopping = true;
     kill(a->target->pid, SIGKILL);
     return true;
 }
 
-static void host_back(active_t* a) {
-    if (!a->target->pid && !a->soak->ending) {
+static void host_restart(active_fault_t* a) {
+    if (!a->target->pid && !a->soak->is_ending) {
         soak_restart_host(a->target);
-    } else if (a->target->stopping) {
-        soak_after(a->soak, &a->timer, 200); /* it has not ended yet */
+    } else if (a->target->is_stopping) {
+        soak_start_timer(a->soak, &a->timer, 200); /* it has not ended yet */
     }
 }
 
-static bool freeze_begin(active_t* a) {
+static bool freeze_begin(active_fault_t* a) {
     kill(a->target->pid, SIGSTOP);
     return true;
 }
 
-static void freeze_end(active_t* a) {
+static void freeze_end(active_fault_t* a) {
     if (a->target->pid) {
         kill(a->target->pid, SIGCONT);
     }
 }
 
-static bool suspend_begin(active_t* a) {
-    a->target->stopped_ms = standin_now();
+static bool suspend_begin(active_fault_t* a) {
+    a->target->suspended_since_ms = standin_now();
     return freeze_begin(a);
 }
 
-static void suspend_end(active_t* a) {
+static void suspend_end(active_fault_t* a) {
     if (a->target->pid) {
-        soak_wake_host(a->target);
+        soak_resume_host(a->target);
     }
 }
 
-static bool reload_begin(active_t* a) {
-    soak_write_settings(a->target, 500 + (uint32_t)(soak_draw(a->soak) % 1500));
+static bool reload_begin(active_fault_t* a) {
+    soak_write_settings(a->target, 500 + (uint32_t)(soak_random(a->soak) % 1500));
     kill(a->target->pid, SIGHUP);
     return true;
 }
 
-static void nothing(active_t* a) {
+static void no_op(active_fault_t* a) {
     (void)a;
 }
 
-static bool crash_begin(active_t* a) {
+static bool crash_begin(active_fault_t* a) {
     kill(a->target->pid, SIGKILL);
     return true;
 }
 
-static void upstream_anew(active_t* a) {
-    soak_start_upstream(a->soak, a->target->engine);
+static void upstream_replace(active_fault_t* a) {
+    soak_start_upstream(a->soak, a->target->is_engine);
 }
 
 /* It says nothing as it ends, so its entry stays until it is back under its id. */
-static bool restart_begin(active_t* a) {
-    if (a->target->leaving) {
+static bool restart_begin(active_fault_t* a) {
+    if (a->target->is_leaving) {
         return false;
     }
-    a->target->lingers = true;
+    a->target->has_stale_entry = true;
     kill(a->target->pid, SIGKILL);
     return true;
 }
 
-static void restart_end(active_t* a) {
-    soak_start_upstream_again(a->target);
+static void restart_end(active_fault_t* a) {
+    soak_restart_upstream(a->target);
 }
 
-static bool leave_begin(active_t* a) {
-    if (a->target->leaving) {
+static bool leave_begin(active_fault_t* a) {
+    if (a->target->is_leaving) {
         return false;
     }
-    a->target->leaving = true;
-    soak_note(a->soak, "leaves %s", a->target->name);
+    a->target->is_leaving = true;
+    soak_record_event(a->soak, "leaves %s", a->target->name);
     soak_post(a->soak, a->target->address, "/admin/set?leaving=1", "");
     soak_publish_servers(a->soak);
-    soak_start_upstream(a->soak, a->target->engine);
-    soak_after(a->soak, &a->timer, LEAVE_MS);
+    soak_start_upstream(a->soak, a->target->is_engine);
+    soak_start_timer(a->soak, &a->timer, LEAVE_DURATION_MS);
     return true;
 }
 
-static void leave_end(active_t* a) {
+static void leave_end(active_fault_t* a) {
     if (a->target->pid) {
         kill(a->target->pid, SIGTERM);
     }
 }
 
-static bool slow_begin(active_t* a) {
+static bool slow_begin(active_fault_t* a) {
     char path[40];
-    snprintf(path, sizeof(path), "/admin/set?slow=%d", SLOW_TIMES);
+    snprintf(path, sizeof(path), "/admin/set?slow=%d", SLOW_FACTOR);
     soak_post(a->soak, a->target->address, path, "");
     return true;
 }
 
-static void slow_end(active_t* a) {
+static void slow_end(active_fault_t* a) {
     if (a->target->pid) {
         soak_post(a->soak, a->target->address, "/admin/set?slow=1", "");
     }
 }
 
-static bool limit_begin(active_t* a) {
+static bool limit_begin(active_fault_t* a) {
     static const char* const rates[] = {"0", "0.5", "1.7", "4"};
     char path[40];
-    snprintf(path, sizeof(path), "/admin/set?limit=%s", rates[soak_draw(a->soak) % 4]);
+    snprintf(path, sizeof(path), "/admin/set?limit=%s", rates[soak_random(a->soak) % 4]);
     soak_post(a->soak, a->target->address, path, "");
-    int64_t left_ms = a->soak->stirred_until_ms - standin_now();
-    soak_after(a->soak, &a->timer, left_ms < LIMIT_MS ? left_ms : LIMIT_MS);
+    int64_t remaining_ms = a->soak->faults_until_ms - standin_now();
+    soak_start_timer(a->soak, &a->timer, remaining_ms < RATE_LIMIT_DURATION_MS ? remaining_ms : RATE_LIMIT_DURATION_MS);
     return true;
 }
 
-static void limit_end(active_t* a) {
+static void limit_end(active_fault_t* a) {
     if (a->target->pid) {
         soak_post(a->soak, a->target->address, "/admin/set?limit=-1", "");
     }
 }
 
-static bool rest_begin(active_t* a) {
+static bool rest_begin(active_fault_t* a) {
     char path[40];
-    snprintf(path, sizeof(path), "/admin/set?rest=%.1f", 0.5 + (double)(soak_draw(a->soak) % 30) / 10);
+    snprintf(path, sizeof(path), "/admin/set?rest=%.1f", 0.5 + (double)(soak_random(a->soak) % 30) / 10);
     soak_post(a->soak, a->target->address, path, "");
     return true;
 }
 
-static void rest_end(active_t* a) {
+static void rest_end(active_fault_t* a) {
     if (a->target->pid) {
         soak_post(a->soak, a->target->address, "/admin/set?rest=0", "");
     }
 }
 
-static bool source_down(active_t* a) {
+static bool source_down(active_fault_t* a) {
     soak_post(a->soak, a->target->address, "/admin/mode?down=1", "");
     return true;
 }
 
-static bool source_slow(active_t* a) {
+static bool source_slow(active_fault_t* a) {
     soak_post(a->soak, a->target->address, "/admin/mode?slow_ms=400", "");
     return true;
 }
 
-static bool source_lossy(active_t* a) {
+static bool source_lossy(active_fault_t* a) {
     soak_post(a->soak, a->target->address, "/admin/mode?lose=30", "");
     return true;
 }
 
-static bool source_stale(active_t* a) {
+static bool source_stale(active_fault_t* a) {
     soak_post(a->soak, a->target->address, "/admin/mode?stale=1", "");
     return true;
 }
 
-static void source_well(active_t* a) {
+static void source_recover(active_fault_t* a) {
     soak_post(a->soak, a->target->address, "/admin/mode?down=0&slow_ms=0&lose=0&stale=0", "");
 }
 
-static bool config_begin(active_t* a) {
+static bool config_begin(active_fault_t* a) {
     soak_publish_catalog(a->soak);
     return true;
 }
 
-static bool burst_begin(active_t* a) {
+static bool burst_begin(active_fault_t* a) {
     kill(a->target->pid, SIGUSR1);
     return true;
 }
 
-static void burst_end(active_t* a) {
+static void burst_end(active_fault_t* a) {
     if (a->target->pid) {
         kill(a->target->pid, SIGUSR2);
     }
 }
 
 static const fault_kind_t fault_kinds[] = {
-    {"stop", PROC_HOST, 4, stop_begin, host_back},
-    {"kill", PROC_HOST, 2, kill_begin, host_back},
+    {"stop", PROC_HOST, 4, stop_begin, host_restart},
+    {"kill", PROC_HOST, 2, kill_begin, host_restart},
     {"freeze", PROC_HOST, 2, freeze_begin, freeze_end},
     {"suspend", PROC_HOST, 2, suspend_begin, suspend_end},
-    {"reload", PROC_HOST, 2, reload_begin, nothing},
-    {"crash", PROC_UPSTREAM, 2, crash_begin, upstream_anew},
+    {"reload", PROC_HOST, 2, reload_begin, no_op},
+    {"crash", PROC_UPSTREAM, 2, crash_begin, upstream_replace},
     {"restart", PROC_UPSTREAM, 3, restart_begin, restart_end},
     {"leave", PROC_UPSTREAM, 3, leave_begin, leave_end},
     {"freeze", PROC_UPSTREAM, 1, freeze_begin, freeze_end},
     {"slow", PROC_UPSTREAM, 2, slow_begin, slow_end},
     {"limit", PROC_UPSTREAM, 8, limit_begin, limit_end},
     {"rest", PROC_UPSTREAM, 6, rest_begin, rest_end},
-    {"source-down", PROC_SOURCE, 1, source_down, source_well},
-    {"source-slow", PROC_SOURCE, 1, source_slow, source_well},
-    {"source-lossy", PROC_SOURCE, 1, source_lossy, source_well},
-    {"source-stale", PROC_SOURCE, 1, source_stale, source_well},
-    {"config", PROC_SOURCE, 3, config_begin, nothing},
+    {"source-down", PROC_SOURCE, 1, source_down, source_recover},
+    {"source-slow", PROC_SOURCE, 1, source_slow, source_recover},
+    {"source-lossy", PROC_SOURCE, 1, source_lossy, source_recover},
+    {"source-stale", PROC_SOURCE, 1, source_stale, source_recover},
+    {"config", PROC_SOURCE, 3, config_begin, no_op},
     {"burst", PROC_CALLERS, 3, burst_begin, burst_end},
 };
 #define FAULT_KINDS (sizeof(fault_kinds) / sizeof(fault_kinds[0]))
 
 static bool is_target(const soak_t* s, const proc_t* p) {
     for (uint32_t i = 0; i < SOAK_FAULTS_MAX; i++) {
-        if (s->active[i].kind && s->active[i].target == p) {
+        if (s->active_faults[i].kind && s->active_faults[i].target == p) {
             return true;
         }
     }
@@ -230,12 +230,12 @@
 }
 
 static proc_t* pick_target(soak_t* s, proc_kind_t kind) {
-    uint32_t free_count = 0;
+    uint32_t eligible_count = 0;
     proc_t* picked = NULL;
     for (uint32_t i = 0; i < s->proc_count; i++) {
         proc_t* p = &s->procs[i];
-        bool fit = p->kind == kind && p->pid && (p->told || kind == PROC_HOST || kind == PROC_CALLERS);
-        if (fit && !is_target(s, p) && soak_draw(s) % ++free_count == 0) {
+        bool is_eligible = p->kind == kind && p->pid && (p->is_ready || kind == PROC_HOST || kind == PROC_CALLERS);
+        if (is_eligible && !is_target(s, p) && soak_random(s) % ++eligible_count == 0) {
             picked = p;
         }
     }
@@ -245,43 +245,43 @@
 static void on_fault_end(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    active_t* a = w->data;
+    active_fault_t* a = w->data;
     char target[48];
     const fault_kind_t* kind = a->kind;
     soak_proc_name(a->target, target, sizeof(target));
     kind->end(a);
     if (!ev_is_active(&a->timer)) {
-        soak_note(a->soak, "over %s %s", kind->name, target);
+        soak_record_event(a->soak, "over %s %s", kind->name, target);
         a->kind = NULL;
     }
 }
 
 static void begin_fault(soak_t* s, const fault_kind_t* kind, proc_t* target) {
-    active_t* a = NULL;
+    active_fault_t* a = NULL;
     for (uint32_t i = 0; i < SOAK_FAULTS_MAX && !a; i++) {
-        a = s->active[i].kind ? NULL : &s->active[i];
+        a = s->active_faults[i].kind ? NULL : &s->active_faults[i];
     }
     if (!a || !target) {
         return;
     }
     char name[48];
-    int64_t left_ms = s->stirred_until_ms - standin_now();
-    int64_t for_ms = FAULT_MIN_MS + (int64_t)(soak_draw(s) % FAULT_SPREAD_MS);
-    *a = (active_t){.soak = s, .kind = kind, .target = target};
+    int64_t remaining_ms = s->faults_until_ms - standin_now();
+    int64_t duration_ms = FAULT_MIN_MS + (int64_t)(soak_random(s) % FAULT_SPREAD_MS);
+    *a = (active_fault_t){.soak = s, .kind = kind, .target = target};
     ev_timer_init(&a->timer, on_fault_end, 0.0, 0.0);
     a->timer.data = a;
     soak_proc_name(target, name, sizeof(name));
-    soak_note(s, "fault %s %s", kind->name, name);
-    soak_after(s, &a->timer, for_ms < left_ms ? for_ms : left_ms);
+    soak_record_event(s, "fault %s %s", kind->name, name);
+    soak_start_timer(s, &a->timer, duration_ms < remaining_ms ? duration_ms : remaining_ms);
     if (!kind->begin(a)) {
         ev_timer_stop(s->loop, &a->timer);
-        soak_note(s, "over %s %s", kind->name, name);
+        soak_record_event(s, "over %s %s", kind->name, name);
         a->kind = NULL;
     }
 }
 
 /* All hosts are lost at the same moment. */
-static void begin_herd(soak_t* s) {
+static void kill_all_hosts(soak_t* s) {
     for (uint32_t i = 0; i < s->proc_count; i++) {
         proc_t* p = &s->procs[i];
         if (p->kind == PROC_HOST && p->pid && !is_target(s, p)) {
@@ -290,37 +290,38 @@
     }
 }
 
-static void on_next(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_next_fault(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    if (standin_now() + FAULT_MIN_MS > s->stirred_until_ms) {
+    if (standin_now() + FAULT_MIN_MS > s->faults_until_ms) {
         return;
     }
     uint32_t sum = 0;
     for (size_t i = 0; i < FAULT_KINDS; i++) {
         sum += fault_kinds[i].weight;
     }
-    uint32_t at = (uint32_t)(soak_draw(s) % sum);
+    uint32_t at = (uint32_t)(soak_random(s) % sum);
     size_t kind = 0;
     while (at >= fault_kinds[kind].weight) {
         at -= fault_kinds[kind++].weight;
     }
-    if (soak_draw(s) % HERD_ONE_IN == 0) {
-        begin_herd(s);
+    if (soak_random(s) % KILL_ALL_ONE_IN == 0) {
+        kill_all_hosts(s);
     } else {
-        begin_fault(s, &fault_kinds[kind], pick_target(s, fault_kinds[kind].on));
+        begin_fault(s, &fault_kinds[kind], pick_target(s, fault_kinds[kind].target_kind));
     }
-    soak_after(s, &s->next, PAUSE_MIN_MS + (int64_t)(soak_draw(s) % PAUSE_SPREAD_MS));
+    soak_start_timer(s, &s->next_fault_timer,
+                     FAULT_INTERVAL_MIN_MS + (int64_t)(soak_random(s) % FAULT_INTERVAL_SPREAD_MS));
 }
 
 void soak_faults_begin(soak_t* s) {
-    ev_timer_stop(s->loop, &s->next);
-    ev_timer_init(&s->next, on_next, 0.0, 0.0);
-    s->next.data = s;
-    soak_after(s, &s->next, PAUSE_MIN_MS);
+    ev_timer_stop(s->loop, &s->next_fault_timer);
+    ev_timer_init(&s->next_fault_timer, on_next_fault, 0.0, 0.0);
+    s->next_fault_timer.data = s;
+    soak_start_timer(s, &s->next_fault_timer, FAULT_INTERVAL_MIN_MS);
 }
 
 void soak_faults_stop(soak_t* s) {
-    ev_timer_stop(s->loop, &s->next);
+    ev_timer_stop(s->loop, &s->next_fault_timer);
 }
--- a/tools/soak_pushback.c
+++ b/tools/soak_pushback.c
@@ -6,45 +6,45 @@
 #include "../chalkway_core.h"
 
 #define ARRIVALS_MAX 400000
-#define WORDS_MAX 400000
+#define SIGNALS_MAX 400000
 #define RATES_MAX 1024
-#define ALLOWED_TIMES 1.5 /* the rate */
-#define ALLOWED_MORE 5.0  /* requests */
+#define RATE_TOLERANCE 1.5      /* the rate */
+#define RATE_BURST_REQUESTS 5.0 /* requests */
 #define MS_PER_S 1000.0
 
 struct soak_pushback_t {
     soak_arrival_t* arrivals; /* in the order of time */
-    soak_word_t* words;
+    soak_pushback_signal_t* signals;
     soak_rate_t rates[RATES_MAX];
-    uint32_t arrival_count, word_count, rate_count;
+    uint32_t arrival_count, signal_count, rate_count;
 };
 
 soak_pushback_t* soak_pushback_setup(void) {
     soak_pushback_t* p = cw_alloc(NULL, 1, sizeof(*p));
     p->arrivals = cw_alloc(NULL, ARRIVALS_MAX, sizeof(*p->arrivals));
-    p->words = cw_alloc(NULL, WORDS_MAX, sizeof(*p->words));
+    p->signals = cw_alloc(NULL, SIGNALS_MAX, sizeof(*p->signals));
     return p;
 }
 
 void soak_pushback_shutdown(soak_pushback_t* p) {
     free(p->arrivals);
-    free(p->words);
+    free(p->signals);
     free(p);
 }
 
-void soak_pushback_arrival(soak_pushback_t* p, const soak_arrival_t* arrival) {
+void soak_pushback_add_arrival(soak_pushback_t* p, const soak_arrival_t* arrival) {
     if (p->arrival_count < ARRIVALS_MAX) {
         p->arrivals[p->arrival_count++] = *arrival;
     }
 }
 
-void soak_pushback_word(soak_pushback_t* p, const soak_word_t* word) {
-    if (p->word_count < WORDS_MAX) {
-        p->words[p->word_count++] = *word;
+void soak_pushback_add_signal(soak_pushback_t* p, const soak_pushback_signal_t* signal) {
+    if (p->signal_count < SIGNALS_MAX) {
+        p->signals[p->signal_count++] = *signal;
     }
 }
 
-void soak_pushback_rate(soak_pushback_t* p, int64_t at_ms, uint64_t server, double per_s) {
+void soak_pushback_set_rate(soak_pushback_t* p, int64_t at_ms, uint64_t server, double per_s) {
     for (uint32_t i = 0; i < p->rate_count; i++) {
         if (p->rates[i].server == server && !p->rates[i].until_ms) {
             p->rates[i].until_ms = at_ms;
@@ -56,9 +56,10 @@
 }
 
 /* Whether the host had such a word of the upstream, and could heed it, when the request was sent or came. */
-static bool was_told(const soak_pushback_t* p, soak_word_kind_t kind, const soak_arrival_t* a, int64_t before_ms) {
-    for (uint32_t i = 0; i < p->word_count && p->words[i].at_ms <= before_ms; i++) {
-        const soak_word_t* w = &p->words[i];
+static bool has_signal(const soak_pushback_t* p, soak_pushback_kind_t kind, const soak_arrival_t* a,
+                       int64_t before_ms) {
+    for (uint32_t i = 0; i < p->signal_count && p->signals[i].at_ms <= before_ms; i++) {
+        const soak_pushback_signal_t* w = &p->signals[i];
         if (w->kind == kind && w->server == a->server && w->host == a->host) {
             return true;
         }
@@ -66,55 +67,60 @@
     return false;
 }
 
-static void judge_rate(const soak_pushback_t* p, const soak_rate_t* rate, soak_pushback_found_t found, void* user) {
-    int64_t from_ms = rate->from_ms + SOAK_PUSHBACK_CONTACT_MS;
-    double allowed = ALLOWED_TIMES * rate->per_s * SOAK_PUSHBACK_WINDOW_MS / MS_PER_S + ALLOWED_MORE;
-    int64_t counted_ms[256]; /* arrivals of the window that ends with the latest, as a ring */
+static void check_rate(const soak_pushback_t* p, const soak_rate_t* rate, soak_pushback_on_violation_t on_violation,
+                       void* user) {
+    int64_t from_ms = rate->from_ms + SOAK_PUSHBACK_RATE_GRACE_MS;
+    double allowed = RATE_TOLERANCE * rate->per_s * SOAK_PUSHBACK_WINDOW_MS / MS_PER_S + RATE_BURST_REQUESTS;
+    int64_t window_ms[256]; /* arrivals of the window that ends with the latest, as a ring */
     uint32_t count = 0;
     for (uint32_t i = 0; i < p->arrival_count; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
-        bool meant = a->server == rate->server && a->at_ms >= from_ms && (!rate->until_ms || a->at_ms < rate->until_ms);
-        if (!meant || a->excused || !was_told(p, SOAK_WORD_RATE, a, a->at_ms - SOAK_PUSHBACK_TOLD_MS)) {
+        bool is_match =
+            a->server == rate->server && a->at_ms >= from_ms && (!rate->until_ms || a->at_ms < rate->until_ms);
+        if (!is_match || a->is_excused || !has_signal(p, SOAK_PUSHBACK_RATE, a, a->at_ms - SOAK_PUSHBACK_REACTION_MS)) {
             continue;
         }
-        counted_ms[count++ % 256] = a->at_ms;
-        uint32_t inside = 0;
+        window_ms[count++ % 256] = a->at_ms;
+        uint32_t in_window_count = 0;
         for (uint32_t k = 0; k < 256 && k < count; k++) {
-            inside += counted_ms[k] > a->at_ms - SOAK_PUSHBACK_WINDOW_MS;
+            in_window_count += window_ms[k] > a->at_ms - SOAK_PUSHBACK_WINDOW_MS;
         }
-        if (inside > allowed) {
+        if (in_window_count > allowed) {
             char what[80];
-            snprintf(what, sizeof(what), "%u came in 4 s at a rate of %.1f", inside, rate->per_s);
-            found(user, SOAK_WORD_RATE, a, what);
+            snprintf(what, sizeof(what), "%u came in 4 s at a rate of %.1f", in_window_count, rate->per_s);
+            on_violation(user, SOAK_PUSHBACK_RATE, a, what);
         }
     }
 }
 
-static void judge_rest(const soak_pushback_t* p, const soak_word_t* w, soak_pushback_found_t found, void* user) {
+static void check_backoff(const soak_pushback_t* p, const soak_pushback_signal_t* w,
+                          soak_pushback_on_violation_t on_violation, void* user) {
     uint32_t count = 0;
-    for (uint32_t i = 0; i < p->arrival_count && p->arrivals[i].at_ms < w->at_ms + w->rest_ms; i++) {
+    for (uint32_t i = 0; i < p->arrival_count && p->arrivals[i].at_ms < w->at_ms + w->backoff_ms; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
-        bool meant = a->server == w->server && a->host == w->host && !a->excused;
-        if (meant && a->at_ms > w->at_ms + SOAK_PUSHBACK_TOLD_MS && ++count > SOAK_PUSHBACK_RESTING) {
-            found(user, SOAK_WORD_REST, a, "more than two came in a rest");
+        bool is_match = a->server == w->server && a->host == w->host && !a->is_excused;
+        if (is_match && a->at_ms > w->at_ms + SOAK_PUSHBACK_REACTION_MS &&
+            ++count > SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX) {
+            on_violation(user, SOAK_PUSHBACK_BACKOFF, a, "more than two came in a rest");
             return;
         }
     }
 }
 
-void soak_pushback_judge(const soak_pushback_t* p, int64_t heed_ms, soak_pushback_found_t found, void* user) {
+void soak_pushback_check(const soak_pushback_t* p, int64_t leaving_grace_ms, soak_pushback_on_violation_t on_violation,
+                         void* user) {
     for (uint32_t i = 0; i < p->rate_count; i++) {
-        judge_rate(p, &p->rates[i], found, user);
+        check_rate(p, &p->rates[i], on_violation, user);
     }
-    for (uint32_t i = 0; i < p->word_count; i++) {
-        if (p->words[i].kind == SOAK_WORD_REST) {
-            judge_rest(p, &p->words[i], found, user);
+    for (uint32_t i = 0; i < p->signal_count; i++) {
+        if (p->signals[i].kind == SOAK_PUSHBACK_BACKOFF) {
+            check_backoff(p, &p->signals[i], on_violation, user);
         }
     }
     for (uint32_t i = 0; i < p->arrival_count; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
-        if (!a->excused && was_told(p, SOAK_WORD_LEAVING, a, a->sent_ms - heed_ms)) {
-            found(user, SOAK_WORD_LEAVING, a, "came after its host had been told");
+        if (!a->is_excused && has_signal(p, SOAK_PUSHBACK_LEAVING, a, a->sent_ms - leaving_grace_ms)) {
+            on_violation(user, SOAK_PUSHBACK_LEAVING, a, "came after its host had been told");
         }
     }
 }
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -17,23 +17,23 @@
 #include "../tests/soak_sleep.h"
 
 #define MAX_ARGS 80
-#define WATCH_MS 20 /* between two looks at the clock */
-#define LATE_MS 200 /* a look that comes later: the machine had no time for this program, nor for others */
+#define WATCH_INTERVAL_MS 20 /* between two looks at the clock */
+#define LATE_WAKEUP_MS 200   /* a look that comes later: the machine had no time for this program, nor for others */
 #define ENGINE_SLOTS 12
-#define ENGINE_MEMORY 400000 /* tokens */
-#define PREFILL_US "18"      /* of a prompt token */
+#define ENGINE_MEMORY_TOKENS 400000 /* tokens */
+#define PREFILL_US_PER_TOKEN "18"   /* of a prompt token */
 #define SERVICE_SLOTS 6
 #define SERVICE_MS "40"
-#define PORT_LOOKUP 7102
-#define BACK_MIN_MS 1200 /* an upstream that a request ended is back so long after it */
-#define BACK_SPREAD_MS 1600
-#define DEADLY_STATUS 3 /* of an upstream that ends under a request */
+#define LOOKUP_PORT 7102
+#define RESTART_MIN_MS 1200 /* an upstream that a request ended is back so long after it */
+#define RESTART_SPREAD_MS 1600
+#define CRASH_EXIT_STATUS 3 /* of an upstream that ends under a request */
 
-uint64_t soak_draw(soak_t* s) {
-    return cw_mix(s->seed, ++s->draws);
+uint64_t soak_random(soak_t* s) {
+    return cw_mix(s->seed, ++s->draw_count);
 }
 
-void soak_note(soak_t* s, const char* fmt, ...) {
+void soak_record_event(soak_t* s, const char* fmt, ...) {
     char line[200];
     int n = snprintf(line, sizeof(line), "S %" PRId64 " ", standin_now());
     va_list args;
@@ -44,20 +44,21 @@
     cw_buffer_add(&s->record, line, (size_t)n);
 }
 
-void soak_after(soak_t* s, ev_timer* t, int64_t ms) {
+void soak_start_timer(soak_t* s, ev_timer* t, int64_t ms) {
     ev_timer_stop(s->loop, t);
     ev_timer_set(t, ms > 0 ? (double)ms / 1000.0 : 0.0, 0.0);
     ev_timer_start(s->loop, t);
 }
 
 /* The fault began with the look that was due. */
-static void note_late(soak_t* s, int64_t now_ms) {
+static void record_late_wakeup(soak_t* s, int64_t now_ms) {
     char line[80];
-    int n = snprintf(line, sizeof(line), "S %" PRId64 " fault machine -\n", s->watched_ms);
+    int n = snprintf(line, sizeof(line), "S %" PRId64 " fault machine -\n", s->last_watch_ms);
     cw_buffer_add(&s->record, line, (size_t)n);
-    soak_note(s, "over machine -");
-    s->late_times++;
-    s->late_ms = now_ms - s->watched_ms > s->late_ms ? now_ms - s->watched_ms : s->late_ms;
+    soak_record_event(s, "over machine -");
+    s->late_count++;
+    s->longest_late_ms =
+        now_ms - s->last_watch_ms > s->longest_late_ms ? now_ms - s->last_watch_ms : s->longest_late_ms;
 }
 
 static void on_watch(struct ev_loop* loop, ev_timer* w, int events) {
@@ -65,16 +66,16 @@
     (void)events;
     soak_t* s = w->data;
     int64_t now_ms = standin_now();
-    if (s->watched_ms && now_ms - s->watched_ms > LATE_MS) {
-        note_late(s, now_ms);
+    if (s->last_watch_ms && now_ms - s->last_watch_ms > LATE_WAKEUP_MS) {
+        record_late_wakeup(s, now_ms);
     }
-    s->watched_ms = now_ms;
+    s->last_watch_ms = now_ms;
 }
 
-void soak_watch_machine(soak_t* s) {
-    ev_timer_init(&s->watch, on_watch, WATCH_MS / 1000.0, WATCH_MS / 1000.0);
-    s->watch.data = s;
-    ev_timer_start(s->loop, &s->watch);
+void soak_watch_scheduling(soak_t* s) {
+    ev_timer_init(&s->watch_timer, on_watch, WATCH_INTERVAL_MS / 1000.0, WATCH_INTERVAL_MS / 1000.0);
+    s->watch_timer.data = s;
+    ev_timer_start(s->loop, &s->watch_timer);
 }
 
 /* -- what is published ---------------------------------------------------- */
@@ -86,15 +87,15 @@
 
 void soak_post(soak_t* s, const char* address, const char* path, const char* body) {
     char url[160];
-    char* kept = strdup(body);
+    char* body_copy = strdup(body);
     snprintf(url, sizeof(url), "http://%s%s", address, path);
     cw_client_call(s->client, &(cw_call_desc_t){.method = "POST",
                                                 .url = url,
-                                                .body = kept,
-                                                .size = strlen(kept),
+                                                .body = body_copy,
+                                                .size = strlen(body_copy),
                                                 .timeout_ms = 2000,
                                                 .on_done = on_posted,
-                                                .user_data = kept});
+                                                .user_data = body_copy});
 }
 
 static void add_text(cw_buffer_t* out, const char* fmt, ...) __attribute__((format(printf, 2, 3)));
@@ -114,7 +115,7 @@
              "\"engine\":{\"slots\":%d,\"memory_tokens\":%d,\"event_tokens\":1}},"
              "{\"name\":\"services\",\"health\":\"/health\",\"connections\":600}],"
              "\"limits\":{\"head_bytes\":16384,\"body_bytes\":1048576,\"head_ms\":3000,\"idle_ms\":15000},\"routes\":[",
-             ++s->revision, ENGINE_SLOTS, ENGINE_MEMORY);
+             ++s->revision, ENGINE_SLOTS, ENGINE_MEMORY_TOKENS);
     for (int i = 0; i < SOAK_KINDS; i++) {
         const soak_kind_t* k = &soak_kinds[i];
         add_text(&text,
@@ -122,7 +123,7 @@
                  "\"target_ms\":%u,\"gap_ms\":%u,\"tier\":%u,\"attempts\":2,\"open\":true,\"resume\":%s,"
                  "\"pools\":[{\"pool\":\"%s\"}]}",
                  i ? "," : "", k->name, k->path, k->route_kind, k->timeout_ms, k->target_ms,
-                 k->tokens_max ? k->target_ms : 0, k->tier, k->resume ? "true" : "false",
+                 k->tokens_max ? k->target_ms : 0, k->tier, k->is_resumable ? "true" : "false",
                  k->tokens_max ? "engines" : "services");
     }
     for (int64_t i = 0; i < s->revision % 4; i++) { /* routes come and go */
@@ -143,12 +144,12 @@
     bool first = true;
     for (uint32_t i = 0; i < s->proc_count; i++) {
         const proc_t* p = &s->procs[i];
-        if (p->kind == PROC_UPSTREAM && (p->pid || p->lingers) && p->told) {
+        if (p->kind == PROC_UPSTREAM && (p->pid || p->has_stale_entry) && p->is_ready) {
             add_text(&text,
                      "%s{\"id\":\"%s\",\"address\":\"%s\",\"pool\":\"%s\",\"hall\":\"a\",\"slots\":%d,\"leaving\":%s,"
                      "\"started_ms\":%" PRId64 "}",
-                     first ? "" : ",", p->name, p->address, p->engine ? "engines" : "services",
-                     p->engine ? ENGINE_SLOTS : SERVICE_SLOTS, p->leaving ? "true" : "false", p->started_ms);
+                     first ? "" : ",", p->name, p->address, p->is_engine ? "engines" : "services",
+                     p->is_engine ? ENGINE_SLOTS : SERVICE_SLOTS, p->is_leaving ? "true" : "false", p->started_ms);
             first = false;
         }
     }
@@ -159,18 +160,18 @@
 
 /* -- processes ------------------------------------------------------------ */
 
-static void take_line(proc_t* p, const char* line) {
+static void handle_line(proc_t* p, const char* line) {
     soak_t* s = p->soak;
     static const char ready[] = "ready http=";
     if (strncmp(line, ready, sizeof(ready) - 1) == 0) {
         cw_copy(p->address, sizeof(p->address), line + sizeof(ready) - 1);
-        p->told = true;
+        p->is_ready = true;
         if (p->kind == PROC_UPSTREAM) {
-            soak_note(s, "up %s %d", p->name, p->engine ? ENGINE_SLOTS : 0);
+            soak_record_event(s, "up %s %d", p->name, p->is_engine ? ENGINE_SLOTS : 0);
         } else {
             soak_publish_catalog(s);
         }
-        if (s->source->told) {
+        if (s->source->is_ready) {
             soak_publish_servers(s);
         }
     } else if (line[0] == 'C' || line[0] == 'U') {
@@ -196,28 +197,28 @@
     size_t used = 0;
     for (char* end = NULL; (end = memchr(p->line.data + used, '\n', p->line.size - used)) != NULL;) {
         *end = 0;
-        take_line(p, p->line.data + used);
+        handle_line(p, p->line.data + used);
         used = (size_t)(end - p->line.data) + 1;
     }
     cw_buffer_drop(&p->line, used);
 }
 
-static void on_back(struct ev_loop* loop, ev_timer* w, int events) {
+static void on_restart(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     proc_t* p = w->data;
-    if (!p->soak->ending) {
-        soak_start_upstream_again(p);
+    if (!p->soak->is_ending) {
+        soak_restart_upstream(p);
     }
-    soak_note(p->soak, "over died %s", p->name);
+    soak_record_event(p->soak, "over died %s", p->name);
 }
 
 /* A request ended the upstream: it is back under its id after some seconds, and listed meanwhile. */
-static void ended_under_request(proc_t* p) {
-    p->lingers = true;
-    ev_timer_init(&p->back, on_back, 0.0, 0.0);
-    p->back.data = p;
-    soak_after(p->soak, &p->back, BACK_MIN_MS + (int64_t)(soak_draw(p->soak) % BACK_SPREAD_MS));
+static void schedule_restart(proc_t* p) {
+    p->has_stale_entry = true;
+    ev_timer_init(&p->restart_timer, on_restart, 0.0, 0.0);
+    p->restart_timer.data = p;
+    soak_start_timer(p->soak, &p->restart_timer, RESTART_MIN_MS + (int64_t)(soak_random(p->soak) % RESTART_SPREAD_MS));
 }
 
 static void on_child(struct ev_loop* loop, ev_child* w, int events) {
@@ -228,30 +229,30 @@
     p->pid = 0;
     int code = WIFEXITED(w->rstatus) ? WEXITSTATUS(w->rstatus) : 128 + WTERMSIG(w->rstatus);
     if (p->kind == PROC_UPSTREAM) {
-        soak_note(s, "down %s", p->name);
-        if (code == DEADLY_STATUS) {
-            ended_under_request(p);
+        soak_record_event(s, "down %s", p->name);
+        if (code == CRASH_EXIT_STATUS) {
+            schedule_restart(p);
         }
         soak_publish_servers(s);
     } else if (p->kind == PROC_HOST) {
-        soak_note(s, "ended %s:%d %d", p->name, SOAK_PORT_CALLERS, code);
-        if (!p->stopping && !s->ending) {
+        soak_record_event(s, "ended %s:%d %d", p->name, SOAK_CALLER_PORT, code);
+        if (!p->is_stopping && !s->is_ending) {
             soak_restart_host(p);
         }
     }
-    for (uint32_t i = 0; s->ending && i < s->proc_count; i++) {
+    for (uint32_t i = 0; s->is_ending && i < s->proc_count; i++) {
         if (s->procs[i].pid && s->procs[i].kind == PROC_HOST) {
             return;
         }
     }
-    if (s->ending) {
+    if (s->is_ending) {
         ev_break(loop, EVBREAK_ALL);
     }
 }
 
-void soak_wake_host(proc_t* p) {
-    p->slept_ms += standin_now() - p->stopped_ms;
-    soak_sleep_write(p);
+void soak_resume_host(proc_t* p) {
+    p->suspended_total_ms += standin_now() - p->suspended_since_ms;
+    soak_suspend_write(p);
     kill(p->pid, SIGCONT);
 }
 
@@ -259,12 +260,12 @@
     char path[192];
     char* argv[MAX_ARGS + 2] = {path};
     prctl(PR_SET_PDEATHSIG, SIGKILL); /* nothing stays behind when the starter dies */
-    snprintf(path, sizeof(path), "%s/%s", p->soak->build, program);
+    snprintf(path, sizeof(path), "%s/%s", p->soak->build_dir, program);
     for (int i = 0; args[i] && i < MAX_ARGS; i++) {
         argv[i + 1] = (char*)args[i];
     }
     if (p->kind == PROC_HOST) {
-        soak_sleep_prepare(p);
+        soak_suspend_prepare(p);
     }
     dup2(out, STDOUT_FILENO);
     dup2(out, p->kind == PROC_HOST ? STDERR_FILENO : STDOUT_FILENO);
@@ -290,20 +291,20 @@
         run_program(p, program, args, out);
     }
     close(out);
-    p->stopping = false;
+    p->is_stopping = false;
     ev_child_init(&p->child, on_child, p->pid, 0);
     p->child.data = p;
     ev_child_start(s->loop, &p->child);
     if (!host) {
         fcntl(fds[0], F_SETFL, O_NONBLOCK);
-        ev_io_init(&p->out, on_output, fds[0], EV_READ);
-        p->out.data = p;
-        ev_io_start(s->loop, &p->out);
+        ev_io_init(&p->output, on_output, fds[0], EV_READ);
+        p->output.data = p;
+        ev_io_start(s->loop, &p->output);
     }
     return true;
 }
 
-static proc_t* proc_new(soak_t* s, proc_kind_t kind) {
+static proc_t* add_proc(soak_t* s, proc_kind_t kind) {
     if (s->proc_count == SOAK_PROCS_MAX) {
         fprintf(stderr, "more than %d processes in one soak\n", SOAK_PROCS_MAX);
         abort();
@@ -315,26 +316,31 @@
 
 static void launch_upstream(proc_t* p) {
     char slots[8];
-    bool engine = p->engine;
+    bool is_engine = p->is_engine;
     p->started_ms = standin_now();
-    snprintf(slots, sizeof(slots), "%d", engine ? ENGINE_SLOTS : SERVICE_SLOTS);
-    const char* const args[] = {
-        "--id", p->name, "--slots", slots, engine ? "--prefill" : "--ms", engine ? PREFILL_US : SERVICE_MS, NULL};
+    snprintf(slots, sizeof(slots), "%d", is_engine ? ENGINE_SLOTS : SERVICE_SLOTS);
+    const char* const args[] = {"--id",
+                                p->name,
+                                "--slots",
+                                slots,
+                                is_engine ? "--prefill" : "--ms",
+                                is_engine ? PREFILL_US_PER_TOKEN : SERVICE_MS,
+                                NULL};
     launch(p, "fake-upstream", args);
 }
 
-void soak_start_upstream(soak_t* s, bool engine) {
-    proc_t* p = proc_new(s, PROC_UPSTREAM);
-    p->engine = engine;
-    snprintf(p->name, sizeof(p->name), "%s%u", engine ? "e" : "v", ++s->names);
+void soak_start_upstream(soak_t* s, bool is_engine) {
+    proc_t* p = add_proc(s, PROC_UPSTREAM);
+    p->is_engine = is_engine;
+    snprintf(p->name, sizeof(p->name), "%s%u", is_engine ? "e" : "v", ++s->name_count);
     launch_upstream(p);
 }
 
-void soak_start_upstream_again(proc_t* before) {
-    proc_t* p = proc_new(before->soak, PROC_UPSTREAM);
-    before->lingers = false;
-    p->engine = before->engine;
-    cw_copy(p->name, sizeof(p->name), before->name);
+void soak_restart_upstream(proc_t* previous) {
+    proc_t* p = add_proc(previous->soak, PROC_UPSTREAM);
+    previous->has_stale_entry = false;
+    p->is_engine = previous->is_engine;
+    cw_copy(p->name, sizeof(p->name), previous->name);
     launch_upstream(p);
 }
 
@@ -350,10 +356,10 @@
     static const char* const listen[] = {"callers", "ready", "lookup", "metrics", "peer", "load", "share"};
     fprintf(file, "[host]\nname = %s\nhall = a\n[listen]\n", p->name);
     for (int i = 0; i < 7; i++) {
-        fprintf(file, "%s = %s:%d\n", listen[i], p->name, SOAK_PORT_CALLERS + i);
+        fprintf(file, "%s = %s:%d\n", listen[i], p->name, SOAK_CALLER_PORT + i);
     }
-    fprintf(file, "[peers]\nseeds = %s.1:%d, %s.2:%d\n[source]\naddress = %s\ndrain = %dms\n", s->base,
-            SOAK_PORT_CALLERS + 4, s->base, SOAK_PORT_CALLERS + 4, s->source->address, SOAK_DRAIN_MS);
+    fprintf(file, "[peers]\nseeds = %s.1:%d, %s.2:%d\n[source]\naddress = %s\ndrain = %dms\n", s->address_prefix,
+            SOAK_CALLER_PORT + 4, s->address_prefix, SOAK_CALLER_PORT + 4, s->source->address, SOAK_DRAIN_MS);
     fprintf(file, "[service]\ngrace = %dms\nlookup_keep = %ums\nretry_ratio = 0.2\nretry_slack = 50\n", SOAK_GRACE_MS,
             lookup_keep_ms);
     fclose(file);
@@ -364,14 +370,14 @@
     snprintf(path, sizeof(path), "%s/%s.ini", p->soak->dir, p->name);
     const char* const args[] = {"-c", path, NULL};
     soak_write_settings(p, 1000);
-    p->slept_ms = 0;
-    soak_sleep_write(p);
-    soak_note(p->soak, "started %s:%d", p->name, SOAK_PORT_CALLERS);
+    p->suspended_total_ms = 0;
+    soak_suspend_write(p);
+    soak_record_event(p->soak, "started %s:%d", p->name, SOAK_CALLER_PORT);
     launch(p, "chalkway-gateway", args);
 }
 
 void soak_start_callers(soak_t* s) {
-    proc_t* p = proc_new(s, PROC_CALLERS);
+    proc_t* p = add_proc(s, PROC_CALLERS);
     char seed[24];
     char rate[24];
     char count[24];
@@ -380,11 +386,11 @@
     const char* args[MAX_ARGS + 1] = {"--seed", seed, "--rate", rate, "--callers", count, "--deadly", deadly};
     uint32_t n = 8;
     snprintf(seed, sizeof(seed), "%" PRIu64, s->seed);
-    snprintf(rate, sizeof(rate), "%.1f", s->per_s);
+    snprintf(rate, sizeof(rate), "%.1f", s->requests_per_s);
     snprintf(count, sizeof(count), "%u", s->callers);
     snprintf(deadly, sizeof(deadly), "%u", s->deadly);
     for (uint32_t i = 0; i < s->hosts && n < MAX_ARGS; i++) {
-        snprintf(addresses[n], sizeof(addresses[n]), "%s.%u:%d", s->base, i + 1, PORT_LOOKUP);
+        snprintf(addresses[n], sizeof(addresses[n]), "%s.%u:%d", s->address_prefix, i + 1, LOOKUP_PORT);
         args[n] = addresses[n];
         n++;
     }
@@ -394,31 +400,31 @@
 }
 
 void soak_start_source(soak_t* s) {
-    proc_t* source = proc_new(s, PROC_SOURCE);
+    proc_t* source = add_proc(s, PROC_SOURCE);
     cw_copy(source->name, sizeof(source->name), "source");
     s->source = source;
     launch(source, "fake-source", (const char* const[]){NULL});
-    while (!source->told) {
+    while (!source->is_ready) {
         ev_run(s->loop, EVRUN_ONCE);
     }
 }
 
 void soak_start_host(soak_t* s, uint32_t i) {
-    proc_t* p = proc_new(s, PROC_HOST);
-    snprintf(p->name, sizeof(p->name), "%s.%u", s->base, i + 1);
+    proc_t* p = add_proc(s, PROC_HOST);
+    snprintf(p->name, sizeof(p->name), "%s.%u", s->address_prefix, i + 1);
     soak_restart_host(p);
 }
 
 /* Hosts are named by the address that callers know. */
 void soak_proc_name(const proc_t* p, char* out, size_t size) {
     if (p->kind == PROC_HOST) {
-        snprintf(out, size, "%s:%d", p->name, SOAK_PORT_CALLERS);
+        snprintf(out, size, "%s:%d", p->name, SOAK_CALLER_PORT);
     } else {
         cw_copy(out, size, p->name);
     }
 }
 
-void soak_end_processes(soak_t* s) {
+void soak_kill_processes(soak_t* s) {
     for (uint32_t i = 0; i < s->proc_count; i++) {
         if (s->procs[i].pid) {
             kill(s->procs[i].pid, SIGKILL);
