--- a/tests/soak_clock.c
+++ b/tests/soak_clock.c
@@ -15,14 +15,14 @@
 #define NS_PER_S 1000000000
 
 static volatile int64_t suspended_total_ms;
-static int (*read_clock)(clockid_t, struct timespec*);
-static const char* path;
+static int (*real_clock_gettime)(clockid_t, struct timespec*);
+static const char* suspend_path;
 
 /* Only calls that a signal handler may make. */
 static void on_continue(int number) {
     (void)number;
     char text[24] = "";
-    int fd = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
+    int fd = suspend_path ? open(suspend_path, O_RDONLY | O_CLOEXEC) : -1;
     if (fd < 0) {
         return;
     }
@@ -35,17 +35,17 @@
     suspended_total_ms = ms;
 }
 
-__attribute__((constructor)) static void begin(void) {
-    path = getenv("CHALKWAY_SOAK_SLEEP");
+__attribute__((constructor)) static void install(void) {
+    suspend_path = getenv("CHALKWAY_SOAK_SLEEP");
     struct sigaction action = {.sa_handler = on_continue, .sa_flags = SA_RESTART};
     sigaction(SIGCONT, &action, NULL);
 }
 
 int clock_gettime(clockid_t id, struct timespec* out) {
-    if (!read_clock) { /* other libraries read the clock as they are loaded */
-        read_clock = (int (*)(clockid_t, struct timespec*))dlsym(RTLD_NEXT, "clock_gettime");
+    if (!real_clock_gettime) { /* other libraries read the clock as they are loaded */
+        real_clock_gettime = (int (*)(clockid_t, struct timespec*))dlsym(RTLD_NEXT, "clock_gettime");
     }
-    int result = read_clock(id, out);
+    int result = real_clock_gettime(id, out);
     if (result == 0 && (id == CLOCK_MONOTONIC || id == CLOCK_MONOTONIC_COARSE || id == CLOCK_MONOTONIC_RAW)) {
         int64_t ns = (int64_t)out->tv_sec * NS_PER_S + out->tv_nsec - suspended_total_ms * NS_PER_MS;
         out->tv_sec = (time_t)(ns / NS_PER_S);
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -44,7 +44,7 @@
             proc_t* p = &s->procs[i];
             if (p->kind == PROC_HOST && p->pid) {
                 char target[48];
-                soak_proc_name(p, target, sizeof(target));
+                soak_format_proc_name(p, target, sizeof(target));
                 soak_record_event(s, "fault stop %s", target);
                 p->is_stopping = true;
                 kill(p->pid, SIGTERM);
@@ -66,17 +66,17 @@
     soak_record_event(s, "fault start -");
     soak_watch_scheduling(s);
     soak_start_source(s);
-    for (uint32_t i = 0; i < s->engines + s->services; i++) {
-        soak_start_upstream(s, i < s->engines);
+    for (uint32_t i = 0; i < s->engine_count + s->service_count; i++) {
+        soak_start_upstream(s, i < s->engine_count);
     }
-    for (uint32_t i = 0; i < s->hosts; i++) {
+    for (uint32_t i = 0; i < s->host_count; i++) {
         soak_start_host(s, i);
     }
     ev_timer_init(&s->phase_timer, on_phase, 0.0, 0.0);
     ev_timer_init(&s->end_timer, on_finish, 0.0, 0.0);
     s->phase_timer.data = s->end_timer.data = s;
     soak_start_timer(s, &s->phase_timer, STARTUP_MS);
-    soak_start_timer(s, &s->end_timer, STARTUP_MS + (int64_t)s->seconds * 1000);
+    soak_start_timer(s, &s->end_timer, STARTUP_MS + (int64_t)s->duration_s * 1000);
 }
 
 static void write_record(const soak_t* s) {
@@ -92,7 +92,7 @@
 static void remove_dir(const soak_t* s) {
     char path[128];
     static const char* const kinds[] = {"ini", "log", "sleep"};
-    for (uint32_t i = 0; i < s->hosts; i++) {
+    for (uint32_t i = 0; i < s->host_count; i++) {
         for (int k = 0; k < 3; k++) {
             snprintf(path, sizeof(path), "%s/%s.%u.%s", s->dir, s->address_prefix, i + 1, kinds[k]);
             unlink(path);
@@ -156,25 +156,25 @@
             s->seed = strtoull(text, NULL, 10);
             return 0;
         case 't':
-            s->seconds = number;
+            s->duration_s = number;
             return 0;
         case 'h':
-            s->hosts = number;
+            s->host_count = number;
             return number > 1 && number < 70 ? 0 : EINVAL;
         case 'e':
-            s->engines = number;
+            s->engine_count = number;
             return 0;
         case 'v':
-            s->services = number;
+            s->service_count = number;
             return 0;
         case 'n':
-            s->callers = number;
+            s->caller_count = number;
             return 0;
         case 'r':
             s->requests_per_s = strtod(text, NULL);
             return 0;
         case 'd':
-            s->deadly = number;
+            s->qod_body_count = number;
             return 0;
         case 'k':
             s->keeps_dir = true;
@@ -205,12 +205,12 @@
     const struct argp argp = {.options = options, .parser = parse_option, .doc = "A soak of real processes."};
     static soak_t soak = {.build_dir = "build",
                           .seed = 1,
-                          .seconds = 54,
-                          .hosts = 5,
-                          .engines = 12,
-                          .services = 3,
-                          .deadly = 3,
-                          .callers = 60,
+                          .duration_s = 54,
+                          .host_count = 5,
+                          .engine_count = 12,
+                          .service_count = 3,
+                          .qod_body_count = 3,
+                          .caller_count = 60,
                           .requests_per_s = 120};
     soak_t* s = &soak;
     argp_parse(&argp, argc, argv, 0, NULL, s);
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -44,7 +44,7 @@
 #define SOAK_KINDS 5
 extern const soak_kind_t soak_kinds[SOAK_KINDS];
 /* Index of the kind, -1 when there is none. */
-int soak_kind_find(const char* name);
+int soak_find_kind(const char* name);
 
 /* What a record was found to break, by check. */
 typedef enum soak_check_t {
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -73,7 +73,7 @@
     const char* hosts[MAX_HOSTS]; /* lookup addresses */
     uint32_t host_count;
     double requests_per_s, rate_factor;
-    uint32_t deadly; /* bodies */
+    uint32_t qod_body_count;
     int64_t start_ms;
     uint64_t seed, draw_count;
     ev_signal burst_begin, burst_end, term;
@@ -193,20 +193,21 @@
 /* The deadly body that is due now, 0: none. */
 static uint32_t next_query_of_death(callers_t* c) {
     uint32_t body = (uint32_t)((standin_now() - c->start_ms) / 1000 / QOD_DURATION_S) + 1;
-    return body <= c->deadly && next_random_unit(c) < QOD_PER_S / (c->requests_per_s * c->rate_factor) ? body : 0;
+    return body <= c->qod_body_count && next_random_unit(c) < QOD_PER_S / (c->requests_per_s * c->rate_factor) ? body
+                                                                                                               : 0;
 }
 
 static void choose_query_of_death(caller_t* w, uint32_t body) {
-    w->kind = soak_kind_find(body % 3 ? "short" : "get");
+    w->kind = soak_find_kind(body % 3 ? "short" : "get");
     w->tokens = soak_kinds[w->kind].tokens_min;
     snprintf(w->body_text, sizeof(w->body_text), "deadly-%u", body);
 }
 
 static void choose_request(caller_t* w) {
     callers_t* c = w->parent;
-    uint32_t deadly = next_query_of_death(c);
-    if (deadly) {
-        choose_query_of_death(w, deadly);
+    uint32_t qod_body = next_query_of_death(c);
+    if (qod_body) {
+        choose_query_of_death(w, qod_body);
         return;
     }
     double at = next_random_unit(c);
@@ -241,8 +242,9 @@
     w->is_busy = true;
     w->first_ms = 0;
     w->sent_ms = standin_now();
-    bool deadly = strncmp(w->body_text, "deadly", strlen("deadly")) == 0;
-    snprintf(rest, sizeof(rest), "%s %s %s %u %s", w->id, kind->name, w->host, w->tokens, deadly ? w->body_text : "-");
+    bool is_query_of_death = strncmp(w->body_text, "deadly", strlen("deadly")) == 0;
+    snprintf(rest, sizeof(rest), "%s %s %s %u %s", w->id, kind->name, w->host, w->tokens,
+             is_query_of_death ? w->body_text : "-");
     record_event(c, "sent", rest);
     cw_stream_write(&w->stream, text, (size_t)n);
     cw_stream_flush(&w->stream);
@@ -392,7 +394,7 @@
             c->seed = strtoull(arg, NULL, 10);
             return 0;
         case 'd':
-            c->deadly = (uint32_t)strtoul(arg, NULL, 10);
+            c->qod_body_count = (uint32_t)strtoul(arg, NULL, 10);
             return 0;
         case ARGP_KEY_ARG:
             if (c->host_count == MAX_HOSTS) {
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -37,7 +37,7 @@
     {"get", "/get/", "repeatable", false, 2, 300, 1500, 0, 0, 0, 0.1},
 };
 
-int soak_kind_find(const char* name) {
+int soak_find_kind(const char* name) {
     for (int i = 0; i < SOAK_KINDS; i++) {
         if (strcmp(soak_kinds[i].name, name) == 0) {
             return i;
@@ -54,11 +54,11 @@
     int64_t sent_ms, done_ms, abandoned_ms; /* 0: not yet */
     uint32_t status, begin_count;
     bool is_complete, is_correct, is_quarantined;
-    soak_qod_body_t* deadly; /* NULL: an ordinary request */
-    int64_t begin_ms, ended_ms;
-    char server[NAME_SIZE];   /* that began it last */
-    double idle_engine_share; /* share of the engines that ran nothing as it was sent */
-    bool is_calm;             /* it was sent in calm seconds */
+    soak_qod_body_t* qod_body; /* NULL: an ordinary request */
+    int64_t begin_ms, end_ms;
+    char last_server[NAME_SIZE]; /* that began it last */
+    double idle_engine_share;    /* share of the engines that ran nothing as it was sent */
+    bool is_calm;                /* it was sent in calm seconds */
 } request_t;
 
 typedef struct server_record_t {
@@ -93,7 +93,7 @@
     uint32_t fault_count;
     uint32_t grace_ms, drain_ms;
     int64_t finish_ms;
-    soak_qod_t deadly;
+    soak_qod_t queries_of_death;
     soak_pushback_t* pushback;
 } checker_t;
 
@@ -178,12 +178,12 @@
     request_t* r = &c->requests[c->count];
     *r = (request_t){.sent_ms = at_ms, .idle_engine_share = idle_share(c)};
     if (sscanf(rest, "%31s %31s %31s %u %31s", r->id, kind, r->host, &r->tokens, body) >= 4) {
-        r->kind = soak_kind_find(kind);
+        r->kind = soak_find_kind(kind);
         r->is_calm = !is_disturbed(c, at_ms, NULL, SETTLE_MS);
         cw_map_put(&c->by_id, cw_name_id(r->id), c->count++);
-        r->deadly = strcmp(body, "-") != 0 ? soak_qod_body(&c->deadly, body) : NULL;
-        if (r->deadly) {
-            r->deadly->sent++;
+        r->qod_body = strcmp(body, "-") != 0 ? soak_qod_find_or_add(&c->queries_of_death, body) : NULL;
+        if (r->qod_body) {
+            r->qod_body->sent++;
         } else {
             c->result.sent++;
         }
@@ -218,8 +218,8 @@
 static void handle_begin(checker_t* c, int64_t at_ms, request_t* r, server_record_t* s) {
     r->begin_count++;
     r->begin_ms = at_ms;
-    r->ended_ms = 0;
-    cw_copy(r->server, sizeof(r->server), s->id);
+    r->end_ms = 0;
+    cw_copy(r->last_server, sizeof(r->last_server), s->id);
     s->running++;
     int64_t propagation_ms = c->drain_ms + LEAVING_SLACK_MS;
     bool is_late = s->leaving_ms && r->sent_ms > s->leaving_ms + propagation_ms;
@@ -243,7 +243,7 @@
 /* A deadly request reached an upstream, or the upstream ends under it: a fault until the soak has it back. */
 static void handle_query_of_death(checker_t* c, int64_t at_ms, const char* what, const request_t* r,
                                   const char* server) {
-    soak_qod_body_t* body = r->deadly;
+    soak_qod_body_t* body = r->qod_body;
     if (strcmp(what, "reach") == 0) {
         if (!may_lack_state(c, at_ms, r->host)) {
             soak_qod_on_reach(body, at_ms);
@@ -317,7 +317,7 @@
     if (!s || handle_pushback(c, at_ms, what, r, s, value) || !r) {
         return;
     }
-    if (r->deadly && (strcmp(what, "reach") == 0 || strcmp(what, "died") == 0)) {
+    if (r->qod_body && (strcmp(what, "reach") == 0 || strcmp(what, "died") == 0)) {
         handle_query_of_death(c, at_ms, what, r, server);
         return;
     }
@@ -326,7 +326,7 @@
         return;
     }
     s->running -= s->running > 0;
-    r->ended_ms = at_ms;
+    r->end_ms = at_ms;
 }
 
 static void handle_server(checker_t* c, int64_t at_ms, const char* what, const char* id, uint32_t slots) {
@@ -534,7 +534,7 @@
 /* Its connection ended without an answer although a server had it, and the host was being stopped as planned. */
 static bool was_lost_by_stop(const checker_t* c, const request_t* r) {
     bool lacks_response = r->done_ms && !r->abandoned_ms && (!r->status || !r->is_complete) && r->begin_count;
-    if (!lacks_response || is_disturbed(c, r->done_ms, r->server, FAULT_MARGIN_MS)) {
+    if (!lacks_response || is_disturbed(c, r->done_ms, r->last_server, FAULT_MARGIN_MS)) {
         return false;
     }
     for (uint32_t i = 0; i < c->fault_count; i++) {
@@ -571,22 +571,22 @@
     if (was_lost_by_stop(c, r)) {
         add_finding(c, SOAK_LOST_ON_STOP, r->done_ms, r->id, r->host);
     }
-    if (r->is_quarantined && !r->deadly) {
+    if (r->is_quarantined && !r->qod_body) {
         add_finding(c, SOAK_FALSE_QUARANTINE, r->sent_ms, r->id, kind);
     }
-    if (r->is_calm && was_refused(r) && r->idle_engine_share >= IDLE_SHARE_MIN && !r->deadly) {
+    if (r->is_calm && was_refused(r) && r->idle_engine_share >= IDLE_SHARE_MIN && !r->qod_body) {
         add_finding(c, SOAK_REFUSED_WHILE_IDLE, r->sent_ms, r->id, kind);
     }
     bool repeatable = !is_at_most_once(r) || strcmp(soak_kinds[r->kind].route_kind, "stream") == 0;
     if (r->abandoned_ms && r->is_calm && repeatable && r->begin_count &&
-        r->ended_ms > r->abandoned_ms + CANCEL_SLACK_MS) {
+        r->end_ms > r->abandoned_ms + CANCEL_SLACK_MS) {
         add_finding(c, SOAK_RAN_AFTER_CANCEL, r->abandoned_ms, r->id, kind);
     }
 }
 
 static void count_request(checker_t* c, const request_t* r) {
     soak_result_t* result = &c->result;
-    if (r->deadly) {
+    if (r->qod_body) {
         return;
     }
     bool served = r->status / 100 == 2 && r->is_complete && r->is_correct;
@@ -617,7 +617,7 @@
         if (!r->is_calm) {
             return;
         }
-        if (r->deadly) {
+        if (r->qod_body) {
             continue;
         }
         kind_count += r->kind == from->kind;
@@ -637,8 +637,8 @@
 }
 
 static void check_queries_of_death(checker_t* c) {
-    for (uint32_t i = 0; i < c->deadly.count; i++) {
-        const soak_qod_body_t* body = &c->deadly.bodies[i];
+    for (uint32_t i = 0; i < c->queries_of_death.count; i++) {
+        const soak_qod_body_t* body = &c->queries_of_death.bodies[i];
         c->result.qod_bodies++;
         c->result.qod_sent += body->sent;
         c->result.qod_crashes += body->crashes;
@@ -670,7 +670,7 @@
         const request_t* r = &c->requests[i];
         check_request(c, r);
         count_request(c, r);
-        if (was_refused(r) && !r->deadly && r->sent_ms >= next_window_ms && soak_kinds[r->kind].tokens_max) {
+        if (was_refused(r) && !r->qod_body && r->sent_ms >= next_window_ms && soak_kinds[r->kind].tokens_max) {
             check_priority_inversion(c, i);
             next_window_ms = r->sent_ms + INVERSION_WINDOW_MS / 10;
         }
--- a/tools/soak_deadly.c
+++ b/tools/soak_deadly.c
@@ -4,7 +4,7 @@
 
 #include "../chalkway_core.h"
 
-soak_qod_body_t* soak_qod_body(soak_qod_t* d, const char* name) {
+soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* d, const char* name) {
     for (uint32_t i = 0; i < d->count; i++) {
         if (strcmp(d->bodies[i].name, name) == 0) {
             return &d->bodies[i];
--- a/tools/soak_deadly.h
+++ b/tools/soak_deadly.h
@@ -14,7 +14,7 @@
 typedef struct soak_qod_body_t {
     char name[32];
     uint32_t sent, crashes;
-    int64_t known_from_ms;      /* it must be known from then on, 0: not yet */
+    int64_t known_from_ms; /* it must be known from then on, 0: not yet */
     uint32_t late_reaches; /* times that it reached an upstream later than that */
 } soak_qod_body_t;
 
@@ -24,7 +24,7 @@
 } soak_qod_t;
 
 /* The body of the name, new where it isn't known; NULL: there are too many. */
-soak_qod_body_t* soak_qod_body(soak_qod_t* d, const char* name);
+soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* d, const char* name);
 void soak_qod_on_reach(soak_qod_body_t* body, int64_t at_ms);
 void soak_qod_on_crash(soak_qod_body_t* body, int64_t at_ms);
 
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -248,7 +248,7 @@
     active_fault_t* a = w->data;
     char target[48];
     const fault_kind_t* kind = a->kind;
-    soak_proc_name(a->target, target, sizeof(target));
+    soak_format_proc_name(a->target, target, sizeof(target));
     kind->end(a);
     if (!ev_is_active(&a->timer)) {
         soak_record_event(a->soak, "over %s %s", kind->name, target);
@@ -270,7 +270,7 @@
     *a = (active_fault_t){.soak = s, .kind = kind, .target = target};
     ev_timer_init(&a->timer, on_fault_end, 0.0, 0.0);
     a->timer.data = a;
-    soak_proc_name(target, name, sizeof(name));
+    soak_format_proc_name(target, name, sizeof(name));
     soak_record_event(s, "fault %s %s", kind->name, name);
     soak_start_timer(s, &a->timer, duration_ms < remaining_ms ? duration_ms : remaining_ms);
     if (!kind->begin(a)) {
--- a/tools/soak_pushback.c
+++ b/tools/soak_pushback.c
@@ -59,8 +59,8 @@
 static bool has_signal(const soak_pushback_t* p, soak_pushback_kind_t kind, const soak_arrival_t* a,
                        int64_t before_ms) {
     for (uint32_t i = 0; i < p->signal_count && p->signals[i].at_ms <= before_ms; i++) {
-        const soak_pushback_signal_t* w = &p->signals[i];
-        if (w->kind == kind && w->server == a->server && w->host == a->host) {
+        const soak_pushback_signal_t* signal = &p->signals[i];
+        if (signal->kind == kind && signal->server == a->server && signal->host == a->host) {
             return true;
         }
     }
@@ -93,13 +93,13 @@
     }
 }
 
-static void check_backoff(const soak_pushback_t* p, const soak_pushback_signal_t* w,
+static void check_backoff(const soak_pushback_t* p, const soak_pushback_signal_t* signal,
                           soak_pushback_on_violation_t on_violation, void* user) {
     uint32_t count = 0;
-    for (uint32_t i = 0; i < p->arrival_count && p->arrivals[i].at_ms < w->at_ms + w->backoff_ms; i++) {
+    for (uint32_t i = 0; i < p->arrival_count && p->arrivals[i].at_ms < signal->at_ms + signal->backoff_ms; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
-        bool is_match = a->server == w->server && a->host == w->host && !a->is_excused;
-        if (is_match && a->at_ms > w->at_ms + SOAK_PUSHBACK_REACTION_MS &&
+        bool is_match = a->server == signal->server && a->host == signal->host && !a->is_excused;
+        if (is_match && a->at_ms > signal->at_ms + SOAK_PUSHBACK_REACTION_MS &&
             ++count > SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX) {
             on_violation(user, SOAK_PUSHBACK_BACKOFF, a, "more than two came in a rest");
             return;
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -387,9 +387,9 @@
     uint32_t n = 8;
     snprintf(seed, sizeof(seed), "%" PRIu64, s->seed);
     snprintf(rate, sizeof(rate), "%.1f", s->requests_per_s);
-    snprintf(count, sizeof(count), "%u", s->callers);
-    snprintf(deadly, sizeof(deadly), "%u", s->deadly);
-    for (uint32_t i = 0; i < s->hosts && n < MAX_ARGS; i++) {
+    snprintf(count, sizeof(count), "%u", s->caller_count);
+    snprintf(deadly, sizeof(deadly), "%u", s->qod_body_count);
+    for (uint32_t i = 0; i < s->host_count && n < MAX_ARGS; i++) {
         snprintf(addresses[n], sizeof(addresses[n]), "%s.%u:%d", s->address_prefix, i + 1, LOOKUP_PORT);
         args[n] = addresses[n];
         n++;
@@ -416,7 +416,7 @@
 }
 
 /* Hosts are named by the address that callers know. */
-void soak_proc_name(const proc_t* p, char* out, size_t size) {
+void soak_format_proc_name(const proc_t* p, char* out, size_t size) {
     if (p->kind == PROC_HOST) {
         snprintf(out, size, "%s:%d", p->name, SOAK_CALLER_PORT);
     } else {
--- a/tools/soak_site.h
+++ b/tools/soak_site.h
@@ -53,7 +53,7 @@
     char dir[64];
     char address_prefix[16]; /* "127.A.B", of the hosts' addresses */
     uint64_t seed, draw_count;
-    uint32_t seconds, hosts, engines, services, callers, deadly;
+    uint32_t duration_s, host_count, engine_count, service_count, caller_count, qod_body_count;
     double requests_per_s;
     bool keeps_dir;
     const char* record_path; /* to be judged, NULL: a soak is run */
@@ -102,7 +102,7 @@
 /* Ends all processes that were started, by their ids. */
 void soak_kill_processes(soak_t* s);
 /* What the record calls the process: hosts by the address that callers know. */
-void soak_proc_name(const proc_t* p, char* out, size_t size);
+void soak_format_proc_name(const proc_t* p, char* out, size_t size);
 
 /* -- soak_faults.c -------------------------------------------------------- */
 
