--- a/tests/soak_clock.c
+++ b/tests/soak_clock.c
@@ -1,7 +1,7 @@
 /*
-    A library that is preloaded into the hosts of a soak, so that they can be suspended: after a signal CONT the
-   monotonic clock goes on from where it stood, as if the machine had slept, while the other clocks have gone on. For
-   how many milliseconds in all, it reads from the file that CHALKWAY_SOAK_SLEEP names; a missing file is no sleep.
+    Library that is preloaded into the hosts of a soak to simulate a suspended machine: after SIGCONT the monotonic
+   clocks continue from where they stopped, while the other clocks have advanced. On each SIGCONT it reads the total
+   time of suspension in ms from the file that CHALKWAY_SOAK_SLEEP names; without that file the clocks are unchanged.
 */
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -18,7 +18,7 @@
 static int (*real_clock_gettime)(clockid_t, struct timespec*);
 static const char* suspend_path;
 
-/* Only calls that a signal handler may make. */
+/* Makes async-signal-safe calls only. */
 static void on_continue(int number) {
     (void)number;
     char text[24] = "";
@@ -42,7 +42,7 @@
 }
 
 int clock_gettime(clockid_t id, struct timespec* out) {
-    if (!real_clock_gettime) { /* other libraries read the clock as they are loaded */
+    if (!real_clock_gettime) { /* resolved on the first call: other libraries read the clock while they are loaded */
         real_clock_gettime = (int (*)(clockid_t, struct timespec*))dlsym(RTLD_NEXT, "clock_gettime");
     }
     int result = real_clock_gettime(id, out);
--- a/tests/soak_sleep.h
+++ b/tests/soak_sleep.h
@@ -1,19 +1,19 @@
 #ifndef CW_TEST_SOAK_SLEEP_H
 #define CW_TEST_SOAK_SLEEP_H
-/* How a soak lets its hosts' machines sleep: each host gets the clock of soak_clock.c, which reads from a file for how
-   long it slept in all. */
+/* Simulates the suspension of a host's machine in a soak: each host is started with the clock of soak_clock.c, which
+   reads the total time of suspension from a file. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
 
 #include "../tools/soak_site.h"
 
-/* The file in which a host's clock reads for how long it slept. */
+/* Path of the file from which a host's clock reads its total time of suspension. */
 static inline void soak_suspend_path(const proc_t* p, char* out, size_t size) {
     snprintf(out, size, "%s/%s.sleep", p->soak->dir, p->name);
 }
 
-/* In the host's process, before its program is loaded. */
+/* Sets the environment for the clock. Called in the host's process before its program is loaded. */
 static inline void soak_suspend_prepare(const proc_t* p) {
     char path[192];
     char file[192];
@@ -23,6 +23,7 @@
     setenv("CHALKWAY_SOAK_SLEEP", file, 1);
 }
 
+/* Writes the total time of suspension of the host to its file. */
 static inline void soak_suspend_write(const proc_t* p) {
     char path[192];
     soak_suspend_path(p, path, sizeof(path));
--- a/tests/test.h
+++ b/tests/test.h
@@ -1,6 +1,6 @@
 #ifndef CW_TEST_H
 #define CW_TEST_H
-/* What every test program shares: one suite, its result as the exit status. */
+/* Shared by all test programs: runs one suite of tests and returns the exit status of the program. */
 #include <check.h>
 #include <stdlib.h>
 
--- a/tests/test_soak_check.c
+++ b/tests/test_soak_check.c
@@ -1,4 +1,4 @@
-/* The judge of a soak: a good record passes, and each kind of fault in one is found. */
+/* The checks of a soak record: a valid record passes, and each kind of violation is found. */
 #include <stdio.h>
 #include <string.h>
 
@@ -19,7 +19,7 @@
     return soak_check_record(record, GRACE_MS, DRAIN_MS);
 }
 
-/* Only this check fails. */
+/* Asserts that this check fails and no other has findings. */
 static void expect_only(const char* text, soak_check_t check) {
     soak_result_t r = check_record(text);
     for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
@@ -41,12 +41,13 @@
 
 START_TEST(second_run_of_unrepeatable_request_is_found) {
     expect_only(SERVED_REQUESTS "U 95 begin b v1 2 0\nU 99 end b v1\n", SOAK_RAN_TWICE);
-    soak_result_t r = check_record(SERVED_REQUESTS "U 95 begin a e1 0 500\nU 99 end a e1\n"); /* may be resumed */
+    soak_result_t r =
+        check_record(SERVED_REQUESTS "U 95 begin a e1 0 500\nU 99 end a e1\n"); /* its stream can be resumed */
     ck_assert(!soak_has_failed(&r));
 }
 END_TEST
 
-/* The upstream's line came first, in the same millisecond. */
+/* The upstream's line precedes the caller's line of the same millisecond in the record. */
 START_TEST(events_of_one_millisecond_are_ordered_by_kind) {
     soak_result_t r =
         check_record("S 5 fault burst -\nU 10 begin b v1 2 0\nC 10 sent b call h:1 0\nC 11 done b 503 1 0 1\n");
@@ -83,7 +84,8 @@
     expect_only("S 5 fault stop h:1\nS 300 ended h:1 139\nS 310 over stop h:1\n", SOAK_UNCLEAN_EXIT);
     expect_only("S 5 fault stop h:1\nS 9000 ended h:1 0\nS 9010 over stop h:1\n", SOAK_UNCLEAN_EXIT);
     expect_only("S 2 started h:1\nS 205 fault reload h:1\nS 300 ended h:1 129\n", SOAK_UNCLEAN_EXIT);
-    expect_only("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n", SOAK_UNCLEAN_EXIT); /* not by the signal */
+    expect_only("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n",
+                SOAK_UNCLEAN_EXIT); /* exit code 1: not killed by the signal */
     ck_assert_uint_eq(
         check_record("S 2 started h:1\nS 5 fault reload h:1\nS 300 ended h:1 129\n").count[SOAK_UNCLEAN_EXIT], 0);
     ck_assert_uint_eq(check_record("S 2 started h:1\nS 5 fault stop h:1\nS 6 ended h:1 143\n").count[SOAK_UNCLEAN_EXIT],
@@ -100,7 +102,8 @@
 }
 END_TEST
 
-/* Eleven prompts of the more urgent kind are refused while larger ones of the less urgent kind begin. */
+/* Eleven prompts of the more urgent kind are refused while prompts of the less urgent kind begin: a violation only if
+ * these are larger. */
 START_TEST(priority_inversion_is_found) {
     static char text[8192];
     for (uint32_t long_tokens = 1500; long_tokens <= 9000; long_tokens += 7500) {
@@ -123,7 +126,7 @@
 }
 END_TEST
 
-/* The source is down as the server leaves: three seconds after it is back all must know. */
+/* The source is down when the server starts to leave: three seconds after its recovery all hosts must know. */
 START_TEST(source_outage_excuses_only_until_propagation) {
     static const char leaves_during_outage[] =
         "S 5 fault source-down source\nS 8 leaves v1\nS 3500 over source-down source\n";
@@ -153,8 +156,8 @@
 }
 END_TEST
 
-/* Three upstreams may end under a body, and it may reach others for three seconds after the third and three times
- * later. */
+/* A body may crash three upstreams, may reach others for three seconds after the third crash, and three times after
+   that. */
 START_TEST(query_of_death_that_keeps_reaching_upstreams_is_found) {
     static char text[8192];
     for (int reaches = 7; reaches <= 8; reaches++) {
@@ -174,7 +177,7 @@
 }
 END_TEST
 
-/* The upstream's line came first, in the same millisecond. */
+/* The upstream's lines precede the caller's line of the same millisecond in the record. */
 START_TEST(reach_in_the_millisecond_of_sending_counts) {
     static char text[8192];
     size_t n = 0;
@@ -191,7 +194,8 @@
 }
 END_TEST
 
-/* The same by a host that has started a second before: it may not know yet. Seen as all hosts were lost at once. */
+/* The same from a host that started a second before: it may not have the quarantine state yet, as after a loss of all
+   hosts at once. */
 START_TEST(recently_started_host_may_not_know_query_of_death) {
     static char text[8192];
     for (int is_recent = 0; is_recent < 2; is_recent++) {
@@ -216,8 +220,8 @@
 }
 END_TEST
 
-/* Sixteen come within a second at a rate of 0.5, four seconds after it was named: from a host that was told (allowed
-   8), or from one that was not. */
+/* Sixteen requests arrive within a second, four seconds after the upstream advertised a rate of 0.5 per s: from a host
+   that received the rate (8 are allowed), or from one that did not. */
 static const char* rate_record(const char* host) {
     static char text[8192];
     size_t at = (size_t)snprintf(text, sizeof(text),
@@ -263,7 +267,7 @@
         check_record(LEAVING_ANNOUNCED ARRIVAL("a", "h:1", "2000", "2001") ARRIVAL("b", "h:2", "5000", "5001"));
     ck_assert_uint_eq(r.count[SOAK_LEAVING_IGNORED], 0);
     r = check_record(LEAVING_ANNOUNCED "S 3000 down v1\nS 3100 up v1 0\n" ARRIVAL("a", "h:1", "7500", "7501"));
-    ck_assert_uint_eq(r.count[SOAK_LEAVING_IGNORED], 0); /* its next life says nothing of the kind */
+    ck_assert_uint_eq(r.count[SOAK_LEAVING_IGNORED], 0); /* the next incarnation has not announced leaving */
 }
 END_TEST
 
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -1,10 +1,10 @@
 /*
-    chalkway-soak: gateways, a source, engines, services and callers as real processes on loopback, disturbed by a
-   seeded schedule, and judged by what callers and upstreams saw (tools/soak.h).
+    chalkway-soak: runs gateways, a configuration source, engines, services and callers as real processes on loopback,
+    injects faults on a seeded schedule, and checks the record of what callers and upstreams saw (tools/soak.h).
 
-    Seconds of disturbance, in which faults come in series and overlap, alternate with calm ones. It ends only processes
-    that it started, by their ids. The status is 0 when no check failed. With --keep, or after a failure, the folder
-    with the record and the hosts' logs stays; its path is printed.
+    Fault phases, in which faults follow one another and overlap, alternate with calm phases. The program kills only
+    processes that it started, by their ids. The exit status is 0 if no check failed. With --keep, or after a failure,
+    the directory with the record and the hosts' logs is kept and its path is printed.
 */
 #include <argp.h>
 #include <inttypes.h>
@@ -17,10 +17,10 @@
 #include "../standins/standin.h"
 #include "soak_site.h"
 
-#define STARTUP_MS 3000     /* from the first process to the first request */
-#define FAULT_PHASE_MS 9000 /* length of a disturbed part */
-#define CALM_PHASE_MS 12000 /* of a calm one: two windows of the judge after its settling time */
-#define STOP_DELAY_MS 3000  /* from the callers' last request until the hosts are told to stop */
+#define STARTUP_MS 3000     /* from starting the processes to the first request */
+#define FAULT_PHASE_MS 9000 /* length of a fault phase */
+#define CALM_PHASE_MS 12000 /* length of a calm phase: settling time and windows of soak_check.c */
+#define STOP_DELAY_MS 3000  /* from the callers' last request until the hosts are stopped */
 
 static void on_phase(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
@@ -39,7 +39,7 @@
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    if (s->is_ending) { /* the callers have had time: hosts are told to stop */
+    if (s->is_ending) { /* the callers had time to get their responses: stop the hosts */
         for (uint32_t i = 0; i < s->proc_count; i++) {
             proc_t* p = &s->procs[i];
             if (p->kind == PROC_HOST && p->pid) {
@@ -60,7 +60,7 @@
     soak_start_timer(s, &s->end_timer, STOP_DELAY_MS);
 }
 
-/* -- the whole ------------------------------------------------------------ */
+/* -- run and report ------------------------------------------------------- */
 
 static void start(soak_t* s) {
     soak_record_event(s, "fault start -");
@@ -110,8 +110,7 @@
            ": %u sent, %u served, %u refused, %u failed, %u left; calm %u sent, %u served, %u refused\n",
            s->seed, r.sent, r.served, r.refused, r.failed, r.abandoned, r.calm_sent, r.calm_served, r.calm_refused);
     if (r.qod_bodies) {
-        printf("  %u deadly bodies sent %u times: %u upstreams ended under them\n", r.qod_bodies, r.qod_sent,
-               r.qod_crashes);
+        printf("  %u deadly bodies sent %u times: %u upstreams crashed\n", r.qod_bodies, r.qod_sent, r.qod_crashes);
     }
     for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
         if (r.count[i]) {
@@ -122,8 +121,8 @@
         }
     }
     if (s->late_count) {
-        printf("  the machine let this program wait %u times, up to %" PRId64
-               " ms: no moment near them counts as calm\n",
+        printf("  scheduling of this program was delayed %u times, up to %" PRId64
+               " ms; no period near a delay counts as calm\n",
                s->late_count, s->longest_late_ms);
     }
     printf("seed %" PRIu64 ": %s\n", s->seed, failed ? "FAILED" : "passed");
@@ -189,20 +188,21 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"build", 'b', "DIR", 0, "folder of the programs, default build", 0},
-        {"seed", 's', "N", 0, "of the schedule and the callers, default 1", 0},
-        {"seconds", 't', "N", 0, "of requests, default 54", 0},
-        {"hosts", 'h', "N", 0, "gateways, default 5", 0},
-        {"engines", 'e', "N", 0, "default 12", 0},
-        {"services", 'v', "N", 0, "default 3", 0},
-        {"callers", 'n', "N", 0, "default 60", 0},
-        {"rate", 'r', "N", 0, "requests a second, default 120", 0},
-        {"deadly", 'd', "N", 0, "bodies that end every upstream which begins to run them, default 3", 0},
+        {"build", 'b', "DIR", 0, "directory of the programs, default build", 0},
+        {"seed", 's', "N", 0, "seed of the schedule and the callers, default 1", 0},
+        {"seconds", 't', "N", 0, "duration in seconds, default 54", 0},
+        {"hosts", 'h', "N", 0, "number of gateways, default 5", 0},
+        {"engines", 'e', "N", 0, "number of engines, default 12", 0},
+        {"services", 'v', "N", 0, "number of services, default 3", 0},
+        {"callers", 'n', "N", 0, "number of callers, default 60", 0},
+        {"rate", 'r', "N", 0, "requests per second, default 120", 0},
+        {"deadly", 'd', "N", 0, "bodies that crash every upstream which begins to run them, default 3", 0},
         {"keep", 'k', NULL, 0, "keep the record and the logs", 0},
-        {"judge", 'j', "RECORD", 0, "start nothing: judge a record that was kept", 0},
+        {"judge", 'j', "RECORD", 0, "check a kept record instead of running a soak", 0},
         {0},
     };
-    const struct argp argp = {.options = options, .parser = parse_option, .doc = "A soak of real processes."};
+    const struct argp argp = {
+        .options = options, .parser = parse_option, .doc = "Soak test with real processes and injected faults."};
     static soak_t soak = {.build_dir = "build",
                           .seed = 1,
                           .duration_s = 54,
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -1,14 +1,14 @@
 /*
-    chalkway-soak-callers: callers of a soak, each with one connection that it keeps as long as it stays open.
+    chalkway-soak-callers: simulates the callers of a soak. Each caller has one keep-alive connection.
 
-    A caller asks a host's lookup address which hosts to use, connects to one of them by chance, sends one request after
-   the other and pauses between them. It asks again when its connection has ended. What it sends and gets goes to
-   standard output, one line each, as tools/soak.h says. A 503 with Retry-After is heeded once. Signal USR1 doubles the
-   pace until USR2.
+    A caller queries a host's lookup address for the list of hosts, connects to a random one, and sends one request
+   after the other with a random think time between them. It repeats the lookup when its connection has closed. Requests
+   and responses are written to standard output, one line each, in the format of tools/soak.h. A 503 with Retry-After is
+    retried once after that time. Signal USR1 multiplies the request rate by BURST_FACTOR until USR2.
 
-    With --deadly N some requests carry one of N bodies that end every upstream which begins to run them, each body
-   about QOD_PER_S times a second for QOD_DURATION_S, one body after the other. The bodies of other prompts differ all;
-   plain calls have none, so that they are all the same request.
+    With --deadly N some requests carry one of N queries of death, bodies that crash every upstream which begins to run
+    them. Each body is sent about QOD_PER_S times per second for QOD_DURATION_S, one body after the other. The bodies of
+    all other prompts differ from one another; plain calls have no body, so all of them are the same request.
 */
 #include <argp.h>
 #include <inttypes.h>
@@ -29,16 +29,16 @@
 
 #define DEADLINE_FIELD "Chalkway-Deadline-Ms"
 #define OUTPUT_BUFFER_BYTES 16777216
-#define QUARANTINE_TEXT "servers ended under it" /* in the answer to a request that is held back */
+#define QUARANTINE_TEXT "servers ended under it" /* in the response to a quarantined request */
 #define MAX_CALLERS 2000
 #define MAX_HOSTS 64
 #define LOOKUP_TIMEOUT_MS 1000
-#define RECONNECT_DELAY_MS 200 /* after a lookup or a connection that failed */
-#define ABANDON_ONE_IN 25      /* one request in so many is given up */
+#define RECONNECT_DELAY_MS 200 /* after a failed lookup or a closed connection */
+#define ABANDON_ONE_IN 25      /* one request in this many is abandoned early */
 #define ABANDON_MIN_MS 5
 #define ABANDON_SPREAD_MS 200
-#define RESPONSE_TIMEOUT_MS 12000 /* a caller waits no longer for an answer */
-#define BURST_FACTOR 2.5          /* times the usual pace in a burst */
+#define RESPONSE_TIMEOUT_MS 12000 /* a caller abandons a request after this time at the latest */
+#define BURST_FACTOR 2.5          /* times the usual request rate */
 #define QOD_PER_S 3.0
 #define QOD_DURATION_S 12
 
@@ -50,16 +50,16 @@
     cw_message_t response;
     bool is_open, in_body;
     char host[CW_ADDR_TEXT];
-    /* the request at hand */
+    /* the current request */
     bool is_busy;
     char id[20];
     int kind;
     uint32_t tokens;
-    char body_text[24]; /* of its body, "" none */
+    char body_text[24]; /* request body, "": none */
     int64_t sent_ms, first_ms;
     cw_buffer_t body;
     bool has_retried;
-    double retry_s; /* 0: none */
+    double retry_s; /* delay of the pending retry, 0: none */
     ev_timer think_timer, abandon_timer;
     char lookup[1024];
 } caller_t;
@@ -70,7 +70,7 @@
     cw_client_t* client;
     caller_t callers[MAX_CALLERS];
     uint32_t count;
-    const char* hosts[MAX_HOSTS]; /* lookup addresses */
+    const char* hosts[MAX_HOSTS]; /* lookup addresses of the hosts */
     uint32_t host_count;
     double requests_per_s, rate_factor;
     uint32_t qod_body_count;
@@ -106,7 +106,7 @@
 
 /* -- requests ------------------------------------------------------------- */
 
-/* Whether the body is the answer to the request: every event, in order, or the call's own words. */
+/* Returns whether the response has the right body: all events in order, or the text that is expected for the call. */
 static bool is_body_correct(const caller_t* w) {
     const soak_kind_t* kind = &soak_kinds[w->kind];
     char expected[100];
@@ -161,7 +161,7 @@
 static void on_data(void* owner, const char* data, size_t size) {
     caller_t* w = owner;
     if (!w->is_busy) {
-        close_connection(w); /* bytes that nobody asked for */
+        close_connection(w); /* data without a request */
         return;
     }
     cw_message_read(&w->response, data, size);
@@ -190,7 +190,7 @@
     cw_message_reset(&w->response);
 }
 
-/* The deadly body that is due now, 0: none. */
+/* Returns the number of the query of death to send now, or 0 for an ordinary request. */
 static uint32_t next_query_of_death(callers_t* c) {
     uint32_t body = (uint32_t)((standin_now() - c->start_ms) / 1000 / QOD_DURATION_S) + 1;
     return body <= c->qod_body_count && next_random_unit(c) < QOD_PER_S / (c->requests_per_s * c->rate_factor) ? body
@@ -256,7 +256,7 @@
     ev_timer_start(c->loop, &w->abandon_timer);
 }
 
-/* The caller gives the request up. */
+/* The caller abandons its request and closes the connection. */
 static void on_abandon(struct ev_loop* loop, ev_timer* t, int events) {
     (void)loop;
     (void)events;
@@ -277,7 +277,7 @@
 
 static const cw_stream_handlers_t stream_handlers = {.on_open = on_open, .on_data = on_data, .on_end = on_end};
 
-/* Addresses "A:P" in the lookup's answer: one of them by chance. */
+/* Picks a random one of the addresses "A:P" in the response of the lookup. Returns false if there is none. */
 static bool pick_host(caller_t* w) {
     char* found[MAX_HOSTS];
     uint32_t count = 0;
@@ -365,7 +365,7 @@
     ((callers_t*)s->data)->rate_factor = 1;
 }
 
-/* The first signal ends sending, so that what runs may be answered; the second ends the program. */
+/* The first SIGTERM stops new requests, so that running ones may complete; the second ends the program. */
 static void on_term(struct ev_loop* loop, ev_signal* s, int events) {
     (void)events;
     callers_t* c = s->data;
@@ -409,14 +409,14 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {
-        {"callers", 'n', "N", 0, "callers, default 60", 0},
-        {"rate", 'r', "N", 0, "requests a second of all together, default 100", 0},
-        {"seed", 's', "N", 0, "of what they do", 0},
-        {"deadly", 'd', "N", 0, "bodies that end upstreams, default 0", 0},
+        {"callers", 'n', "N", 0, "number of callers, default 60", 0},
+        {"rate", 'r', "N", 0, "requests per second of all callers together, default 100", 0},
+        {"seed", 's', "N", 0, "seed of the random choices, default 1", 0},
+        {"deadly", 'd', "N", 0, "number of bodies that crash upstreams, default 0", 0},
         {0},
     };
     const struct argp argp = {
-        .options = options, .parser = parse_option, .args_doc = "LOOKUP...", .doc = "Callers of a soak."};
+        .options = options, .parser = parse_option, .args_doc = "LOOKUP...", .doc = "Simulated callers of a soak."};
     static callers_t callers = {.count = 60, .requests_per_s = 100, .rate_factor = 1, .seed = 1};
     callers_t* c = &callers;
     argp_parse(&argp, argc, argv, 0, NULL, c);
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -1,4 +1,4 @@
-/* Judges the record of a soak by what callers and upstreams saw. */
+/* Checks the record of a soak, as seen by callers and upstreams. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,20 +14,21 @@
 #define MAX_FAULTS 1024
 #define MAX_HOSTS 128
 #define NAME_SIZE 32
-#define SETTLE_MS 4000            /* after a fault's end, until a moment counts as calm */
-#define IDLE_SHARE_MIN 0.25       /* of the engines, that run nothing: what is refused then could have begun at once */
-#define INVERSION_WINDOW_MS 5000  /* in which a kind is put behind */
-#define INVERSION_REFUSALS_MIN 10 /* refusals in a window that say nothing yet */
-#define INVERSION_REFUSED_ONE_IN 12 /* more than a twelfth of the kind's requests */
-#define INVERSION_SIZE_RATIO 2      /* times the tokens of what is refused */
-#define LEAVING_SLACK_MS 1000       /* beyond the drain time: reading, telling and the machine's own lateness */
-#define CANCEL_SLACK_MS 500         /* after a caller left */
-#define RECOVERY_SHARE_MIN 0.9      /* of what was sent in calm seconds */
-#define STOP_SLACK_MS 1500          /* beyond the grace time */
-#define SIGNAL_EXIT_BASE 128        /* codes beyond: the signal that ended the process */
-#define PROGRAM_LOAD_MS 100         /* after its start a program may not be loaded yet: a signal ends it then */
-#define MACHINE_TARGET "-"          /* target of faults of the machine itself */
-#define FAULT_MARGIN_MS 1000        /* around a fault of its own server, within which a lost answer is not the host's */
+#define SETTLE_MS 4000              /* after the end of a fault, until a period counts as calm */
+#define IDLE_SHARE_MIN 0.25         /* share of idle engines from which on a refused request could have begun at once */
+#define INVERSION_WINDOW_MS 5000    /* window in which the refusals of a kind are compared with less urgent requests */
+#define INVERSION_REFUSALS_MIN 10   /* fewer refusals in a window prove nothing */
+#define INVERSION_REFUSED_ONE_IN 12 /* more than this share (1/12) of the kind's requests has to be refused */
+#define INVERSION_SIZE_RATIO 2      /* mean prompt that began, in multiples of the mean prompt that was refused */
+#define LEAVING_SLACK_MS 1000  /* beyond the drain time: polling, propagation and scheduling delays of the machine */
+#define CANCEL_SLACK_MS 500    /* after a caller abandoned its request */
+#define RECOVERY_SHARE_MIN 0.9 /* of the requests sent in calm periods */
+#define STOP_SLACK_MS 1500     /* beyond the grace time on stop */
+#define SIGNAL_EXIT_BASE 128   /* a greater exit code is this plus the signal that killed the process */
+#define PROGRAM_LOAD_MS 100    /* after a start the program may not be loaded yet, and a signal kills the process */
+#define MACHINE_TARGET "-"     /* target of faults that hit the whole machine */
+#define FAULT_MARGIN_MS                                                                                                \
+    1000 /* after a fault of the request's server, a lost response is not counted against the host */
 
 const soak_kind_t soak_kinds[SOAK_KINDS] = {
     {"short", "/short/", "stream", true, 0, 250, 8000, 400, 1600, 10, 0.45},
@@ -56,25 +57,25 @@
     bool is_complete, is_correct, is_quarantined;
     soak_qod_body_t* qod_body; /* NULL: an ordinary request */
     int64_t begin_ms, end_ms;
-    char last_server[NAME_SIZE]; /* that began it last */
-    double idle_engine_share;    /* share of the engines that ran nothing as it was sent */
-    bool is_calm;                /* it was sent in calm seconds */
+    char last_server[NAME_SIZE]; /* that last began to run it */
+    double idle_engine_share;    /* share of idle engines when it was sent */
+    bool is_calm;                /* sent in a calm period */
 } request_t;
 
 typedef struct server_record_t {
     char id[NAME_SIZE];
     uint32_t slots, running;
     bool is_down;
-    int64_t leaving_ms;    /* 0: it does not */
-    uint32_t incarnations; /* times that it started */
+    int64_t leaving_ms;    /* since when it is published as leaving, 0: it is not */
+    uint32_t incarnations; /* number of its starts */
 } server_record_t;
 
 typedef struct fault_t {
     char name[NAME_SIZE], target[NAME_SIZE];
-    int64_t from_ms, to_ms; /* to_ms 0: not over */
+    int64_t from_ms, to_ms; /* to_ms 0: still active */
 } fault_t;
 
-/* A host's last start. */
+/* A host and its last start. */
 typedef struct host_record_t {
     char name[NAME_SIZE];
     int64_t started_ms;
@@ -130,7 +131,8 @@
     return NULL;
 }
 
-/* Whether something is brought about at the moment or was shortly before. */
+/* Returns whether a fault of the target, or of any target if NULL, is active at at_ms or ended less than after_ms
+   before. */
 static bool is_disturbed(const checker_t* c, int64_t at_ms, const char* target, int64_t after_ms) {
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
@@ -142,7 +144,8 @@
     return false;
 }
 
-/* Whether the source could not tell what was published since the moment, up to another one. */
+/* Returns whether a fault of the configuration source may have kept hosts at at_ms from knowing what was published at
+   since_ms. */
 static bool had_source_fault(const checker_t* c, int64_t since_ms, int64_t at_ms, int64_t propagation_ms) {
     static const char prefix[] = "source-";
     for (uint32_t i = 0; i < c->fault_count; i++) {
@@ -155,8 +158,9 @@
     return false;
 }
 
-/* -- reading -------------------------------------------------------------- */
+/* -- parsing -------------------------------------------------------------- */
 
+/* Share of idle engines among those that take new requests. */
 static double idle_share(const checker_t* c) {
     uint32_t engines = 0;
     uint32_t idle_engine_share = 0;
@@ -232,15 +236,16 @@
 
 static host_record_t* find_or_add_host(checker_t* c, const char* name);
 
-/* Whether the host may not know yet what the others do: it has just started, or was stopped, killed or frozen. Where
-   all are lost at once, nobody knows. */
+/* Returns whether the host may lack state that the other hosts have, since it has just started, or was stopped, killed
+   or frozen. When all hosts are lost at once, none has that state. */
 static bool may_lack_state(checker_t* c, int64_t at_ms, const char* host) {
     const host_record_t* h = find_or_add_host(c, host);
     bool is_recent = h && h->started_ms && at_ms - h->started_ms < SOAK_QOD_PROPAGATION_MS;
     return is_recent || is_disturbed(c, at_ms, host, SOAK_QOD_PROPAGATION_MS);
 }
 
-/* A deadly request reached an upstream, or the upstream ends under it: a fault until the soak has it back. */
+/* A query of death arrived at an upstream, or crashed it. A crash counts as a fault until the soak has restarted the
+   upstream. */
 static void handle_query_of_death(checker_t* c, int64_t at_ms, const char* what, const request_t* r,
                                   const char* server) {
     soak_qod_body_t* body = r->qod_body;
@@ -258,7 +263,8 @@
     return cw_mix(cw_name_id(s->id), s->incarnations);
 }
 
-/* Whether the upstream stood still shortly before: it notes then what came before. */
+/* Returns whether the upstream was frozen shortly before: it records requests that arrived in that time only when it
+   runs again. */
 static bool was_frozen(const checker_t* c, int64_t at_ms, const char* server) {
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
@@ -280,7 +286,7 @@
                                                              .is_excused = is_excused});
 }
 
-/* What upstreams asked of hosts. True: it was such a line. */
+/* Handles an event about arrivals and server pushback. Returns false for events of other kinds. */
 static bool handle_pushback(checker_t* c, int64_t at_ms, const char* what, const request_t* r, const server_record_t* s,
                             double value) {
     static const char* const event_names[] = {"named", "away", "parts"}; /* by soak_pushback_kind_t */
@@ -336,7 +342,7 @@
         *s = (server_record_t){.slots = slots};
         cw_copy(s->id, sizeof(s->id), id);
     }
-    if (s && strcmp(what, "up") == 0) { /* again, it may be: it holds nothing of before */
+    if (s && strcmp(what, "up") == 0) { /* a restarted server runs none of its earlier requests */
         s->is_down = false;
         s->incarnations++;
         s->running = 0;
@@ -388,7 +394,7 @@
     }
 }
 
-/* The fault of this name at the host that is not over; NULL: none. */
+/* Returns the active fault of this name at the host, or NULL. */
 static const fault_t* find_open_fault(const checker_t* c, const char* name, const char* host) {
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
@@ -399,8 +405,8 @@
     return NULL;
 }
 
-/* Whether a signal was sent to the host so soon after its last start that its program may not have been loaded. When
-   the process ends of it says nothing: the machine may take its time to run it. */
+/* Returns whether a fault began so soon after the host's last start that its signal may have arrived before the program
+   was loaded. The time of the exit proves nothing, since the machine may schedule the process late. */
 static bool was_signalled_while_loading(const checker_t* c, const char* host, int64_t started_ms) {
     for (uint32_t i = 0; i < c->fault_count && started_ms; i++) {
         const fault_t* f = &c->faults[i];
@@ -412,7 +418,7 @@
     return false;
 }
 
-/* A host has ended: killed, told to stop, or by itself. */
+/* A host has exited: killed, stopped as planned, or unasked. */
 static void handle_host_exit(checker_t* c, int64_t at_ms, const char* host, int code) {
     const fault_t* stop = find_open_fault(c, "stop", host);
     const host_record_t* h = find_or_add_host(c, host);
@@ -421,9 +427,10 @@
         return;
     }
     if (!stop) {
-        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms, "it ended by itself", host);
+        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms, "the host exited unasked", host);
     } else if (code != 0 || at_ms > stop->from_ms + c->grace_ms + STOP_SLACK_MS) {
-        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms, code ? "it did not end in order" : "it outlived its grace time", host);
+        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms,
+                    code ? "the host did not exit cleanly" : "the host exited after its grace time", host);
     }
 }
 
@@ -446,7 +453,7 @@
 
 typedef struct line_t {
     int64_t at_ms;
-    uint32_t rank; /* within a millisecond: what must have been first */
+    uint32_t rank; /* order of events within the same millisecond */
     uint32_t event_order;
     const char* text;
 } line_t;
@@ -463,8 +470,9 @@
     return (a->event_order > b->event_order) - (a->event_order < b->event_order);
 }
 
-/* Programs write at their own pace, and clocks tell no more than milliseconds: a request is sent before it begins, and
-   begins before it ends, and ends before its caller is answered; the same for what is deadly. */
+/* Programs flush their lines at different times, and times have a resolution of 1 ms only. Events of the same
+   millisecond are therefore ordered by cause: a request is sent before it begins, begins before it ends, and ends
+   before its caller gets the response; the same holds for queries of death. */
 static uint32_t line_rank(const char* line) {
     static const char* const event_order[] = {"sent", "reach", "begin", "died", "end", "gone", "done"};
     char what[NAME_SIZE] = "";
@@ -477,7 +485,7 @@
     return 0;
 }
 
-/* The lines in order of time. */
+/* Returns the lines of the record in order of time. The caller frees them. */
 static line_t* sort_lines(const char* record, uint32_t* count) {
     uint32_t capacity = 1;
     for (const char* at = record; *at; at++) {
@@ -519,19 +527,21 @@
     free(lines);
 }
 
-/* -- judging -------------------------------------------------------------- */
+/* -- checks --------------------------------------------------------------- */
 
-/* Told as not run, and never to run. */
+/* Returns whether the status promises that the request was not run and never will be. */
 static bool was_refused(const request_t* r) {
     return r->status == 503 || r->status == 429 || r->status == 408 || r->status == 421;
 }
 
+/* Returns whether the request may run only once: its route is not repeatable and its stream cannot be resumed. */
 static bool is_at_most_once(const request_t* r) {
     const soak_kind_t* kind = &soak_kinds[r->kind];
     return strcmp(kind->route_kind, "repeatable") != 0 && !kind->is_resumable;
 }
 
-/* Its connection ended without an answer although a server had it, and the host was being stopped as planned. */
+/* Returns whether the connection closed without a complete response during a planned stop of the host, although a
+   server had begun to run the request. */
 static bool was_lost_by_stop(const checker_t* c, const request_t* r) {
     bool lacks_response = r->done_ms && !r->abandoned_ms && (!r->status || !r->is_complete) && r->begin_count;
     if (!lacks_response || is_disturbed(c, r->done_ms, r->last_server, FAULT_MARGIN_MS)) {
@@ -603,7 +613,8 @@
     }
 }
 
-/* A kind that is refused in the window from a request on, while larger prompts that are less urgent begin. */
+/* Finds a kind of request that is refused in the window that starts with request first, while larger, less urgent
+   prompts begin to run. */
 static void check_priority_inversion(checker_t* c, uint32_t first) {
     const request_t* from = &c->requests[first];
     uint32_t kind_count = 0;
@@ -632,7 +643,8 @@
     }
     bool is_frequent = refused >= INVERSION_REFUSALS_MIN && refused * INVERSION_REFUSED_ONE_IN > kind_count;
     if (is_frequent && begin_count && begin_tokens / begin_count > INVERSION_SIZE_RATIO * refused_tokens / refused) {
-        add_finding(c, SOAK_PRIORITY_INVERSION, from->sent_ms, "ten or more refused", soak_kinds[from->kind].name);
+        add_finding(c, SOAK_PRIORITY_INVERSION, from->sent_ms, "ten or more requests refused",
+                    soak_kinds[from->kind].name);
     }
 }
 
@@ -644,7 +656,7 @@
         c->result.qod_crashes += body->crashes;
         if (body->late_reaches > SOAK_QOD_LATE_REACHES_MAX) {
             char what[64];
-            snprintf(what, sizeof(what), "%u ended, reached %u times more", body->crashes, body->late_reaches);
+            snprintf(what, sizeof(what), "%u upstreams crashed, %u late arrivals", body->crashes, body->late_reaches);
             add_finding(c, SOAK_QUERY_OF_DEATH, body->known_from_ms, what, body->name);
         }
     }
@@ -682,7 +694,7 @@
     if (result.calm_sent && result.calm_served < RECOVERY_SHARE_MIN * result.calm_sent) {
         result.count[SOAK_RECOVERY] = 1;
         snprintf(result.first_finding[SOAK_RECOVERY], sizeof(result.first_finding[SOAK_RECOVERY]),
-                 "%u of %u served in calm seconds", result.calm_served, result.calm_sent);
+                 "%u of %u requests served in calm periods", result.calm_served, result.calm_sent);
     }
     cw_map_shutdown(&c->by_id);
     free(c->requests);
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -1,4 +1,4 @@
-/* What is brought about on the processes of a soak, by a seeded schedule. */
+/* Injects faults into the processes of a soak on a seeded schedule. */
 #include <signal.h>
 #include <stdio.h>
 
@@ -7,18 +7,18 @@
 
 #define FAULT_MIN_MS 300
 #define FAULT_SPREAD_MS 3500
-#define FAULT_INTERVAL_MIN_MS 200 /* from one fault to the next */
+#define FAULT_INTERVAL_MIN_MS 200 /* from one fault to the next, at least */
 #define FAULT_INTERVAL_SPREAD_MS 1200
-#define LEAVE_DURATION_MS (SOAK_DRAIN_MS + 4000) /* a server that leaves serves on for so long */
+#define LEAVE_DURATION_MS (SOAK_DRAIN_MS + 4000) /* time for which a leaving server goes on serving */
 #define SLOW_FACTOR 5
-#define RATE_LIMIT_DURATION_MS 9000 /* long enough to be judged */
-#define KILL_ALL_ONE_IN 25          /* faults that hit all hosts at once */
+#define RATE_LIMIT_DURATION_MS 9000 /* long enough for the rate check of soak_pushback.c */
+#define KILL_ALL_ONE_IN 25          /* one fault in this many kills all hosts at once */
 
 typedef struct fault_kind_t {
     const char* name;
-    proc_kind_t target_kind; /* PROC_SOURCE and PROC_CALLERS: there is one */
+    proc_kind_t target_kind; /* kind of the process that is hit; there is one PROC_SOURCE and one PROC_CALLERS */
     uint32_t weight;
-    bool (*begin)(active_fault_t* a); /* false: not now */
+    bool (*begin)(active_fault_t* a); /* returns false if the fault is not possible now */
     void (*end)(active_fault_t* a);
 } fault_kind_t;
 
@@ -38,7 +38,7 @@
     if (!a->target->pid && !a->soak->is_ending) {
         soak_restart_host(a->target);
     } else if (a->target->is_stopping) {
-        soak_start_timer(a->soak, &a->timer, 200); /* it has not ended yet */
+        soak_start_timer(a->soak, &a->timer, 200); /* it has not exited yet */
     }
 }
 
@@ -83,7 +83,7 @@
     soak_start_upstream(a->soak, a->target->is_engine);
 }
 
-/* It says nothing as it ends, so its entry stays until it is back under its id. */
+/* The upstream exits without announcing it, so its entry stays published until it is restarted under its id. */
 static bool restart_begin(active_fault_t* a) {
     if (a->target->is_leaving) {
         return false;
@@ -280,7 +280,7 @@
     }
 }
 
-/* All hosts are lost at the same moment. */
+/* Kills all hosts at the same moment. */
 static void kill_all_hosts(soak_t* s) {
     for (uint32_t i = 0; i < s->proc_count; i++) {
         proc_t* p = &s->procs[i];
--- a/tools/soak_pushback.c
+++ b/tools/soak_pushback.c
@@ -8,12 +8,12 @@
 #define ARRIVALS_MAX 400000
 #define SIGNALS_MAX 400000
 #define RATES_MAX 1024
-#define RATE_TOLERANCE 1.5      /* the rate */
-#define RATE_BURST_REQUESTS 5.0 /* requests */
+#define RATE_TOLERANCE 1.5      /* times the advertised rate */
+#define RATE_BURST_REQUESTS 5.0 /* allowed on top of the rate */
 #define MS_PER_S 1000.0
 
 struct soak_pushback_t {
-    soak_arrival_t* arrivals; /* in the order of time */
+    soak_arrival_t* arrivals; /* in order of time */
     soak_pushback_signal_t* signals;
     soak_rate_t rates[RATES_MAX];
     uint32_t arrival_count, signal_count, rate_count;
@@ -55,7 +55,7 @@
     }
 }
 
-/* Whether the host had such a word of the upstream, and could heed it, when the request was sent or came. */
+/* Returns whether the host had received pushback of this kind from the upstream by before_ms. */
 static bool has_signal(const soak_pushback_t* p, soak_pushback_kind_t kind, const soak_arrival_t* a,
                        int64_t before_ms) {
     for (uint32_t i = 0; i < p->signal_count && p->signals[i].at_ms <= before_ms; i++) {
@@ -71,7 +71,7 @@
                        void* user) {
     int64_t from_ms = rate->from_ms + SOAK_PUSHBACK_RATE_GRACE_MS;
     double allowed = RATE_TOLERANCE * rate->per_s * SOAK_PUSHBACK_WINDOW_MS / MS_PER_S + RATE_BURST_REQUESTS;
-    int64_t window_ms[256]; /* arrivals of the window that ends with the latest, as a ring */
+    int64_t window_ms[256]; /* ring of the latest arrival times */
     uint32_t count = 0;
     for (uint32_t i = 0; i < p->arrival_count; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
@@ -87,7 +87,8 @@
         }
         if (in_window_count > allowed) {
             char what[80];
-            snprintf(what, sizeof(what), "%u came in 4 s at a rate of %.1f", in_window_count, rate->per_s);
+            snprintf(what, sizeof(what), "%u requests arrived in 4 s at an advertised rate of %.1f per s",
+                     in_window_count, rate->per_s);
             on_violation(user, SOAK_PUSHBACK_RATE, a, what);
         }
     }
@@ -101,7 +102,7 @@
         bool is_match = a->server == signal->server && a->host == signal->host && !a->is_excused;
         if (is_match && a->at_ms > signal->at_ms + SOAK_PUSHBACK_REACTION_MS &&
             ++count > SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX) {
-            on_violation(user, SOAK_PUSHBACK_BACKOFF, a, "more than two came in a rest");
+            on_violation(user, SOAK_PUSHBACK_BACKOFF, a, "more than two requests arrived during a backoff");
             return;
         }
     }
@@ -120,7 +121,8 @@
     for (uint32_t i = 0; i < p->arrival_count; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
         if (!a->is_excused && has_signal(p, SOAK_PUSHBACK_LEAVING, a, a->sent_ms - leaving_grace_ms)) {
-            on_violation(user, SOAK_PUSHBACK_LEAVING, a, "came after its host had been told");
+            on_violation(user, SOAK_PUSHBACK_LEAVING, a,
+                         "a request arrived after the upstream had announced leaving to the host");
         }
     }
 }
--- a/tools/soak_pushback.h
+++ b/tools/soak_pushback.h
@@ -1,22 +1,22 @@
 #ifndef CW_TOOLS_SOAK_PUSHBACK_H
 #define CW_TOOLS_SOAK_PUSHBACK_H
 /*
-    What upstreams asked of hosts in a soak, in the heads of their answers, and whether the hosts kept to it: a rate for
-    all hosts together, rest from one host, and to send nothing more to an upstream that leaves.
+    Checks whether the hosts of a soak comply with server pushback, the requests in the response heads of upstreams: an
+    advertised rate for all hosts together, a backoff for one host, and no new requests to a leaving upstream.
 */
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SOAK_PUSHBACK_RATE_GRACE_MS 3000     /* from the naming of a rate until it must be kept */
-#define SOAK_PUSHBACK_WINDOW_MS 4000         /* in which it is counted */
-#define SOAK_PUSHBACK_REACTION_MS 500        /* after an answer, until its host must heed it */
-#define SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX 2 /* requests that may come in a rest after that */
+#define SOAK_PUSHBACK_RATE_GRACE_MS 3000     /* from advertising a rate until the hosts must comply */
+#define SOAK_PUSHBACK_WINDOW_MS 4000         /* window in which requests are counted against the rate */
+#define SOAK_PUSHBACK_REACTION_MS 500        /* from a response until its host must comply */
+#define SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX 2 /* requests tolerated in a backoff after that */
 
-/* A request that came to an upstream, or an answer of it. server: hash of the name and of the life. */
+/* Arrival of a request at an upstream. server: hash of the upstream's name and incarnation. */
 typedef struct soak_arrival_t {
-    int64_t at_ms, sent_ms; /* sent_ms: by the caller */
+    int64_t at_ms, sent_ms; /* arrival at the upstream; sending by the caller */
     uint64_t server, host;
-    bool is_excused; /* the host, or the upstream, was disturbed shortly before */
+    bool is_excused; /* a fault hit the host or the upstream shortly before */
 } soak_arrival_t;
 
 typedef enum soak_pushback_kind_t {
@@ -25,7 +25,7 @@
     SOAK_PUSHBACK_LEAVING
 } soak_pushback_kind_t;
 
-/* What an answer told a host. */
+/* Server pushback in the head of a response to a host. */
 typedef struct soak_pushback_signal_t {
     soak_pushback_kind_t kind;
     int64_t at_ms;
@@ -33,7 +33,7 @@
     uint32_t backoff_ms;
 } soak_pushback_signal_t;
 
-/* A rate that an upstream names, from_ms until until_ms (0: to the end). */
+/* Rate advertised by an upstream, valid from from_ms until until_ms (0: to the end). */
 typedef struct soak_rate_t {
     uint64_t server;
     double per_s;
@@ -48,9 +48,10 @@
 void soak_pushback_shutdown(soak_pushback_t* p);
 void soak_pushback_add_arrival(soak_pushback_t* p, const soak_arrival_t* arrival);
 void soak_pushback_add_signal(soak_pushback_t* p, const soak_pushback_signal_t* signal);
-/* The upstream names the rate from now on; per_s < 0: none any more. */
+/* The upstream advertises the rate from at_ms on; per_s < 0: it withdraws its rate. */
 void soak_pushback_set_rate(soak_pushback_t* p, int64_t at_ms, uint64_t server, double per_s);
-/* Tells each arrival that came against an upstream's word; leaving_grace_ms: after the word of leaving. */
+/* Reports each arrival that violates an upstream's pushback. leaving_grace_ms: time after the announcement of leaving
+   in which requests may still be sent. */
 void soak_pushback_check(const soak_pushback_t* p, int64_t leaving_grace_ms, soak_pushback_on_violation_t on_violation,
                          void* user_data);
 
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -1,4 +1,4 @@
-/* The real processes of a soak, and what is published to them. */
+/* Starts and stops the processes of a soak, and publishes the configuration to them. */
 #include "soak_site.h"
 
 #include <errno.h>
@@ -17,17 +17,17 @@
 #include "../tests/soak_sleep.h"
 
 #define MAX_ARGS 80
-#define WATCH_INTERVAL_MS 20 /* between two looks at the clock */
-#define LATE_WAKEUP_MS 200   /* a look that comes later: the machine had no time for this program, nor for others */
+#define WATCH_INTERVAL_MS 20 /* period of the timer that detects scheduling delays */
+#define LATE_WAKEUP_MS 200   /* a timer this late: the machine did not schedule this program in time, nor others */
 #define ENGINE_SLOTS 12
-#define ENGINE_MEMORY_TOKENS 400000 /* tokens */
-#define PREFILL_US_PER_TOKEN "18"   /* of a prompt token */
+#define ENGINE_MEMORY_TOKENS 400000
+#define PREFILL_US_PER_TOKEN "18"
 #define SERVICE_SLOTS 6
 #define SERVICE_MS "40"
 #define LOOKUP_PORT 7102
-#define RESTART_MIN_MS 1200 /* an upstream that a request ended is back so long after it */
+#define RESTART_MIN_MS 1200 /* from the crash of an upstream to its restart, at least */
 #define RESTART_SPREAD_MS 1600
-#define CRASH_EXIT_STATUS 3 /* of an upstream that ends under a request */
+#define CRASH_EXIT_STATUS 3 /* exit status of an upstream that a query of death crashed */
 
 uint64_t soak_random(soak_t* s) {
     return cw_mix(s->seed, ++s->draw_count);
@@ -50,7 +50,7 @@
     ev_timer_start(s->loop, t);
 }
 
-/* The fault began with the look that was due. */
+/* Records the delay as a fault that began when the timer last fired. */
 static void record_late_wakeup(soak_t* s, int64_t now_ms) {
     char line[80];
     int n = snprintf(line, sizeof(line), "S %" PRId64 " fault machine -\n", s->last_watch_ms);
@@ -78,7 +78,7 @@
     ev_timer_start(s->loop, &s->watch_timer);
 }
 
-/* -- what is published ---------------------------------------------------- */
+/* -- published configuration ---------------------------------------------- */
 
 static void on_posted(void* user, const cw_call_result_t* result) {
     (void)result;
@@ -126,7 +126,7 @@
                  k->tokens_max ? k->target_ms : 0, k->tier, k->is_resumable ? "true" : "false",
                  k->tokens_max ? "engines" : "services");
     }
-    for (int64_t i = 0; i < s->revision % 4; i++) { /* routes come and go */
+    for (int64_t i = 0; i < s->revision % 4; i++) { /* each revision adds or removes routes */
         add_text(&text,
                  ",{\"name\":\"more%" PRId64 "\",\"host\":\"more.example\",\"prefix\":\"/%" PRId64
                  "/\",\"kind\":\"once\",\"timeout_ms\":1000,\"target_ms\":300,\"tier\":2,\"attempts\":1,\"open\":true,"
@@ -213,7 +213,7 @@
     soak_record_event(p->soak, "over died %s", p->name);
 }
 
-/* A request ended the upstream: it is back under its id after some seconds, and listed meanwhile. */
+/* Restarts an upstream that a request crashed under its id after a delay; its entry stays published meanwhile. */
 static void schedule_restart(proc_t* p) {
     p->has_stale_entry = true;
     ev_timer_init(&p->restart_timer, on_restart, 0.0, 0.0);
@@ -259,7 +259,7 @@
 static void run_program(const proc_t* p, const char* program, const char* const* args, int out) {
     char path[192];
     char* argv[MAX_ARGS + 2] = {path};
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* nothing stays behind when the starter dies */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* no process outlives the soak */
     snprintf(path, sizeof(path), "%s/%s", p->soak->build_dir, program);
     for (int i = 0; args[i] && i < MAX_ARGS; i++) {
         argv[i + 1] = (char*)args[i];
@@ -283,7 +283,7 @@
               : pipe2(fds, O_CLOEXEC) == 0 ? fds[1]
                                            : -1;
     if (out < 0) {
-        perror("no output for a process");
+        perror("cannot open the output of a process");
         return false;
     }
     p->pid = fork();
@@ -306,7 +306,7 @@
 
 static proc_t* add_proc(soak_t* s, proc_kind_t kind) {
     if (s->proc_count == SOAK_PROCS_MAX) {
-        fprintf(stderr, "more than %d processes in one soak\n", SOAK_PROCS_MAX);
+        fprintf(stderr, "soak started more than %d processes\n", SOAK_PROCS_MAX);
         abort();
     }
     proc_t* p = &s->procs[s->proc_count++];
@@ -415,7 +415,6 @@
     soak_restart_host(p);
 }
 
-/* Hosts are named by the address that callers know. */
 void soak_format_proc_name(const proc_t* p, char* out, size_t size) {
     if (p->kind == PROC_HOST) {
         snprintf(out, size, "%s:%d", p->name, SOAK_CALLER_PORT);
