--- a/tests/soak_clock.c
+++ b/tests/soak_clock.c
@@ -1,7 +1,8 @@
 /*
     Library that is preloaded into the hosts of a soak to simulate a suspended machine: after SIGCONT the monotonic
-   clocks continue from where they stopped, while the other clocks have advanced. On each SIGCONT it reads the total
-   time of suspension in ms from the file that CHALKWAY_SOAK_SLEEP names; without that file the clocks are unchanged.
+    clocks continue from where they stopped, while the other clocks have advanced. On each SIGCONT it reads the total
+    time of suspension in ms from the file that CHALKWAY_SOAK_SLEEP names; if that file is missing, the clocks are not
+    set back.
 */
 #include <dlfcn.h>
 #include <fcntl.h>
--- a/tests/test_soak_check.c
+++ b/tests/test_soak_check.c
@@ -103,7 +103,7 @@
 END_TEST
 
 /* Eleven prompts of the more urgent kind are refused while prompts of the less urgent kind begin: a violation only if
- * these are larger. */
+   these are larger. */
 START_TEST(priority_inversion_is_found) {
     static char text[8192];
     for (uint32_t long_tokens = 1500; long_tokens <= 9000; long_tokens += 7500) {
@@ -194,8 +194,8 @@
 }
 END_TEST
 
-/* The same from a host that started a second before: it may not have the quarantine state yet, as after a loss of all
-   hosts at once. */
+/* Eight arrivals as above, but from a host that started a second before some of them: it may not have the quarantine
+   state yet, as seen after a loss of all hosts at once. */
 START_TEST(recently_started_host_may_not_know_query_of_death) {
     static char text[8192];
     for (int is_recent = 0; is_recent < 2; is_recent++) {
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -7,18 +7,30 @@
     The record is text, one event per line, with times in ms of the machine's monotonic clock:
 
         C MS sent ID KIND HOST TOKENS BODY a whole request is sent to a host; BODY: "-", or the name of a query of
-   death, a body that crashes every upstream which begins to run it C MS done ID STATUS WHOLE RIGHT FIRST_MS HELD the
-   response ended, or the connection closed (status 0). WHOLE 1: the response is complete; RIGHT 1: its body is correct;
-   FIRST_MS: from sending to the first byte of the body; HELD 1: refused since the request is quarantined C MS left ID
-   the caller abandoned the request U MS begin ID SERVER PRIORITY TOKENS, U MS end ID SERVER, U MS gone ID SERVER a
-   request begins to run, completes, or is aborted by its caller's side U MS reach ID SERVER, U MS died ID SERVER a
-   query of death arrived at an upstream; the upstream crashes while it runs U MS came ID SERVER, U MS rate - SERVER
-   PER_S, U MS named ID SERVER, U MS parts ID SERVER, U MS away ID SERVER REST_MS        arrivals at upstreams and their
-   server pushback: an advertised rate, responses that advertise it, responses that announce leaving, and backoff
-   requests (standins/fake_upstream.c) S MS fault NAME TARGET             a fault is injected, until S MS over NAME
-   TARGET              it ends S MS up SERVER SLOTS, S MS leaves SERVER, S MS down SERVER state of a server as
-   published; SLOTS is 0 for a service S MS started HOST, S MS ended HOST CODE a host's process starts or exits; CODE of
-   128 and more: killed by a signal S MS calm, S MS finish             no further faults are injected; the callers stop
+                                           death, a body that crashes every upstream which begins to run it
+        C MS done ID STATUS WHOLE RIGHT FIRST_MS HELD
+                                           the response ended, or the connection closed (status 0). WHOLE 1: the
+                                           response is complete; RIGHT 1: its body is correct; FIRST_MS: from
+                                           sending to the first byte of the body; HELD 1: refused since servers
+                                           crashed under such requests (quarantined)
+        C MS left ID                       the caller abandoned the request
+        U MS begin ID SERVER PRIORITY TOKENS, U MS end ID SERVER, U MS gone ID SERVER
+                                           a request begins to run, completes, or ends early since its connection
+                                           closed
+        U MS reach ID SERVER, U MS died ID SERVER
+                                           a query of death arrived at an upstream; the upstream crashes while
+                                           running it
+        U MS came ID SERVER, U MS rate - SERVER PER_S, U MS named ID SERVER, U MS parts ID SERVER,
+        U MS away ID SERVER REST_MS        arrivals at upstreams and their server pushback: an advertised rate,
+                                           responses that advertise it, responses that announce leaving, and
+                                           refusals that request a backoff (standins/fake_upstream.c)
+        S MS fault NAME TARGET             a fault is injected, until
+        S MS over NAME TARGET              it ends
+        S MS up SERVER SLOTS, S MS leaves SERVER, S MS down SERVER
+                                           state of a server as published; SLOTS is 0 for a service
+        S MS started HOST, S MS ended HOST CODE
+                                           a host's process starts or exits; CODE 128 and more: killed by a signal
+        S MS calm, S MS finish             no further faults are injected; the callers stop
 */
 #include <stdint.h>
 
@@ -51,7 +63,7 @@
     SOAK_PRIORITY_INVERSION, /* refused in a calm period while larger, less urgent prompts began to run */
     SOAK_SENT_TO_LEAVING,    /* a server got a new request long after it was published as leaving */
     SOAK_RAN_AFTER_CANCEL,   /* upstreams kept running a request long after its caller abandoned it */
-    SOAK_UNCLEAN_EXIT,       /* a host did not exit cleanly after SIGTERM, or exited unasked */
+    SOAK_UNCLEAN_EXIT,       /* a host did not exit cleanly after SIGTERM, or exited unexpectedly */
     SOAK_RECOVERY,           /* too small a share of the requests of calm periods was served */
     SOAK_QUERY_OF_DEATH,     /* a body that crashed three upstreams keeps reaching upstreams */
     SOAK_FALSE_QUARANTINE,   /* an ordinary request was quarantined as a query of death */
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -2,13 +2,13 @@
     chalkway-soak-callers: simulates the callers of a soak. Each caller has one keep-alive connection.
 
     A caller queries a host's lookup address for the list of hosts, connects to a random one, and sends one request
-   after the other with a random think time between them. It repeats the lookup when its connection has closed. Requests
-   and responses are written to standard output, one line each, in the format of tools/soak.h. A 503 with Retry-After is
-    retried once after that time. Signal USR1 multiplies the request rate by BURST_FACTOR until USR2.
+    after the other with a random think time between them. It repeats the lookup when its connection has closed.
+    Requests and responses are written to standard output, one line each, in the format of tools/soak.h. A 503 with
+    Retry-After is retried once after that time. SIGUSR1 multiplies the request rate by BURST_FACTOR until SIGUSR2.
 
-    With --deadly N some requests carry one of N queries of death, bodies that crash every upstream which begins to run
-    them. Each body is sent about QOD_PER_S times per second for QOD_DURATION_S, one body after the other. The bodies of
-    all other prompts differ from one another; plain calls have no body, so all of them are the same request.
+    With --deadly N some requests carry one of N queries of death, bodies that crash every upstream which begins to
+    run them. Each body is sent about QOD_PER_S times per second for QOD_DURATION_S, one body after the other. The
+    bodies of all other prompts differ from one another; plain calls have no body, so all of them are the same request.
 */
 #include <argp.h>
 #include <inttypes.h>
@@ -56,7 +56,7 @@
     int kind;
     uint32_t tokens;
     char body_text[24]; /* request body, "": none */
-    int64_t sent_ms, first_ms;
+    int64_t sent_ms, first_byte_ms;
     cw_buffer_t body;
     bool has_retried;
     double retry_s; /* delay of the pending retry, 0: none */
@@ -126,14 +126,14 @@
     return !*at;
 }
 
-static void finish(caller_t* w, unsigned status, bool whole) {
+static void finish(caller_t* w, unsigned status, bool is_complete) {
     char rest[100];
-    const char* retry = whole && status == 503 ? cw_message_field(&w->response, "Retry-After") : NULL;
+    const char* retry = is_complete && status == 503 ? cw_message_field(&w->response, "Retry-After") : NULL;
     w->is_busy = false;
     ev_timer_stop(w->parent->loop, &w->abandon_timer);
     bool is_quarantined = status == 503 && strstr(cw_buffer_text(&w->body), QUARANTINE_TEXT);
-    snprintf(rest, sizeof(rest), "%s %u %d %d %" PRId64 " %d", w->id, status, whole, whole && is_body_correct(w),
-             w->first_ms ? w->first_ms - w->sent_ms : 0, is_quarantined);
+    snprintf(rest, sizeof(rest), "%s %u %d %d %" PRId64 " %d", w->id, status, is_complete,
+             is_complete && is_body_correct(w), w->first_byte_ms ? w->first_byte_ms - w->sent_ms : 0, is_quarantined);
     record_event(w->parent, "done", rest);
     cw_buffer_free(&w->body);
     w->retry_s = retry && !w->has_retried ? strtod(retry, NULL) : 0;
@@ -152,7 +152,7 @@
 
 static void on_body(void* owner, const char* data, size_t size) {
     caller_t* w = owner;
-    w->first_ms = w->first_ms ? w->first_ms : standin_now();
+    w->first_byte_ms = w->first_byte_ms ? w->first_byte_ms : standin_now();
     cw_buffer_add(&w->body, data, size);
 }
 
@@ -240,7 +240,7 @@
     n += snprintf(text + n, sizeof(text) - (size_t)n, "Content-Length: %zu\r\n\r\n%s", strlen(w->body_text),
                   w->body_text);
     w->is_busy = true;
-    w->first_ms = 0;
+    w->first_byte_ms = 0;
     w->sent_ms = standin_now();
     bool is_query_of_death = strncmp(w->body_text, "deadly", strlen("deadly")) == 0;
     snprintf(rest, sizeof(rest), "%s %s %s %u %s", w->id, kind->name, w->host, w->tokens,
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -15,20 +15,19 @@
 #define MAX_HOSTS 128
 #define NAME_SIZE 32
 #define SETTLE_MS 4000              /* after the end of a fault, until a period counts as calm */
-#define IDLE_SHARE_MIN 0.25         /* share of idle engines from which on a refused request could have begun at once */
-#define INVERSION_WINDOW_MS 5000    /* window in which the refusals of a kind are compared with less urgent requests */
+#define IDLE_SHARE_MIN 0.25         /* with this share of idle engines a refused request could have begun at once */
+#define INVERSION_WINDOW_MS 5000    /* in which refusals of a kind are compared with less urgent requests */
 #define INVERSION_REFUSALS_MIN 10   /* fewer refusals in a window prove nothing */
 #define INVERSION_REFUSED_ONE_IN 12 /* more than this share (1/12) of the kind's requests has to be refused */
-#define INVERSION_SIZE_RATIO 2      /* mean prompt that began, in multiples of the mean prompt that was refused */
+#define INVERSION_SIZE_RATIO 2      /* of the mean prompt that began to the mean prompt that was refused */
 #define LEAVING_SLACK_MS 1000  /* beyond the drain time: polling, propagation and scheduling delays of the machine */
 #define CANCEL_SLACK_MS 500    /* after a caller abandoned its request */
 #define RECOVERY_SHARE_MIN 0.9 /* of the requests sent in calm periods */
 #define STOP_SLACK_MS 1500     /* beyond the grace time on stop */
 #define SIGNAL_EXIT_BASE 128   /* a greater exit code is this plus the signal that killed the process */
-#define PROGRAM_LOAD_MS 100    /* after a start the program may not be loaded yet, and a signal kills the process */
-#define MACHINE_TARGET "-"     /* target of faults that hit the whole machine */
-#define FAULT_MARGIN_MS                                                                                                \
-    1000 /* after a fault of the request's server, a lost response is not counted against the host */
+#define PROGRAM_LOAD_MS 100    /* after a start: the program may not be loaded yet, so that any signal kills it */
+#define MACHINE_TARGET "-"     /* target of faults that belong to no single process, such as of the machine */
+#define FAULT_MARGIN_MS 1000   /* after a fault of a request's server: a lost response is attributed to it */
 
 const soak_kind_t soak_kinds[SOAK_KINDS] = {
     {"short", "/short/", "stream", true, 0, 250, 8000, 400, 1600, 10, 0.45},
@@ -163,14 +162,14 @@
 /* Share of idle engines among those that take new requests. */
 static double idle_share(const checker_t* c) {
     uint32_t engines = 0;
-    uint32_t idle_engine_share = 0;
+    uint32_t idle_count = 0;
     for (uint32_t i = 0; i < c->server_count; i++) {
         const server_record_t* s = &c->servers[i];
         bool is_available = s->slots && !s->is_down && !s->leaving_ms;
         engines += is_available;
-        idle_engine_share += is_available && !s->running;
+        idle_count += is_available && !s->running;
     }
-    return engines ? (double)idle_engine_share / engines : 0;
+    return engines ? (double)idle_count / engines : 0;
 }
 
 static void handle_sent(checker_t* c, int64_t at_ms, const char* rest) {
@@ -418,7 +417,7 @@
     return false;
 }
 
-/* A host has exited: killed, stopped as planned, or unasked. */
+/* A host has exited: killed, stopped as planned, or unexpectedly. */
 static void handle_host_exit(checker_t* c, int64_t at_ms, const char* host, int code) {
     const fault_t* stop = find_open_fault(c, "stop", host);
     const host_record_t* h = find_or_add_host(c, host);
@@ -427,7 +426,7 @@
         return;
     }
     if (!stop) {
-        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms, "the host exited unasked", host);
+        add_finding(c, SOAK_UNCLEAN_EXIT, at_ms, "the host exited unexpectedly", host);
     } else if (code != 0 || at_ms > stop->from_ms + c->grace_ms + STOP_SLACK_MS) {
         add_finding(c, SOAK_UNCLEAN_EXIT, at_ms,
                     code ? "the host did not exit cleanly" : "the host exited after its grace time", host);
@@ -453,8 +452,8 @@
 
 typedef struct line_t {
     int64_t at_ms;
-    uint32_t rank; /* order of events within the same millisecond */
-    uint32_t event_order;
+    uint32_t rank;     /* order of events within the same millisecond */
+    uint32_t position; /* in the record */
     const char* text;
 } line_t;
 
@@ -467,7 +466,7 @@
     if (a->rank != b->rank) {
         return a->rank < b->rank ? -1 : 1;
     }
-    return (a->event_order > b->event_order) - (a->event_order < b->event_order);
+    return (a->position > b->position) - (a->position < b->position);
 }
 
 /* Programs flush their lines at different times, and times have a resolution of 1 ms only. Events of the same
@@ -494,7 +493,7 @@
     line_t* lines = cw_alloc(NULL, capacity, sizeof(*lines));
     *count = 0;
     for (const char* at = record; at && *at && *count < capacity; at = strchr(at, '\n'), at += at != NULL) {
-        lines[*count] = (line_t){.rank = line_rank(at), .event_order = *count, .text = at};
+        lines[*count] = (line_t){.rank = line_rank(at), .position = *count, .text = at};
         if (sscanf(at, "%*c %" SCNd64, &lines[*count].at_ms) == 1) {
             (*count)++;
         }
@@ -557,10 +556,10 @@
     }
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
-        bool stopping = strcmp(f->name, "stop") == 0 && strcmp(f->target, r->host) == 0 && f->from_ms <= r->done_ms &&
-                        (!f->to_ms || r->done_ms <= f->to_ms);
+        bool is_stopping = strcmp(f->name, "stop") == 0 && strcmp(f->target, r->host) == 0 &&
+                           f->from_ms <= r->done_ms && (!f->to_ms || r->done_ms <= f->to_ms);
         bool is_near_grace_end = r->done_ms - f->from_ms > (int64_t)c->grace_ms * 5 / 6;
-        if (stopping && !is_near_grace_end) {
+        if (is_stopping && !is_near_grace_end) {
             return true;
         }
     }
@@ -587,8 +586,8 @@
     if (r->is_calm && was_refused(r) && r->idle_engine_share >= IDLE_SHARE_MIN && !r->qod_body) {
         add_finding(c, SOAK_REFUSED_WHILE_IDLE, r->sent_ms, r->id, kind);
     }
-    bool repeatable = !is_at_most_once(r) || strcmp(soak_kinds[r->kind].route_kind, "stream") == 0;
-    if (r->abandoned_ms && r->is_calm && repeatable && r->begin_count &&
+    bool is_cancelable = !is_at_most_once(r) || strcmp(soak_kinds[r->kind].route_kind, "stream") == 0;
+    if (r->abandoned_ms && r->is_calm && is_cancelable && r->begin_count &&
         r->end_ms > r->abandoned_ms + CANCEL_SLACK_MS) {
         add_finding(c, SOAK_RAN_AFTER_CANCEL, r->abandoned_ms, r->id, kind);
     }
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -5,8 +5,8 @@
 #include "../standins/standin.h"
 #include "soak_site.h"
 
-#define FAULT_MIN_MS 300
-#define FAULT_SPREAD_MS 3500
+#define FAULT_DURATION_MIN_MS 300
+#define FAULT_DURATION_SPREAD_MS 3500
 #define FAULT_INTERVAL_MIN_MS 200 /* from one fault to the next, at least */
 #define FAULT_INTERVAL_SPREAD_MS 1200
 #define LEAVE_DURATION_MS (SOAK_DRAIN_MS + 4000) /* time for which a leaving server goes on serving */
@@ -266,7 +266,7 @@
     }
     char name[48];
     int64_t remaining_ms = s->faults_until_ms - standin_now();
-    int64_t duration_ms = FAULT_MIN_MS + (int64_t)(soak_random(s) % FAULT_SPREAD_MS);
+    int64_t duration_ms = FAULT_DURATION_MIN_MS + (int64_t)(soak_random(s) % FAULT_DURATION_SPREAD_MS);
     *a = (active_fault_t){.soak = s, .kind = kind, .target = target};
     ev_timer_init(&a->timer, on_fault_end, 0.0, 0.0);
     a->timer.data = a;
@@ -294,14 +294,14 @@
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    if (standin_now() + FAULT_MIN_MS > s->faults_until_ms) {
+    if (standin_now() + FAULT_DURATION_MIN_MS > s->faults_until_ms) {
         return;
     }
-    uint32_t sum = 0;
+    uint32_t weight_sum = 0;
     for (size_t i = 0; i < FAULT_KINDS; i++) {
-        sum += fault_kinds[i].weight;
+        weight_sum += fault_kinds[i].weight;
     }
-    uint32_t at = (uint32_t)(soak_random(s) % sum);
+    uint32_t at = (uint32_t)(soak_random(s) % weight_sum);
     size_t kind = 0;
     while (at >= fault_kinds[kind].weight) {
         at -= fault_kinds[kind++].weight;
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -18,7 +18,7 @@
 
 #define MAX_ARGS 80
 #define WATCH_INTERVAL_MS 20 /* period of the timer that detects scheduling delays */
-#define LATE_WAKEUP_MS 200   /* a timer this late: the machine did not schedule this program in time, nor others */
+#define LATE_WAKEUP_MS 200   /* a longer gap: the machine did not schedule this program in time, nor others */
 #define ENGINE_SLOTS 12
 #define ENGINE_MEMORY_TOKENS 400000
 #define PREFILL_US_PER_TOKEN "18"
