--- a/tools/soak_pushback.c
+++ b/tools/soak_pushback.c
@@ -55,7 +55,8 @@
     }
 }
 
-/* Returns whether the host had received pushback of this kind from the upstream by before_ms. */
+/* Returns whether the host of the arrival had received pushback of this kind from the upstream by before_ms, the time
+   at which the request was sent or arrived, less the time that the host has to comply. */
 static bool has_signal(const soak_pushback_t* p, soak_pushback_kind_t kind, const soak_arrival_t* a,
                        int64_t before_ms) {
     for (uint32_t i = 0; i < p->signal_count && p->signals[i].at_ms <= before_ms; i++) {
@@ -71,7 +72,7 @@
                        void* user) {
     int64_t from_ms = rate->from_ms + SOAK_PUSHBACK_RATE_GRACE_MS;
     double allowed = RATE_TOLERANCE * rate->per_s * SOAK_PUSHBACK_WINDOW_MS / MS_PER_S + RATE_BURST_REQUESTS;
-    int64_t window_ms[256]; /* ring of the latest arrival times */
+    int64_t arrivals_ms[256]; /* ring of the latest arrivals, to count those in the window that ends with the newest */
     uint32_t count = 0;
     for (uint32_t i = 0; i < p->arrival_count; i++) {
         const soak_arrival_t* a = &p->arrivals[i];
@@ -80,10 +81,10 @@
         if (!is_match || a->is_excused || !has_signal(p, SOAK_PUSHBACK_RATE, a, a->at_ms - SOAK_PUSHBACK_REACTION_MS)) {
             continue;
         }
-        window_ms[count++ % 256] = a->at_ms;
+        arrivals_ms[count++ % 256] = a->at_ms;
         uint32_t in_window_count = 0;
         for (uint32_t k = 0; k < 256 && k < count; k++) {
-            in_window_count += window_ms[k] > a->at_ms - SOAK_PUSHBACK_WINDOW_MS;
+            in_window_count += arrivals_ms[k] > a->at_ms - SOAK_PUSHBACK_WINDOW_MS;
         }
         if (in_window_count > allowed) {
             char what[80];
