--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -126,14 +126,15 @@
     return !*at;
 }
 
-static void finish(caller_t* w, unsigned status, bool is_complete) {
+static void finish(caller_t* w, unsigned status, bool is_response_complete) {
     char rest[100];
-    const char* retry = is_complete && status == 503 ? cw_message_field(&w->response, "Retry-After") : NULL;
+    const char* retry = is_response_complete && status == 503 ? cw_message_field(&w->response, "Retry-After") : NULL;
     w->is_busy = false;
     ev_timer_stop(w->parent->loop, &w->abandon_timer);
     bool is_quarantined = status == 503 && strstr(cw_buffer_text(&w->body), QUARANTINE_TEXT);
-    snprintf(rest, sizeof(rest), "%s %u %d %d %" PRId64 " %d", w->id, status, is_complete,
-             is_complete && is_body_correct(w), w->first_byte_ms ? w->first_byte_ms - w->sent_ms : 0, is_quarantined);
+    snprintf(rest, sizeof(rest), "%s %u %d %d %" PRId64 " %d", w->id, status, is_response_complete,
+             is_response_complete && is_body_correct(w), w->first_byte_ms ? w->first_byte_ms - w->sent_ms : 0,
+             is_quarantined);
     record_event(w->parent, "done", rest);
     cw_buffer_free(&w->body);
     w->retry_s = retry && !w->has_retried ? strtod(retry, NULL) : 0;
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -145,12 +145,13 @@
 
 /* Returns whether a fault of the configuration source may have kept hosts at at_ms from knowing what was published at
    since_ms. */
-static bool had_source_fault(const checker_t* c, int64_t since_ms, int64_t at_ms, int64_t propagation_ms) {
+static bool had_source_fault(const checker_t* c, int64_t since_ms, int64_t at_ms, int64_t leaving_grace_ms) {
     static const char prefix[] = "source-";
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
         bool is_match = strncmp(f->name, prefix, sizeof(prefix) - 1) == 0;
-        if (is_match && f->from_ms <= since_ms + propagation_ms && (!f->to_ms || f->to_ms + propagation_ms > at_ms)) {
+        if (is_match && f->from_ms <= since_ms + leaving_grace_ms &&
+            (!f->to_ms || f->to_ms + leaving_grace_ms > at_ms)) {
             return true;
         }
     }
@@ -224,9 +225,9 @@
     r->end_ms = 0;
     cw_copy(r->last_server, sizeof(r->last_server), s->id);
     s->running++;
-    int64_t propagation_ms = c->drain_ms + LEAVING_SLACK_MS;
-    bool is_late = s->leaving_ms && r->sent_ms > s->leaving_ms + propagation_ms;
-    if (is_late && !had_source_fault(c, s->leaving_ms, at_ms, propagation_ms)) {
+    int64_t leaving_grace_ms = c->drain_ms + LEAVING_SLACK_MS;
+    bool is_late = s->leaving_ms && r->sent_ms > s->leaving_ms + leaving_grace_ms;
+    if (is_late && !had_source_fault(c, s->leaving_ms, at_ms, leaving_grace_ms)) {
         add_finding(c, SOAK_SENT_TO_LEAVING, at_ms, r->id, s->id);
     }
 }
