--- a/tests/soak_clock.c
+++ b/tests/soak_clock.c
@@ -1,7 +1,8 @@
 /*
-    A library that is preloaded into the hosts of a soak, so that they can be suspended: after a signal CONT the
-   monotonic clock goes on from where it stood, as if the machine had slept, while the other clocks have gone on. For
-   how many milliseconds in all, it reads from the file that CHALKWAY_SOAK_SLEEP names; a missing file is no sleep.
+    Library that is preloaded into the hosts of a soak to simulate a suspended machine: after SIGCONT the monotonic
+    clocks continue from where they stopped, while the other clocks have advanced. On each SIGCONT it reads the total
+    time of suspension in ms from the file that CHALKWAY_SOAK_SLEEP names; if that file is missing, the clocks are not
+    set back.
 */
 #include <dlfcn.h>
 #include <fcntl.h>
@@ -14,15 +15,15 @@
 #define NS_PER_MS 1000000
 #define NS_PER_S 1000000000
 
-static volatile int64_t slept_ms;
-static int (*read_clock)(clockid_t, struct timespec*);
-static const char* path;
+static volatile int64_t suspended_total_ms;
+static int (*real_clock_gettime)(clockid_t, struct timespec*);
+static const char* suspend_path;
 
-/* Only calls that a signal handler may make. */
+/* Makes async-signal-safe calls only. */
 static void on_continue(int number) {
     (void)number;
     char text[24] = "";
-    int fd = path ? open(path, O_RDONLY | O_CLOEXEC) : -1;
+    int fd = suspend_path ? open(suspend_path, O_RDONLY | O_CLOEXEC) : -1;
     if (fd < 0) {
         return;
     }
@@ -32,22 +33,22 @@
     for (ssize_t i = 0; i < size && text[i] >= '0' && text[i] <= '9'; i++) {
         ms = ms * 10 + (text[i] - '0');
     }
-    slept_ms = ms;
+    suspended_total_ms = ms;
 }
 
-__attribute__((constructor)) static void begin(void) {
-    path = getenv("CHALKWAY_SOAK_SLEEP");
+__attribute__((constructor)) static void install(void) {
+    suspend_path = getenv("CHALKWAY_SOAK_SLEEP");
     struct sigaction action = {.sa_handler = on_continue, .sa_flags = SA_RESTART};
     sigaction(SIGCONT, &action, NULL);
 }
 
 int clock_gettime(clockid_t id, struct timespec* out) {
-    if (!read_clock) { /* other libraries read the clock as they are loaded */
-        read_clock = (int (*)(clockid_t, struct timespec*))dlsym(RTLD_NEXT, "clock_gettime");
+    if (!real_clock_gettime) { /* resolved on the first call: other libraries read the clock while they are loaded */
+        real_clock_gettime = (int (*)(clockid_t, struct timespec*))dlsym(RTLD_NEXT, "clock_gettime");
     }
-    int result = read_clock(id, out);
+    int result = real_clock_gettime(id, out);
     if (result == 0 && (id == CLOCK_MONOTONIC || id == CLOCK_MONOTONIC_COARSE || id == CLOCK_MONOTONIC_RAW)) {
-        int64_t ns = (int64_t)out->tv_sec * NS_PER_S + out->tv_nsec - slept_ms * NS_PER_MS;
+        int64_t ns = (int64_t)out->tv_sec * NS_PER_S + out->tv_nsec - suspended_total_ms * NS_PER_MS;
         out->tv_sec = (time_t)(ns / NS_PER_S);
         out->tv_nsec = (long)(ns % NS_PER_S);
     }
