--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -1,4 +1,4 @@
-/* From a request's id to its lines, over the logs of several daemons in both forms. */
+/* explain_request over the logs of several daemons, one in text and one in JSON form. */
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
     fclose(file);
 }
 
-/* Two logs: the request fails at one daemon and, coming back, is refused by another. */
+/* Two logs: request q1 fails at one daemon; another refuses its retry. */
 static void write_logs(void) {
     ck_assert_ptr_nonnull(mkdtemp(dir));
     write_file(0, "no line of the logger\n"
@@ -33,8 +33,8 @@
                "\"id\":\"q1\",\"why\":\"no server is left to try\"}\n");
 }
 
-/* What is printed, in a buffer that the next call fills anew. */
-static const char* explain(const char* id, int* lines) {
+/* Output of explain_request, in a static buffer that the next call overwrites. */
+static const char* run_explain(const char* id, int* lines) {
     static char out[8192];
     char* files[2] = {paths[0], paths[1]};
     memset(out, 0, sizeof(out));
@@ -50,10 +50,10 @@
     rmdir(dir);
 }
 
-START_TEST(lines_of_a_request_come_in_order_with_what_changed_beside_it) {
+START_TEST(request_lines_are_sorted_and_interleaved_with_context_lines) {
     int lines = 0;
     write_logs();
-    const char* out = explain("q1", &lines);
+    const char* out = run_explain("q1", &lines);
     ck_assert_int_eq(lines, 3);
     const char* sent = strstr(out, "request-sent id=q1 ");
     const char* lost = strstr(out, "~ ");
@@ -63,29 +63,29 @@
     ck_assert(sent && lost && away && failed && refused);
     ck_assert(sent < lost && lost < away && lost < failed && away < refused && failed < refused);
     ck_assert_ptr_null(strstr(out, "id=q11"));    /* another request */
-    ck_assert_ptr_null(strstr(out, "server=s2")); /* a server that it did not meet */
-    ck_assert_ptr_null(strstr(out, "03:20:20"));  /* long after it */
+    ck_assert_ptr_null(strstr(out, "server=s2")); /* a server that it was not sent to */
+    ck_assert_ptr_null(strstr(out, "03:20:20"));  /* outside the context window */
     remove_logs();
 }
 END_TEST
 
-START_TEST(an_unknown_request_and_a_missing_file_are_told) {
+START_TEST(unknown_request_and_unreadable_file_are_reported) {
     int lines = 0;
     write_logs();
-    const char* out = explain("q7", &lines);
+    const char* out = run_explain("q7", &lines);
     ck_assert_int_eq(lines, 0);
     ck_assert_str_eq(out, "");
     unlink(paths[1]);
-    out = explain("q1", &lines);
+    out = run_explain("q1", &lines);
     ck_assert_int_eq(lines, -1);
-    ck_assert_ptr_nonnull(strstr(out, "request-sent id=q1 ")); /* what can be read is shown */
+    ck_assert_ptr_nonnull(strstr(out, "request-sent id=q1 ")); /* lines of the readable file are printed */
     remove_logs();
 }
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, lines_of_a_request_come_in_order_with_what_changed_beside_it);
-    tcase_add_test(t, an_unknown_request_and_a_missing_file_are_told);
+    tcase_add_test(t, request_lines_are_sorted_and_interleaved_with_context_lines);
+    tcase_add_test(t, unknown_request_and_unreadable_file_are_reported);
 }
 
 int main(void) {
