--- a/tools/chalkwayctl.c
+++ b/tools/chalkwayctl.c
@@ -1,15 +1,16 @@
 /*
-    chalkwayctl: shows what operators declared and how it stands.
+    chalkwayctl: operators' command line. Shows declared resources with the state in which the hosts apply them.
 
         chalkwayctl -a IP:PORT get KIND [NAME]       a table, or JSON with -o json
         chalkwayctl -a IP:PORT describe KIND NAME    spec, revisions and conditions
-        chalkwayctl -a IP:PORT watch KIND            prints the table at each change
+        chalkwayctl -a IP:PORT watch KIND            prints the table again at each new revision
         chalkwayctl -a IP:PORT validate KIND/NAME FILE
-        chalkwayctl -a IP:PORT status                this host, its members and shards
-        chalkwayctl -a IP:PORT held                  requests under which servers ended (a gateway's metrics address)
+        chalkwayctl -a IP:PORT status                the host, the members of its cluster and its shards
+        chalkwayctl -a IP:PORT held                  requests suspected of crashing servers, with their quarantine
+                                                     verdicts; IP:PORT is a gateway's metrics address
         chalkwayctl -a IP:PORT release FINGERPRINT [WORKSPACE]
-                                                     one of them is no danger: all hosts take it again
-        chalkwayctl explain ID FILE...               the lines of a request in daemons' logs, in order of time
+                                                     releases such a request on all hosts
+        chalkwayctl explain ID FILE...               history of a request from the logs of the daemons
 */
 #include <argp.h>
 #include <curl/curl.h>
@@ -22,30 +23,30 @@
 
 #include "explain.h"
 
-#define MAX_WORDS 1024
+#define MAX_ARGUMENTS 1024
 #define URL_MAX 512
-#define WATCH_MS 30000L
-#define TIMEOUT_MS 10000L
+#define WATCH_WAIT_MS 30000L
+#define REQUEST_TIMEOUT_MS 10000L
 
 const char* argp_program_version = "chalkwayctl 0.1.0";
 
 typedef struct args_t {
     const char* address;
-    bool json;
-    char* words[MAX_WORDS];
+    bool is_json;
+    char* arguments[MAX_ARGUMENTS];
     int count;
 } args_t;
 
-typedef struct reply_t {
+typedef struct response_t {
     char* text;
     size_t size;
     long status;
-} reply_t;
+} response_t;
 
 /* -- requests ------------------------------------------------------------- */
 
-static size_t take(char* data, size_t size, size_t count, void* user) {
-    reply_t* r = user;
+static size_t append_body(char* data, size_t size, size_t count, void* user) {
+    response_t* r = user;
     size_t n = size * count;
     char* grown = realloc(r->text, r->size + n + 1);
     if (!grown) {
@@ -58,16 +59,17 @@
     return n;
 }
 
-/* One request; body NULL for GET. Says on standard error when there is no answer. */
-static reply_t ask(const args_t* args, const char* path, const char* body, long timeout_ms) {
-    reply_t r = {0};
+/* Sends a blocking request: POST with a body, GET when body is NULL. A transport failure is printed to standard error
+   and gives status 0. */
+static response_t send_request(const args_t* args, const char* path, const char* body, long timeout_ms) {
+    response_t r = {0};
     char url[URL_MAX];
     snprintf(url, sizeof(url), "http://%s%s", args->address, path);
     CURL* e = curl_easy_init();
     curl_easy_setopt(e, CURLOPT_URL, url);
     curl_easy_setopt(e, CURLOPT_NOPROXY, "*");
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, timeout_ms);
-    curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, take);
+    curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, append_body);
     curl_easy_setopt(e, CURLOPT_WRITEDATA, &r);
     if (body) {
         curl_easy_setopt(e, CURLOPT_POSTFIELDS, body);
@@ -82,14 +84,14 @@
     return r;
 }
 
-/* Prints an error answer; returns the exit status. */
-static int explain(const reply_t* r) {
+/* Prints the error of a response to standard error; returns the exit code of the program. */
+static int report_error(const response_t* r) {
     json_t* root = json_loads(r->text ? r->text : "", 0, NULL);
     json_t* error = json_object_get(root, "error");
     const char* message = json_string_value(json_object_get(error, "message"));
     const char* step = json_string_value(json_object_get(error, "step"));
     if (r->status) {
-        fprintf(stderr, "%s: %s\n", step ? step : "answer", message ? message : "not understood");
+        fprintf(stderr, "%s: %s\n", step ? step : "answer", message ? message : "no error message in the response");
     }
     json_decref(root);
     return r->status == 404 ? EX_DATAERR : r->status == 422 ? EX_DATAERR : EX_UNAVAILABLE;
@@ -158,33 +160,34 @@
 
 /* -- commands ------------------------------------------------------------- */
 
-static int show(const args_t* args, const char* path, void (*print)(json_t* root)) {
-    reply_t r = ask(args, path, NULL, TIMEOUT_MS);
+static int fetch_and_print(const args_t* args, const char* path, void (*print)(json_t* root)) {
+    response_t r = send_request(args, path, NULL, REQUEST_TIMEOUT_MS);
     json_t* root = r.status == 200 ? json_loads(r.text, 0, NULL) : NULL;
-    int code = root ? EX_OK : explain(&r);
+    int code = root ? EX_OK : report_error(&r);
     if (root) {
-        (args->json ? print_json : print)(root);
+        (args->is_json ? print_json : print)(root);
     }
     json_decref(root);
     free(r.text);
     return code;
 }
 
-static int watch(const args_t* args) {
+static int watch_resources(const args_t* args) {
     long long revision = -1;
     for (;;) {
         char path[URL_MAX];
-        snprintf(path, sizeof(path), "/v1/resources/%s?since=%lld&wait_ms=%ld", args->words[1], revision, WATCH_MS);
-        reply_t r = ask(args, path, NULL, WATCH_MS + TIMEOUT_MS);
+        snprintf(path, sizeof(path), "/v1/resources/%s?since=%lld&wait_ms=%ld", args->arguments[1], revision,
+                 WATCH_WAIT_MS);
+        response_t r = send_request(args, path, NULL, WATCH_WAIT_MS + REQUEST_TIMEOUT_MS);
         json_t* root = r.status == 200 ? json_loads(r.text, 0, NULL) : NULL;
         if (!root) {
-            int code = explain(&r);
+            int code = report_error(&r);
             free(r.text);
             return code;
         }
         long long now = json_integer_value(json_object_get(root, "revision"));
         if (now != revision) {
-            (args->json ? print_json : print_table)(root);
+            (args->is_json ? print_json : print_table)(root);
             fflush(stdout);
         }
         revision = now;
@@ -193,19 +196,19 @@
     }
 }
 
-static int validate(const args_t* args) {
+static int validate_spec(const args_t* args) {
     json_error_t why;
-    json_t* spec = json_load_file(args->words[2], 0, &why);
+    json_t* spec = json_load_file(args->arguments[2], 0, &why);
     if (!spec) {
-        fprintf(stderr, "%s:%d: %s\n", args->words[2], why.line, why.text);
+        fprintf(stderr, "%s:%d: %s\n", args->arguments[2], why.line, why.text);
         return EX_DATAERR;
     }
-    json_t* root = json_pack("{s:s,s:o}", "key", args->words[1], "spec", spec);
+    json_t* root = json_pack("{s:s,s:o}", "key", args->arguments[1], "spec", spec);
     char* body = json_dumps(root, JSON_COMPACT);
-    reply_t r = ask(args, "/v1/validate", body, TIMEOUT_MS);
-    int code = r.status == 200 ? EX_OK : explain(&r);
+    response_t r = send_request(args, "/v1/validate", body, REQUEST_TIMEOUT_MS);
+    int code = r.status == 200 ? EX_OK : report_error(&r);
     if (code == EX_OK) {
-        printf("%s is valid\n", args->words[1]);
+        printf("%s is valid\n", args->arguments[1]);
     }
     json_decref(root);
     free(body);
@@ -213,22 +216,22 @@
     return code;
 }
 
-/* The lines of one request in the logs named. */
-static int explain_id(const args_t* args) {
-    int lines = explain_request(args->words[1], args->words + 2, args->count - 2, stdout);
-    if (lines < 0) {
-        fprintf(stderr, "not every file can be read\n");
+/* Prints the history of a request from the log files of the command line. */
+static int run_explain(const args_t* args) {
+    int line_count = explain_request(args->arguments[1], args->arguments + 2, args->count - 2, stdout);
+    if (line_count < 0) {
+        fprintf(stderr, "at least one log file cannot be read\n");
         return EX_NOINPUT;
     }
-    if (!lines) {
-        fprintf(stderr, "no line of %s in %d files: no daemon that wrote them read the request as a whole\n",
-                args->words[1], args->count - 2);
+    if (!line_count) {
+        fprintf(stderr, "no line for request %s in %d files: none of their daemons read the complete request\n",
+                args->arguments[1], args->count - 2);
         return EX_DATAERR;
     }
     return EX_OK;
 }
 
-static void print_held(json_t* root) {
+static void print_quarantined(json_t* root) {
     size_t i = 0;
     json_t* item = NULL;
     printf("%-16s  %-16s  %-7s %4s  %s\n", "FINGERPRINT", "WORKSPACE", "VERDICT", "ENDS", "AGAIN IN S");
@@ -240,56 +243,56 @@
     }
 }
 
-/* Every host hears of it from the one that is asked. */
-static int release(const args_t* args) {
+/* The gateway that receives the call propagates the release to all hosts. */
+static int release_quarantined(const args_t* args) {
     char path[URL_MAX];
-    snprintf(path, sizeof(path), "/held/release?fingerprint=%s&workspace=%s", args->words[1],
-             args->count > 2 ? args->words[2] : "0");
-    reply_t r = ask(args, path, "", TIMEOUT_MS);
+    snprintf(path, sizeof(path), "/held/release?fingerprint=%s&workspace=%s", args->arguments[1],
+             args->count > 2 ? args->arguments[2] : "0");
+    response_t r = send_request(args, path, "", REQUEST_TIMEOUT_MS);
     if (r.status == 200) {
-        printf("%s is released\n", args->words[1]);
+        printf("%s is released\n", args->arguments[1]);
     } else if (r.status == 404) {
-        fprintf(stderr, "%s: nothing is known against such a request of this workspace\n", args->words[1]);
+        fprintf(stderr, "%s: no quarantine record for this fingerprint and workspace\n", args->arguments[1]);
     }
     free(r.text);
     return r.status == 200 ? EX_OK : r.status == 404 ? EX_DATAERR : EX_UNAVAILABLE;
 }
 
-static int run(const args_t* args) {
-    const char* command = args->words[0];
+static int run_command(const args_t* args) {
+    const char* command = args->arguments[0];
     char path[URL_MAX];
     if (strcmp(command, "explain") == 0 && args->count >= 3) {
-        return explain_id(args);
+        return run_explain(args);
     }
     if (!args->address) {
-        fprintf(stderr, "an address (-a) is needed; see --help\n");
+        fprintf(stderr, "option -a (address of a host) is required; see --help\n");
         return EX_USAGE;
     }
     if (strcmp(command, "get") == 0 && args->count >= 2) {
-        snprintf(path, sizeof(path), "/v1/resources/%s%s%s", args->words[1], args->count > 2 ? "/" : "",
-                 args->count > 2 ? args->words[2] : "");
-        return show(args, path, print_table);
+        snprintf(path, sizeof(path), "/v1/resources/%s%s%s", args->arguments[1], args->count > 2 ? "/" : "",
+                 args->count > 2 ? args->arguments[2] : "");
+        return fetch_and_print(args, path, print_table);
     }
     if (strcmp(command, "describe") == 0 && args->count == 3) {
-        snprintf(path, sizeof(path), "/v1/resources/%s/%s", args->words[1], args->words[2]);
-        return show(args, path, print_json);
+        snprintf(path, sizeof(path), "/v1/resources/%s/%s", args->arguments[1], args->arguments[2]);
+        return fetch_and_print(args, path, print_json);
     }
     if (strcmp(command, "watch") == 0 && args->count == 2) {
-        return watch(args);
+        return watch_resources(args);
     }
     if (strcmp(command, "validate") == 0 && args->count == 3) {
-        return validate(args);
+        return validate_spec(args);
     }
     if (strcmp(command, "held") == 0 && args->count == 1) {
-        return show(args, "/held", print_held);
+        return fetch_and_print(args, "/held", print_quarantined);
     }
     if (strcmp(command, "release") == 0 && (args->count == 2 || args->count == 3)) {
-        return release(args);
+        return release_quarantined(args);
     }
     if (strcmp(command, "status") == 0 && args->count == 1) {
-        return show(args, "/v1/status", print_status);
+        return fetch_and_print(args, "/v1/status", print_status);
     }
-    fprintf(stderr, "not a command with these words; see --help\n");
+    fprintf(stderr, "unknown command or wrong number of arguments; see --help\n");
     return EX_USAGE;
 }
 
@@ -300,17 +303,17 @@
             args->address = arg;
             return 0;
         case 'o':
-            args->json = strcmp(arg, "json") == 0;
+            args->is_json = strcmp(arg, "json") == 0;
             return 0;
         case ARGP_KEY_ARG:
-            if (args->count == MAX_WORDS) {
-                argp_error(state, "too many words");
+            if (args->count == MAX_ARGUMENTS) {
+                argp_error(state, "too many arguments");
             }
-            args->words[args->count++] = arg;
+            args->arguments[args->count++] = arg;
             return 0;
         case ARGP_KEY_END:
             if (!args->count) {
-                argp_error(state, "a command is needed");
+                argp_error(state, "a command is required");
             }
             return 0;
         default:
@@ -336,5 +339,5 @@
     argp_err_exit_status = EX_USAGE;
     argp_parse(&argp, argc, argv, 0, NULL, &args);
     curl_global_init(CURL_GLOBAL_DEFAULT);
-    return run(&args);
+    return run_command(&args);
 }
