--- a/tools/chalkway_load.c
+++ b/tools/chalkway_load.c
@@ -1,5 +1,6 @@
 /*
-    chalkway-load SCENARIO.ini [-o FILE.json]: open-loop load against running hosts; see samples/load.ini.
+    chalkway-load SCENARIO.ini [-o FILE.json]: generates open-loop load against running hosts and prints the results of
+    each class; see samples/load.ini.
 
     [load]            addresses (IP:PORT, separated by commas), seconds, callers, seed
     [workspace NAME]  token, share
@@ -17,8 +18,8 @@
 
 #include "load.h"
 
-#define TEXTS_MAX 16384
-#define PROGRESS_EVERY 10 /* calls of on_time, of 100 ms each */
+#define TEXT_BYTES_MAX 16384
+#define TICKS_PER_PROGRESS_LINE 10 /* on_progress is called every 100 ms */
 
 const char* argp_program_version = "chalkway-load 0.1.0";
 
@@ -29,39 +30,40 @@
 
 typedef struct scenario_t {
     load_desc_t load;
-    uint32_t seeds;
-    char texts[TEXTS_MAX]; /* of names, paths and tokens */
-    size_t used;
-    int wrong; /* settings that are not known */
+    uint32_t seed_count;
+    char text_bytes[TEXT_BYTES_MAX]; /* storage of names, paths, tokens and addresses */
+    size_t text_bytes_used;
+    int error_count; /* of the scenario file; any of them is fatal */
     int ticks;
 } scenario_t;
 
-static const char* keep(scenario_t* s, const char* text) {
+/* Copies a text into the scenario's storage; counts an error and returns "" when the storage is full. */
+static const char* store_text(scenario_t* s, const char* text) {
     size_t size = strlen(text) + 1;
-    if (s->used + size > sizeof(s->texts)) {
-        s->wrong++;
+    if (s->text_bytes_used + size > sizeof(s->text_bytes)) {
+        s->error_count++;
         return "";
     }
-    char* out = s->texts + s->used;
+    char* out = s->text_bytes + s->text_bytes_used;
     memcpy(out, text, size);
-    s->used += size;
+    s->text_bytes_used += size;
     return out;
 }
 
-/* -- the scenario --------------------------------------------------------- */
+/* -- scenario ------------------------------------------------------------- */
 
 static bool read_load(scenario_t* s, const char* key, const char* value) {
     if (strcmp(key, "seconds") == 0) {
-        s->load.seconds = strtod(value, NULL);
+        s->load.duration_s = strtod(value, NULL);
     } else if (strcmp(key, "callers") == 0) {
         s->load.callers = (uint32_t)strtoul(value, NULL, 10);
     } else if (strcmp(key, "seed") == 0) {
         s->load.seed = strtoull(value, NULL, 10);
     } else if (strcmp(key, "addresses") == 0) {
-        char* list = (char*)keep(s, value);
+        char* list = (char*)store_text(s, value);
         char* rest = NULL;
-        for (char* a = strtok_r(list, ", ", &rest); a && s->seeds < 15; a = strtok_r(NULL, ", ", &rest)) {
-            s->load.seeds[s->seeds++] = a;
+        for (char* a = strtok_r(list, ", ", &rest); a && s->seed_count < 15; a = strtok_r(NULL, ", ", &rest)) {
+            s->load.seeds[s->seed_count++] = a;
         }
     } else {
         return false;
@@ -69,7 +71,7 @@
     return true;
 }
 
-static load_workspace_t* workspace_of(scenario_t* s, const char* name) {
+static load_workspace_t* find_or_add_workspace(scenario_t* s, const char* name) {
     static const char* names[LOAD_MAX_WORKSPACES];
     for (uint32_t i = 0; i < s->load.workspace_count; i++) {
         if (strcmp(names[i], name) == 0) {
@@ -79,12 +81,12 @@
     if (s->load.workspace_count == LOAD_MAX_WORKSPACES) {
         return NULL;
     }
-    names[s->load.workspace_count] = keep(s, name);
+    names[s->load.workspace_count] = store_text(s, name);
     s->load.workspaces[s->load.workspace_count] = (load_workspace_t){.share = 1};
     return &s->load.workspaces[s->load.workspace_count++];
 }
 
-static load_class_t* class_of(scenario_t* s, const char* name) {
+static load_class_t* find_or_add_class(scenario_t* s, const char* name) {
     for (uint32_t i = 0; i < s->load.class_count; i++) {
         if (strcmp(s->load.classes[i].name, name) == 0) {
             return &s->load.classes[i];
@@ -94,14 +96,14 @@
         return NULL;
     }
     load_class_t* c = &s->load.classes[s->load.class_count++];
-    *c = (load_class_t){.name = keep(s, name), .deadline_ms = 10000, .weight = 1, .length = 50};
+    *c = (load_class_t){.name = store_text(s, name), .deadline_ms = 10000, .weight = 1, .mean_tokens = 50};
     return c;
 }
 
 static bool read_workspace(scenario_t* s, const char* name, const char* key, const char* value) {
-    load_workspace_t* w = workspace_of(s, name);
+    load_workspace_t* w = find_or_add_workspace(s, name);
     if (w && strcmp(key, "token") == 0) {
-        w->token = keep(s, value);
+        w->token = store_text(s, value);
     } else if (w && strcmp(key, "share") == 0) {
         w->share = strtod(value, NULL);
     } else {
@@ -111,33 +113,33 @@
 }
 
 static bool read_class(scenario_t* s, const char* name, const char* key, const char* value) {
-    load_class_t* c = class_of(s, name);
+    load_class_t* c = find_or_add_class(s, name);
     double number = strtod(value, NULL);
     if (!c) {
         return false;
     }
     if (strcmp(key, "path") == 0) {
-        c->path = keep(s, value);
+        c->path = store_text(s, value);
     } else if (strcmp(key, "model") == 0) {
-        c->model = keep(s, value);
+        c->model = store_text(s, value);
     } else if (strcmp(key, "once") == 0) {
-        c->once = strcmp(value, "yes") == 0;
+        c->is_run_once = strcmp(value, "yes") == 0;
     } else if (strcmp(key, "stream") == 0) {
-        c->stream = strcmp(value, "yes") == 0;
+        c->is_stream = strcmp(value, "yes") == 0;
     } else if (strcmp(key, "deadline_ms") == 0) {
         c->deadline_ms = (uint32_t)number;
     } else if (strcmp(key, "weight") == 0) {
         c->weight = number;
     } else if (strcmp(key, "length") == 0) {
-        c->length = number;
+        c->mean_tokens = number;
     } else if (strcmp(key, "rate") == 0) {
-        c->phases[0].rate = number;
+        c->phases[0].rate_per_s = number;
     } else if (strcmp(key, "burst_at_s") == 0) {
         c->phases[1].from_s = number;
     } else if (strcmp(key, "burst_rate") == 0) {
-        c->phases[1].rate = number;
+        c->phases[1].rate_per_s = number;
     } else if (strcmp(key, "burst_s") == 0) {
-        c->phases[2].from_s = number; /* its end, made absolute when all is read */
+        c->phases[2].from_s = number; /* duration of the burst; finish_scenario makes it the time of its end */
     } else {
         return false;
     }
@@ -146,57 +148,57 @@
 
 static int read_line(void* user, const char* section, const char* key, const char* value) {
     scenario_t* s = user;
-    bool known = false;
+    bool is_known = false;
     if (strcmp(section, "load") == 0) {
-        known = read_load(s, key, value);
+        is_known = read_load(s, key, value);
     } else if (strncmp(section, "workspace ", 10) == 0) {
-        known = read_workspace(s, section + 10, key, value);
+        is_known = read_workspace(s, section + 10, key, value);
     } else if (strncmp(section, "class ", 6) == 0) {
-        known = read_class(s, section + 6, key, value);
+        is_known = read_class(s, section + 6, key, value);
     }
-    if (!known) {
-        fprintf(stderr, "[%s] %s: is not known\n", section, key);
-        s->wrong++;
+    if (!is_known) {
+        fprintf(stderr, "[%s] %s: unknown setting, or too many classes or workspaces\n", section, key);
+        s->error_count++;
     }
     return 1;
 }
 
-/* Completes what the lines left open; false after messages. */
-static bool complete(scenario_t* s) {
+/* Sets the phase that follows a burst and checks required settings. Prints errors; false if the file had any. */
+static bool finish_scenario(scenario_t* s) {
     for (uint32_t i = 0; i < s->load.class_count; i++) {
         load_class_t* c = &s->load.classes[i];
         if (!c->path) {
-            fprintf(stderr, "[class %s] path: is missing\n", c->name);
-            s->wrong++;
+            fprintf(stderr, "[class %s] path: required setting is missing\n", c->name);
+            s->error_count++;
         }
         if (c->phases[1].from_s > 0) {
-            c->phases[2] =
-                (load_phase_t){.from_s = c->phases[1].from_s + c->phases[2].from_s, .rate = c->phases[0].rate};
+            c->phases[2] = (load_phase_t){.from_s = c->phases[1].from_s + c->phases[2].from_s,
+                                          .rate_per_s = c->phases[0].rate_per_s};
         }
     }
     for (uint32_t i = 0; i < s->load.workspace_count; i++) {
         if (!s->load.workspaces[i].token) {
-            fprintf(stderr, "a workspace has no token\n");
-            s->wrong++;
+            fprintf(stderr, "[workspace] token: required setting is missing in a workspace\n");
+            s->error_count++;
         }
     }
-    if (!s->seeds || !s->load.class_count || !s->load.workspace_count || s->load.seconds <= 0) {
-        fprintf(stderr, "addresses, seconds, a class and a workspace are needed\n");
-        s->wrong++;
+    if (!s->seed_count || !s->load.class_count || !s->load.workspace_count || s->load.duration_s <= 0) {
+        fprintf(stderr, "[load] addresses and seconds, one class and one workspace are required\n");
+        s->error_count++;
     }
-    return s->wrong == 0;
+    return s->error_count == 0;
 }
 
 /* -- results -------------------------------------------------------------- */
 
-static void on_time(void* user, double at_s) {
+static void on_progress(void* user, double at_s) {
     scenario_t* s = user;
-    if (++s->ticks % PROGRESS_EVERY == 0) {
-        fprintf(stderr, "\r%.0f of %.0f s ", at_s, s->load.seconds);
+    if (++s->ticks % TICKS_PER_PROGRESS_LINE == 0) {
+        fprintf(stderr, "\r%.0f of %.0f s ", at_s, s->load.duration_s);
     }
 }
 
-static json_t* report(const scenario_t* s, const load_result_t* r) {
+static json_t* print_report(const scenario_t* s, const load_result_t* r) {
     json_t* classes = json_object();
     double goodput = 0;
     printf("%-24s %7s %10s %7s %7s %7s %8s %8s %7s\n", "CLASS", "SENT", "ATTAINMENT", "P50 MS", "P95 MS", "P99 MS",
@@ -204,17 +206,17 @@
     for (uint32_t i = 0; i < s->load.class_count; i++) {
         const load_class_result_t* c = &r->classes[i];
         double attainment = c->sent ? (double)c->in_time / c->sent : 0;
-        uint32_t unknown = c->unknown + c->failed + c->cut;
-        goodput += s->load.classes[i].weight * c->in_time / r->seconds;
+        uint32_t unknown = c->unknown + c->failed + c->truncated;
+        goodput += s->load.classes[i].weight * c->in_time / r->duration_s;
         printf("%-24s %7u %10.4f %7u %7u %7u %8u %8u %7u\n", s->load.classes[i].name, c->sent, attainment,
                cw_hist_quantile(&c->total_ms, 0.5), cw_hist_quantile(&c->total_ms, 0.95),
-               cw_hist_quantile(&c->total_ms, 0.99), c->refused, unknown, c->wrong);
+               cw_hist_quantile(&c->total_ms, 0.99), c->refused, unknown, c->mismatched);
         json_object_set_new(classes, s->load.classes[i].name,
                             json_pack("{s:i,s:f,s:i,s:i,s:i,s:i,s:i,s:i}", "sent", (int)c->sent, "attainment",
                                       attainment, "p50_ms", (int)cw_hist_quantile(&c->total_ms, 0.5), "p95_ms",
                                       (int)cw_hist_quantile(&c->total_ms, 0.95), "p99_ms",
                                       (int)cw_hist_quantile(&c->total_ms, 0.99), "refused", (int)c->refused, "unknown",
-                                      (int)unknown, "wrong", (int)c->wrong));
+                                      (int)unknown, "wrong", (int)c->mismatched));
     }
     printf("goodput %.2f/s, retries %u, generator lag p99 %u ms\n", goodput, r->retries, r->lag_p99_ms);
     return json_pack("{s:o,s:f,s:i,s:i}", "classes", classes, "goodput", goodput, "retries", (int)r->retries,
@@ -232,7 +234,7 @@
             return 0;
         case ARGP_KEY_END:
             if (!args->scenario) {
-                argp_error(state, "a scenario is needed");
+                argp_error(state, "a scenario file is required");
             }
             return 0;
         default:
@@ -242,8 +244,10 @@
 
 int main(int argc, char** argv) {
     static const struct argp_option options[] = {{"output", 'o', "FILE", 0, "results as JSON", 0}, {0}};
-    const struct argp argp = {
-        .options = options, .parser = parse_option, .args_doc = "SCENARIO.ini", .doc = "Open-loop load for chalkway."};
+    const struct argp argp = {.options = options,
+                              .parser = parse_option,
+                              .args_doc = "SCENARIO.ini",
+                              .doc = "Generates open-loop load against chalkway hosts."};
     static scenario_t scenario;
     args_t args = {0};
     argp_err_exit_status = EX_USAGE;
@@ -253,15 +257,15 @@
         fprintf(stderr, "%s: cannot be read\n", args.scenario);
         return EX_CONFIG;
     }
-    if (!complete(&scenario)) {
+    if (!finish_scenario(&scenario)) {
         return EX_CONFIG;
     }
     signal(SIGPIPE, SIG_IGN);
-    scenario.load.on_time = on_time;
+    scenario.load.on_progress = on_progress;
     scenario.load.user_data = &scenario;
     load_result_t result = load_run(&scenario.load);
     fprintf(stderr, "\r                    \r");
-    json_t* root = report(&scenario, &result);
+    json_t* root = print_report(&scenario, &result);
     int failed = args.output ? json_dump_file(root, args.output, JSON_INDENT(2)) : 0;
     json_decref(root);
     return failed ? EX_CANTCREAT : EX_OK;
--- a/tools/load.c
+++ b/tools/load.c
@@ -12,60 +12,60 @@
 #include "../io/buffer.h"
 #include "../tests/rng.h"
 
-#define MAX_TRIES 6
-#define MIN_LENGTH 4
+#define MAX_ATTEMPTS 6
+#define MIN_TOKENS 4
 #define LOOKUP_TIMEOUT_MS 200
 #define MAX_ADDRESSES 4
-#define GRACE_MS 3000 /* after the deadline a request is given up */
+#define DEADLINE_GRACE_MS 3000 /* a request is cancelled this long after its deadline */
 #define TOKEN_CHARS 7
 
 typedef struct load_t load_t;
 
-/* Who sends requests: keeps one lookup answer. */
+/* A simulated caller with its cached lookup response. */
 typedef struct caller_t {
     load_t* load;
     char addresses[MAX_ADDRESSES][48];
     uint32_t count;
     char ticket[128];
     char ticket_address[48];
-    double until_s; /* the answer may be used until then */
-    bool asking;
-    uint32_t tries;
+    double valid_until_s; /* expiry of the lookup response */
+    bool is_lookup_pending;
+    uint32_t attempts; /* lookups since the last successful one */
     char body[4096];
     size_t size;
 } caller_t;
 
-typedef struct job_t {
+typedef struct request_t {
     load_t* load;
     const load_arrival_t* arrival;
     const load_class_t* class;
     load_class_result_t* result;
     caller_t* caller;
     char id[48];
-    char name[192];   /* run-once */
-    char address[48]; /* that the name belongs to */
+    char idempotency_key[192]; /* of the last attempt of a run-once call */
+    char address[48];          /* of the host that issued the key's ticket */
     char body[256];
-    cw_buffer_t answer;
-    double first_s;
-    uint32_t tries;
+    cw_buffer_t response;
+    double first_byte_s;
+    uint32_t attempts;
     unsigned status;
     char outcome[16];
     uint32_t retry_after_ms;
     ev_timer timer;
     cw_call_t* call;
-} job_t;
+} request_t;
 
 struct load_t {
     const load_desc_t* desc;
     struct ev_loop* loop;
     cw_client_t* client;
     load_arrival_t* plan;
-    uint32_t count, next, open;
+    uint32_t count, next_index, open_count;
     caller_t* callers;
-    ev_timer arrivals, tick;
+    ev_timer arrival_timer, tick_timer;
     double start_s;
     rng_t rng;
-    cw_hist_t lag;
+    cw_hist_t lateness_ms;
     load_result_t result;
 };
 
@@ -81,17 +81,17 @@
 
 /* -- plan ----------------------------------------------------------------- */
 
-static double rate_at(const load_class_t* c, double at_s) {
-    double rate = 0;
+static double rate_at_time(const load_class_t* c, double at_s) {
+    double rate_per_s = 0;
     for (uint32_t i = 0; i < LOAD_MAX_PHASES; i++) {
         if ((i == 0 || c->phases[i].from_s > 0) && c->phases[i].from_s <= at_s) {
-            rate = c->phases[i].rate;
+            rate_per_s = c->phases[i].rate_per_s;
         }
     }
-    return rate;
+    return rate_per_s;
 }
 
-static uint32_t choose_workspace(const load_desc_t* d, rng_t* rng) {
+static uint32_t draw_workspace(const load_desc_t* d, rng_t* rng) {
     double sum = 0;
     for (uint32_t i = 0; i < d->workspace_count; i++) {
         sum += d->workspaces[i].share;
@@ -106,14 +106,14 @@
     return d->workspace_count - 1;
 }
 
-static uint32_t choose_length(const load_class_t* c, rng_t* rng) {
-    double length = -log(uniform(rng)) * c->length;
-    double max = c->max_length > 0 ? c->max_length : 8 * c->length;
+static uint32_t draw_token_count(const load_class_t* c, rng_t* rng) {
+    double length = -log(uniform(rng)) * c->mean_tokens;
+    double max = c->max_tokens > 0 ? c->max_tokens : 8 * c->mean_tokens;
     length = length > max ? max : length;
-    return length < MIN_LENGTH ? MIN_LENGTH : (uint32_t)length;
+    return length < MIN_TOKENS ? MIN_TOKENS : (uint32_t)length;
 }
 
-static int by_time(const void* a, const void* b) {
+static int compare_by_time(const void* a, const void* b) {
     double x = ((const load_arrival_t*)a)->at_s;
     double y = ((const load_arrival_t*)b)->at_s;
     return (x > y) - (x < y);
@@ -126,11 +126,11 @@
     load_arrival_t* plan = cw_alloc(NULL, capacity, sizeof(*plan));
     for (uint32_t c = 0; c < d->class_count; c++) {
         const double step_s = 0.001;
-        uint32_t steps = (uint32_t)(d->seconds / step_s);
+        uint32_t steps = (uint32_t)(d->duration_s / step_s);
         for (uint32_t step = 0; step < steps; step++) {
             double at = step * step_s;
-            double expected = rate_at(&d->classes[c], at) * step_s;
-            while (expected > 0 && uniform(&rng) <= expected) { /* at most a few in a millisecond */
+            double expected = rate_at_time(&d->classes[c], at) * step_s;
+            while (expected > 0 && uniform(&rng) <= expected) { /* rates above 1 per ms give several in a step */
                 expected -= 1;
                 if (n == capacity) {
                     capacity *= 2;
@@ -140,21 +140,22 @@
                     }
                     plan = grown;
                 }
-                plan[n++] = (load_arrival_t){.at_s = at + uniform(&rng) * step_s,
-                                             .class_index = c,
-                                             .workspace = choose_workspace(d, &rng),
-                                             .length = d->classes[c].model ? choose_length(&d->classes[c], &rng) : 0};
+                plan[n++] =
+                    (load_arrival_t){.at_s = at + uniform(&rng) * step_s,
+                                     .class_index = c,
+                                     .workspace = draw_workspace(d, &rng),
+                                     .token_count = d->classes[c].model ? draw_token_count(&d->classes[c], &rng) : 0};
             }
         }
     }
-    qsort(plan, n, sizeof(*plan), by_time);
+    qsort(plan, n, sizeof(*plan), compare_by_time);
     *count = n;
     return plan;
 }
 
 /* -- lookups -------------------------------------------------------------- */
 
-static void take_lookup(caller_t* c) {
+static void apply_lookup(caller_t* c) {
     json_t* root = json_loadb(c->body, c->size, 0, NULL);
     json_t* list = json_object_get(root, "addresses");
     if (json_array_size(list)) {
@@ -164,8 +165,8 @@
         }
         cw_copy(c->ticket, sizeof(c->ticket), json_string_value(json_object_get(root, "ticket")));
         cw_copy(c->ticket_address, 48, json_string_value(json_object_get(root, "ticket_address")));
-        c->until_s = now_s() + (double)json_integer_value(json_object_get(root, "keep_ms")) / 1000.0;
-        c->tries = 0;
+        c->valid_until_s = now_s() + (double)json_integer_value(json_object_get(root, "keep_ms")) / 1000.0;
+        c->attempts = 0;
     }
     json_decref(root);
 }
@@ -181,28 +182,29 @@
 
 static void on_lookup_done(void* user, const cw_call_result_t* result) {
     caller_t* c = user;
-    c->asking = false;
-    c->tries++;
+    c->is_lookup_pending = false;
+    c->attempts++;
     if (result->whole && result->status == 200) {
-        take_lookup(c);
+        apply_lookup(c);
     }
 }
 
-/* Asks for a new answer when the present one is nearly over: any address it knows, else a seed. */
-static void refresh_caller(caller_t* c) {
+/* Renews the lookup response shortly before it expires. Asks one of the cached addresses; after two failed lookups, or
+   without any address, a seed. */
+static void refresh_lookup(caller_t* c) {
     load_t* l = c->load;
-    if (c->asking || now_s() < c->until_s - 0.2) {
+    if (c->is_lookup_pending || now_s() < c->valid_until_s - 0.2) {
         return;
     }
     uint32_t seeds = 0;
     while (l->desc->seeds[seeds]) {
         seeds++;
     }
-    const char* address = (c->count && c->tries < 2) ? c->addresses[(c->tries + rng_below(&l->rng, 2)) % c->count]
-                                                     : l->desc->seeds[rng_below(&l->rng, seeds)];
+    const char* address = (c->count && c->attempts < 2) ? c->addresses[(c->attempts + rng_below(&l->rng, 2)) % c->count]
+                                                        : l->desc->seeds[rng_below(&l->rng, seeds)];
     char url[96];
     snprintf(url, sizeof(url), "http://%s/v1/lookup", address);
-    c->asking = true;
+    c->is_lookup_pending = true;
     c->size = 0;
     cw_client_call(l->client, &(cw_call_desc_t){.url = url,
                                                 .timeout_ms = LOOKUP_TIMEOUT_MS,
@@ -211,9 +213,9 @@
                                                 .user_data = c});
 }
 
-/* -- answers -------------------------------------------------------------- */
+/* -- responses ------------------------------------------------------------ */
 
-/* Appends the contents of a stream's events. */
+/* Concatenates the contents of a stream's events in place; returns the length. */
 static size_t join_stream(char* text) {
     static const char mark[] = "\"content\":\"";
     char* out = text;
@@ -227,11 +229,11 @@
     return (size_t)(out - text);
 }
 
-static bool tokens_match(const job_t* j, const char* text, size_t size) {
-    if (size != (size_t)j->arrival->length * TOKEN_CHARS) {
+static bool tokens_match(const request_t* j, const char* text, size_t size) {
+    if (size != (size_t)j->arrival->token_count * TOKEN_CHARS) {
         return false;
     }
-    for (uint32_t k = 0; k < j->arrival->length; k++) {
+    for (uint32_t k = 0; k < j->arrival->token_count; k++) {
         char token[32];
         snprintf(token, sizeof(token), "w%05u ", (unsigned)(XXH64(j->id, strlen(j->id), k) % 100000));
         if (memcmp(text + (size_t)k * TOKEN_CHARS, token, TOKEN_CHARS) != 0) {
@@ -241,67 +243,67 @@
     return true;
 }
 
-static bool answer_matches(job_t* j) {
-    if (!j->answer.data) {
+static bool response_matches(request_t* j) {
+    if (!j->response.data) {
         return false;
     }
-    if (j->class->stream) {
-        bool ended = strstr(j->answer.data, "data: [DONE]") != NULL;
-        return tokens_match(j, j->answer.data, join_stream(j->answer.data)) && ended;
+    if (j->class->is_stream) {
+        bool has_done_event = strstr(j->response.data, "data: [DONE]") != NULL;
+        return tokens_match(j, j->response.data, join_stream(j->response.data)) && has_done_event;
     }
-    json_t* root = json_loadb(j->answer.data, j->answer.size, 0, NULL);
-    bool right = false;
+    json_t* root = json_loadb(j->response.data, j->response.size, 0, NULL);
+    bool is_match = false;
     if (j->class->model) {
         json_t* choice = json_array_get(json_object_get(root, "choices"), 0);
         const char* text = json_string_value(json_object_get(json_object_get(choice, "message"), "content"));
-        right = text && tokens_match(j, text, strlen(text));
+        is_match = text && tokens_match(j, text, strlen(text));
     } else {
         const char* echo = json_string_value(json_object_get(root, "echo"));
-        right = echo && strcmp(echo, j->body) == 0;
+        is_match = echo && strcmp(echo, j->body) == 0;
     }
     json_decref(root);
-    return right;
+    return is_match;
 }
 
-static void job_end(job_t* j) {
+static void finish_request(request_t* j) {
     load_t* l = j->load;
     ev_timer_stop(l->loop, &j->timer);
-    cw_buffer_free(&j->answer);
+    cw_buffer_free(&j->response);
     free(j);
-    if (--l->open == 0 && l->next == l->count) {
+    if (--l->open_count == 0 && l->next_index == l->count) {
         ev_break(l->loop, EVBREAK_ALL);
     }
 }
 
-static void count_delivered(job_t* j) {
+static void count_delivered(request_t* j) {
     load_t* l = j->load;
     load_class_result_t* r = j->result;
-    double took_ms = (now_s() - l->start_s - j->arrival->at_s) * 1000;
+    double latency_ms = (now_s() - l->start_s - j->arrival->at_s) * 1000;
     r->delivered++;
-    r->in_time += took_ms <= j->class->deadline_ms;
-    r->tokens += j->arrival->length;
-    l->result.workspace_tokens[j->arrival->workspace] += j->arrival->length;
-    cw_hist_add(&r->total_ms, (uint32_t)took_ms);
-    if (j->first_s > 0) {
-        cw_hist_add(&r->first_ms, (uint32_t)((j->first_s - l->start_s - j->arrival->at_s) * 1000));
+    r->in_time += latency_ms <= j->class->deadline_ms;
+    r->tokens += j->arrival->token_count;
+    l->result.workspace_tokens[j->arrival->workspace] += j->arrival->token_count;
+    cw_hist_add(&r->total_ms, (uint32_t)latency_ms);
+    if (j->first_byte_s > 0) {
+        cw_hist_add(&r->first_ms, (uint32_t)((j->first_byte_s - l->start_s - j->arrival->at_s) * 1000));
     }
 }
 
-/* -- tries ---------------------------------------------------------------- */
+/* -- attempts ------------------------------------------------------------- */
 
-static void send_job(job_t* j);
+static void send_request(request_t* j);
 
 static void on_retry(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    send_job(w->data);
+    send_request(w->data);
 }
 
-/* Tries again after a while if the deadline leaves room; false when it does not. */
-static bool retry_job(job_t* j, uint32_t wait_ms) {
+/* Schedules another attempt after wait_ms; false if the deadline or the limit of attempts does not allow one. */
+static bool schedule_retry(request_t* j, uint32_t wait_ms) {
     load_t* l = j->load;
-    double left_ms = j->class->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
-    if (j->tries >= MAX_TRIES || wait_ms >= left_ms) {
+    double remaining_ms = j->class->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
+    if (j->attempts >= MAX_ATTEMPTS || wait_ms >= remaining_ms) {
         return false;
     }
     l->result.retries++;
@@ -312,10 +314,10 @@
     return true;
 }
 
-static void on_answer_head(void* user, unsigned status, const char* type) {
+static void on_response_head(void* user, unsigned status, const char* type) {
     (void)type;
-    job_t* j = user;
-    j->first_s = now_s();
+    request_t* j = user;
+    j->first_byte_s = now_s();
     j->status = status;
     const char* outcome = cw_call_header(j->call, "Chalkway-Outcome");
     const char* retry = cw_call_header(j->call, "Retry-After");
@@ -323,70 +325,74 @@
     j->retry_after_ms = retry ? (uint32_t)strtoul(retry, NULL, 10) * 1000 : 0;
 }
 
-static bool on_answer_data(void* user, const char* data, size_t size) {
-    job_t* j = user;
-    cw_buffer_add(&j->answer, data, size);
+static bool on_response_data(void* user, const char* data, size_t size) {
+    request_t* j = user;
+    cw_buffer_add(&j->response, data, size);
     return true;
 }
 
-/* What the caller knows now decides whether it may send again. */
-static void on_answer_done(void* user, const cw_call_result_t* result) {
-    job_t* j = user;
+/* Ends or retries a request. A call that did not run is retried if nothing was sent or if the response has Retry-After;
+   a call that may have run is retried only if it is repeatable and its response was truncated. */
+static void on_response_done(void* user, const cw_call_result_t* result) {
+    request_t* j = user;
     j->call = NULL;
-    bool said_not_run = strcmp(j->outcome, "not-run") == 0;
+    bool is_not_run = strcmp(j->outcome, "not-run") == 0;
     if (result->whole && result->status == 200) {
-        if (answer_matches(j)) {
+        if (response_matches(j)) {
             count_delivered(j);
         } else {
-            j->result->wrong++;
+            j->result->mismatched++;
         }
-    } else if (said_not_run || !result->sent) {
-        if (!result->sent && j->class->once) { /* the ticket's host is gone: a new ticket of another is needed */
+    } else if (is_not_run || !result->sent) {
+        if (!result->sent && j->class->is_run_once) {
+            /* The host that issued the ticket is unreachable: forces a lookup, for a ticket of another host. */
             j->caller->ticket[0] = 0;
-            j->caller->until_s = 0;
+            j->caller->valid_until_s = 0;
         }
-        bool told_when = !result->sent || j->retry_after_ms;
-        if (told_when && retry_job(j, said_not_run ? j->retry_after_ms : 0)) {
+        bool may_retry = !result->sent || j->retry_after_ms;
+        if (may_retry && schedule_retry(j, is_not_run ? j->retry_after_ms : 0)) {
             return;
         }
         j->result->refused++;
-    } else if (!result->whole && !j->class->once && retry_job(j, 0)) {
+    } else if (!result->whole && !j->class->is_run_once && schedule_retry(j, 0)) {
         return;
     } else if (strcmp(j->outcome, "failed") == 0) {
         j->result->failed++;
     } else if (result->status == 200) {
-        j->result->cut++;
+        j->result->truncated++;
     } else {
         j->result->unknown++;
     }
-    job_end(j);
+    finish_request(j);
 }
 
-/* Picks the address: the ticket's for a named call, else the lookup's in order of the tries. */
-static bool choose_address(job_t* j, char address[48]) {
+/* Chooses the host of an attempt. A run-once call goes to the host that issued the ticket. Other calls go to one of the
+   first two addresses of the lookup, chosen at random; retry n goes to address n, modulo their number. */
+static bool choose_address(request_t* j, char address[48]) {
     caller_t* c = j->caller;
-    refresh_caller(c);
+    refresh_lookup(c);
     if (!c->count) {
         return false;
     }
-    if (!j->class->once) {
-        cw_copy(address, 48, c->addresses[(j->tries + (j->tries ? 0 : rng_below(&j->load->rng, 2))) % c->count]);
+    if (!j->class->is_run_once) {
+        cw_copy(address, 48, c->addresses[(j->attempts + (j->attempts ? 0 : rng_below(&j->load->rng, 2))) % c->count]);
         return true;
     }
-    /* A name is used only while nothing has been sent under it; then a new one of a live host is right. */
-    snprintf(j->name, sizeof(j->name), "%s/%s-%u", c->ticket, j->id, j->tries);
+    /* A retry of a run-once call follows only attempts that did not run, so a new key, from a live host's ticket, is
+       safe. */
+    snprintf(j->idempotency_key, sizeof(j->idempotency_key), "%s/%s-%u", c->ticket, j->id, j->attempts);
     cw_copy(address, 48, c->ticket_address);
     return c->ticket[0] != 0;
 }
 
-static void send_job(job_t* j) {
+static void send_request(request_t* j) {
     load_t* l = j->load;
     const load_class_t* c = j->class;
     char address[48];
     if (!choose_address(j, address)) {
-        if (!retry_job(j, 20)) { /* waits for the lookup's answer */
+        if (!schedule_retry(j, 20)) { /* until the lookup has answered */
             j->result->refused++;
-            job_end(j);
+            finish_request(j);
         }
         return;
     }
@@ -397,35 +403,35 @@
     cw_header_t headers[5] = {
         {"Authorization", bearer}, {"Chalkway-Class", c->name}, {"Content-Type", "application/json"}};
     uint32_t count = 3;
-    if (c->once) {
-        headers[count++] = (cw_header_t){"Idempotency-Key", j->name};
+    if (c->is_run_once) {
+        headers[count++] = (cw_header_t){"Idempotency-Key", j->idempotency_key};
     }
-    j->tries++;
-    j->answer.size = 0;
+    j->attempts++;
+    j->response.size = 0;
     j->status = 0;
     j->outcome[0] = 0;
     j->retry_after_ms = 0;
-    double left_ms = c->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
+    double remaining_ms = c->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
     char deadline[16];
-    snprintf(deadline, sizeof(deadline), "%u", left_ms > 1 ? (unsigned)left_ms : 1);
+    snprintf(deadline, sizeof(deadline), "%u", remaining_ms > 1 ? (unsigned)remaining_ms : 1);
     headers[count++] = (cw_header_t){"Chalkway-Deadline-Ms", deadline};
     j->call = cw_client_call(l->client, &(cw_call_desc_t){.url = url,
                                                           .headers = headers,
                                                           .header_count = count,
                                                           .body = j->body,
                                                           .size = strlen(j->body),
-                                                          .timeout_ms = c->deadline_ms + GRACE_MS,
+                                                          .timeout_ms = c->deadline_ms + DEADLINE_GRACE_MS,
                                                           .connect_ms = 300,
-                                                          .fresh = c->once,
-                                                          .on_head = on_answer_head,
-                                                          .on_data = on_answer_data,
-                                                          .on_done = on_answer_done,
+                                                          .fresh = c->is_run_once,
+                                                          .on_head = on_response_head,
+                                                          .on_data = on_response_data,
+                                                          .on_done = on_response_done,
                                                           .user_data = j});
 }
 
-static void start_job(load_t* l, uint32_t index) {
+static void start_request(load_t* l, uint32_t index) {
     const load_arrival_t* a = &l->plan[index];
-    job_t* j = cw_alloc(NULL, 1, sizeof(*j));
+    request_t* j = cw_alloc(NULL, 1, sizeof(*j));
     j->load = l;
     j->arrival = a;
     j->class = &l->desc->classes[a->class_index];
@@ -435,26 +441,26 @@
     if (j->class->model) {
         snprintf(j->body, sizeof(j->body),
                  "{\"model\":\"%s\",\"stream\":%s,\"messages\":[{\"content\":\"id=%s len=%u\"}]}", j->class->model,
-                 j->class->stream ? "true" : "false", j->id, a->length);
+                 j->class->is_stream ? "true" : "false", j->id, a->token_count);
     } else {
         snprintf(j->body, sizeof(j->body), "{\"call\":\"%s\"}", j->id);
     }
     ev_timer_init(&j->timer, on_retry, 0.0, 0.0);
-    l->open++;
+    l->open_count++;
     j->result->sent++;
-    send_job(j);
+    send_request(j);
 }
 
 static void on_arrivals(struct ev_loop* loop, ev_timer* w, int events) {
     (void)events;
     load_t* l = w->data;
     double at_s = now_s() - l->start_s;
-    while (l->next < l->count && l->plan[l->next].at_s <= at_s) {
-        cw_hist_add(&l->lag, (uint32_t)((at_s - l->plan[l->next].at_s) * 1000));
-        start_job(l, l->next++);
+    while (l->next_index < l->count && l->plan[l->next_index].at_s <= at_s) {
+        cw_hist_add(&l->lateness_ms, (uint32_t)((at_s - l->plan[l->next_index].at_s) * 1000));
+        start_request(l, l->next_index++);
     }
-    if (l->next < l->count) {
-        double wait_s = l->plan[l->next].at_s - at_s;
+    if (l->next_index < l->count) {
+        double wait_s = l->plan[l->next_index].at_s - at_s;
         ev_timer_set(w, wait_s > 0.0005 ? wait_s : 0.0005, 0.0);
         ev_timer_start(loop, w);
     }
@@ -465,10 +471,10 @@
     (void)events;
     load_t* l = w->data;
     for (uint32_t i = 0; i < l->desc->callers; i++) {
-        refresh_caller(&l->callers[i]);
+        refresh_lookup(&l->callers[i]);
     }
-    if (l->desc->on_time) {
-        l->desc->on_time(l->desc->user_data, now_s() - l->start_s);
+    if (l->desc->on_progress) {
+        l->desc->on_progress(l->desc->user_data, now_s() - l->start_s);
     }
 }
 
@@ -486,16 +492,16 @@
         l->callers[i].load = l;
     }
     l->start_s = now_s() + 0.5; /* time for the first lookups */
-    ev_timer_init(&l->arrivals, on_arrivals, 0.5, 0.0);
-    ev_timer_init(&l->tick, on_tick, 0.0, 0.1);
-    l->arrivals.data = l->tick.data = l;
-    ev_timer_start(l->loop, &l->arrivals);
-    ev_timer_start(l->loop, &l->tick);
+    ev_timer_init(&l->arrival_timer, on_arrivals, 0.5, 0.0);
+    ev_timer_init(&l->tick_timer, on_tick, 0.0, 0.1);
+    l->arrival_timer.data = l->tick_timer.data = l;
+    ev_timer_start(l->loop, &l->arrival_timer);
+    ev_timer_start(l->loop, &l->tick_timer);
     ev_run(l->loop, 0);
-    ev_timer_stop(l->loop, &l->tick);
-    ev_timer_stop(l->loop, &l->arrivals);
-    l->result.seconds = d.seconds;
-    l->result.lag_p99_ms = cw_hist_quantile(&l->lag, 0.99);
+    ev_timer_stop(l->loop, &l->tick_timer);
+    ev_timer_stop(l->loop, &l->arrival_timer);
+    l->result.duration_s = d.duration_s;
+    l->result.lag_p99_ms = cw_hist_quantile(&l->lateness_ms, 0.99);
     cw_client_shutdown(l->client);
     load_result_t result = l->result;
     free(l->plan);
--- a/tools/load.h
+++ b/tools/load.h
@@ -1,12 +1,13 @@
 #ifndef CW_TOOLS_LOAD_H
 #define CW_TOOLS_LOAD_H
 /*
-    Open-loop load: requests leave at times fixed beforehand, whatever
-    happened to the earlier ones. Callers behave as real ones do: they look
-    up addresses and keep the answer for its time, connect to the first,
-    move on to the next when nothing was sent, come back when they are told
-    to, and never repeat a call that may have run. Every answer is checked
-    byte for byte against its own request.
+    Open-loop load generator: requests are sent at times planned beforehand,
+    whatever the outcome of earlier requests. Simulated callers follow the
+    rules for callers of the system: they look up host addresses and cache
+    the response for its lifetime, try the next address when an attempt sent
+    nothing, honour Retry-After, and never retry a run-once call that may
+    have run. Every response is compared byte for byte with the one expected
+    for its request.
 */
 #include <ev.h>
 
@@ -17,27 +18,27 @@
 #define LOAD_MAX_WORKSPACES 64
 #define LOAD_MAX_PHASES 4
 
-/* Rate of arrivals from a time on. */
+/* Arrival rate from from_s until the next phase begins. */
 typedef struct load_phase_t {
-    double from_s, rate;
+    double from_s, rate_per_s;
 } load_phase_t;
 
 typedef struct load_class_t {
     const char* name;
     const char* path;  /* of the request */
     const char* model; /* NULL: a plain service */
-    bool once;         /* may not be repeated: sent under a ticket's name */
-    bool stream;
+    bool is_run_once;  /* not repeatable: sent under an idempotency key of a ticket */
+    bool is_stream;
     uint32_t deadline_ms;
-    double weight;     /* in goodput */
-    double length;     /* mean of the answer's tokens, exponential, at least 4 */
-    double max_length; /* longest, default 8 times the mean */
+    double weight;      /* of a response in time, in the weighted goodput */
+    double mean_tokens; /* of the response; exponential distribution, at least 4 */
+    double max_tokens;  /* cap of the distribution; 0: 8 times the mean */
     load_phase_t phases[LOAD_MAX_PHASES];
 } load_class_t;
 
 typedef struct load_workspace_t {
     const char* token;
-    double share; /* of the arrivals */
+    double share; /* relative share of the arrivals */
 } load_workspace_t;
 
 typedef struct load_desc_t {
@@ -45,37 +46,39 @@
     uint32_t class_count;
     load_workspace_t workspaces[LOAD_MAX_WORKSPACES];
     uint32_t workspace_count;
-    const char* seeds[16]; /* addresses for the first lookup, ends with NULL */
-    double seconds;        /* of arrivals */
-    uint32_t callers;      /* that keep a lookup answer each, default 40 */
-    uint64_t seed;
-    void (*on_time)(void* user_data, double at_s); /* each 100 ms; may be NULL */
+    const char* seeds[16]; /* host addresses (IP:PORT) for the first lookup; NULL-terminated */
+    double duration_s;     /* time span of the arrivals */
+    uint32_t callers;      /* simulated callers, each with a lookup response of its own; 0: 40 */
+    uint64_t seed;         /* of the random numbers */
+    void (*on_progress)(void* user_data, double at_s); /* called every 100 ms; may be NULL */
     void* user_data;
 } load_desc_t;
 
+/* Counts of requests by outcome: refused did not run; failed as reported by Chalkway-Outcome; truncated after a status
+   of 200; mismatched in content; unknown for all others that may have run. delivered includes in_time. */
 typedef struct load_class_result_t {
-    uint32_t sent, delivered, in_time, refused, unknown, failed, wrong, cut;
-    uint64_t tokens; /* of whole answers */
+    uint32_t sent, delivered, in_time, refused, unknown, failed, mismatched, truncated;
+    uint64_t tokens; /* of delivered responses */
     cw_hist_t total_ms, first_ms;
 } load_class_result_t;
 
 typedef struct load_result_t {
     load_class_result_t classes[LOAD_MAX_CLASSES];
-    double workspace_tokens[LOAD_MAX_WORKSPACES]; /* delivered, of engines */
+    double workspace_tokens[LOAD_MAX_WORKSPACES]; /* tokens of delivered responses */
     uint32_t retries;
-    uint32_t lag_p99_ms; /* the load tool's own lateness */
-    double seconds;
+    uint32_t lag_p99_ms; /* lateness of the generator itself: actual minus planned send time */
+    double duration_s;
 } load_result_t;
 
-/* One request of the plan. */
+/* A planned request; token_count is 0 for services. */
 typedef struct load_arrival_t {
     double at_s;
-    uint32_t class_index, workspace, length;
+    uint32_t class_index, workspace, token_count;
 } load_arrival_t;
 
-/* The arrivals of a description, the same for the same seed; to be freed. */
+/* Plans the arrivals, sorted by time; equal descriptions and seeds give equal plans. The caller frees the plan. */
 load_arrival_t* load_plan(const load_desc_t* desc, uint32_t* count);
-/* Runs the load on the default loop until every request has ended. */
+/* Generates the load on the default event loop; returns when every request has ended. */
 load_result_t load_run(const load_desc_t* desc);
 
 #endif
