--- a/tools/demo.c
+++ b/tools/demo.c
@@ -1,5 +1,7 @@
-/* chalkway-demo BUILD: a small site, real requests of each kind, a table of what happened. Exits 0 when all was right.
- */
+/*
+    chalkway-demo BUILD: starts a small site, sends requests of each kind and prints a table of the checks. Exits with 0
+    when all checks passed.
+*/
 #include <ev.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -10,23 +12,23 @@
 #include "../io/client.h"
 #include "site.h"
 
-#define READY_MS 20000
-#define BURST 120
-#define TOKEN "demo-token-of-sofia"
+#define READY_TIMEOUT_MS 20000
+#define BURST_REQUESTS 120
+#define BEARER_TOKEN "demo-token-of-sofia"
 
 typedef struct demo_t {
     site_t site;
-    int rows, wrong;
+    int check_count, failure_count;
 } demo_t;
 
-static void row(demo_t* d, bool right, const char* what, const char* seen) {
-    printf("  %-46s %-44s %s\n", what, seen, right ? "ok" : "WRONG");
+static void report_check(demo_t* d, bool is_ok, const char* check, const char* observed) {
+    printf("  %-46s %-44s %s\n", check, observed, is_ok ? "ok" : "WRONG");
     fflush(stdout);
-    d->rows++;
-    d->wrong += !right;
+    d->check_count++;
+    d->failure_count += !is_ok;
 }
 
-/* -- the site ------------------------------------------------------------- */
+/* -- site ------------------------------------------------------------------ */
 
 static bool start_processes(demo_t* d) {
     static const char* const none[] = {NULL};
@@ -52,10 +54,10 @@
              json_pack("{s:s,s:s,s:s,s:i}", "pool", pool, "address", p->http, "hall", p->hall, "slots", slots));
 }
 
-static bool publish(demo_t* d) {
+static bool publish_configuration(demo_t* d) {
     site_t* s = &d->site;
     char digest[65];
-    site_digest(TOKEN, digest);
+    site_digest(BEARER_TOKEN, digest);
     json_t* items = json_array();
     add_item(items, "workspaces/sofia", json_pack("{s:[s],s:i}", "token_digests", digest, "weight", 1));
     add_item(items, "pools/language", json_pack("{s:s,s:s}", "kind", "engine", "model", "chalk-7b"));
@@ -79,9 +81,10 @@
     return ok;
 }
 
-/* -- what an engine must have answered ------------------------------------ */
+/* -- expected responses ---------------------------------------------------- */
 
-static void expect_text(const char* id, unsigned tokens, char* out, size_t size) {
+/* The text that an engine stand-in generates for a request id. */
+static void format_expected_text(const char* id, unsigned tokens, char* out, size_t size) {
     size_t at = 0;
     out[0] = 0;
     for (unsigned k = 0; k < tokens && at + 16 < size; k++) {
@@ -89,13 +92,13 @@
     }
 }
 
-static void prompt_body(const char* id, unsigned tokens, bool stream, char* out, size_t size) {
+static void format_prompt(const char* id, unsigned tokens, bool stream, char* out, size_t size) {
     snprintf(out, size,
              "{\"model\":\"chalk-7b\",\"stream\":%s,\"messages\":[{\"role\":\"user\",\"content\":\"id=%s len=%u\"}]}",
              stream ? "true" : "false", id, tokens);
 }
 
-/* Joins the contents of a stream's events. */
+/* Concatenates the contents of a stream's events; false if the final [DONE] event is missing. */
 static bool join_stream(const char* body, char* out, size_t size) {
     static const char mark[] = "\"content\":\"";
     size_t at = 0;
@@ -111,97 +114,99 @@
     return strstr(body, "data: [DONE]") != NULL;
 }
 
-/* -- the rows ------------------------------------------------------------- */
+/* -- checks ---------------------------------------------------------------- */
 
-static void show_stream(demo_t* d, const char* address) {
+static void check_stream(demo_t* d, const char* address) {
     char body[256];
     char expected[4096];
     char got[4096];
-    prompt_body("stream-1", 40, true, body, sizeof(body));
-    expect_text("stream-1", 40, expected, sizeof(expected));
+    format_prompt("stream-1", 40, true, body, sizeof(body));
+    format_expected_text("stream-1", 40, expected, sizeof(expected));
     site_answer_t a = site_call(&(site_request_t){.address = address,
                                                   .path = "/v1/chat/completions",
-                                                  .token = TOKEN,
+                                                  .token = BEARER_TOKEN,
                                                   .class_name = "fault-diagnosis",
                                                   .body = body});
-    bool ended = join_stream(a.body, got, sizeof(got));
-    bool right = a.status == 200 && a.whole && ended && strcmp(got, expected) == 0;
-    char seen[128];
-    snprintf(seen, sizeof(seen), "%ld, 40 tokens %s, end %s", a.status, strcmp(got, expected) ? "differ" : "as sent",
-             ended ? "seen" : "missing");
-    row(d, right, "streamed chat completion (fault-diagnosis)", seen);
+    bool has_done_event = join_stream(a.body, got, sizeof(got));
+    bool is_ok = a.status == 200 && a.whole && has_done_event && strcmp(got, expected) == 0;
+    char observed[128];
+    snprintf(observed, sizeof(observed), "%ld, 40 tokens %s, end %s", a.status,
+             strcmp(got, expected) ? "differ" : "as sent", has_done_event ? "seen" : "missing");
+    report_check(d, is_ok, "streamed chat completion (fault-diagnosis)", observed);
 }
 
-static void show_whole(demo_t* d, const char* address) {
+static void check_complete_response(demo_t* d, const char* address) {
     char body[256];
     char expected[4096];
-    prompt_body("whole-1", 25, false, body, sizeof(body));
-    expect_text("whole-1", 25, expected, sizeof(expected));
+    format_prompt("whole-1", 25, false, body, sizeof(body));
+    format_expected_text("whole-1", 25, expected, sizeof(expected));
     site_answer_t a = site_call(&(site_request_t){.address = address,
                                                   .path = "/v1/chat/completions",
-                                                  .token = TOKEN,
+                                                  .token = BEARER_TOKEN,
                                                   .class_name = "stock-summary",
                                                   .body = body});
     json_t* root = json_loads(a.body, 0, NULL);
     json_t* choice = json_array_get(json_object_get(root, "choices"), 0);
     const char* got = json_string_value(json_object_get(json_object_get(choice, "message"), "content"));
-    bool same = got && strcmp(got, expected) == 0;
-    char seen[128];
-    snprintf(seen, sizeof(seen), "%ld %s, 25 tokens %s", a.status, a.outcome, same ? "as sent" : "differ");
-    row(d, a.status == 200 && same, "whole chat completion (stock-summary)", seen);
+    bool is_same = got && strcmp(got, expected) == 0;
+    char observed[128];
+    snprintf(observed, sizeof(observed), "%ld %s, 25 tokens %s", a.status, a.outcome, is_same ? "as sent" : "differ");
+    report_check(d, a.status == 200 && is_same, "whole chat completion (stock-summary)", observed);
     json_decref(root);
 }
 
-static int ran_of(const site_answer_t* a) {
+static int read_run_count(const site_answer_t* a) {
     json_t* root = json_loads(a->body, 0, NULL);
     int ran = (int)json_integer_value(json_object_get(root, "ran"));
     json_decref(root);
     return ran;
 }
 
-static void show_booking(demo_t* d, const char* any) {
-    site_answer_t lookup = site_call(&(site_request_t){.address = any, .path = "/v1/lookup"});
+static void check_booking(demo_t* d, const char* lookup_address) {
+    site_answer_t lookup = site_call(&(site_request_t){.address = lookup_address, .path = "/v1/lookup"});
     json_t* root = json_loads(lookup.body, 0, NULL);
     const char* ticket = json_string_value(json_object_get(root, "ticket"));
     const char* address = json_string_value(json_object_get(root, "ticket_address"));
     size_t addresses = json_array_size(json_object_get(root, "addresses"));
-    char seen[128];
-    snprintf(seen, sizeof(seen), "%zu addresses, ticket of %s", addresses, address ? address : "nobody");
-    row(d, addresses >= 2 && ticket && address, "lookup", seen);
+    char observed[128];
+    snprintf(observed, sizeof(observed), "%zu addresses, ticket of %s", addresses, address ? address : "nobody");
+    report_check(d, addresses >= 2 && ticket && address, "lookup", observed);
     if (ticket && address) {
         char key[192];
         snprintf(key, sizeof(key), "%s/booking-77", ticket);
         const site_request_t call = {.address = address,
                                      .path = "/v1/services/scheduling/book",
-                                     .token = TOKEN,
+                                     .token = BEARER_TOKEN,
                                      .class_name = "booking",
                                      .key = key,
                                      .body = "{\"call\":\"booking-77\",\"slot\":\"08:00\"}"};
         site_answer_t first = site_call(&call);
         site_answer_t second = site_call(&call);
-        bool same = strcmp(first.body, second.body) == 0 && ran_of(&first) == 1;
-        snprintf(seen, sizeof(seen), "%ld and %ld, runs %d, answers %s", first.status, second.status, ran_of(&second),
-                 same ? "the same" : "differ");
-        row(d, first.status == 200 && second.status == 200 && same, "booking, sent twice under one name", seen);
+        bool is_same = strcmp(first.body, second.body) == 0 && read_run_count(&first) == 1;
+        snprintf(observed, sizeof(observed), "%ld and %ld, runs %d, answers %s", first.status, second.status,
+                 read_run_count(&second), is_same ? "the same" : "differ");
+        report_check(d, first.status == 200 && second.status == 200 && is_same,
+                     "booking, sent twice with one idempotency key", observed);
         site_request_t other = call;
         for (int i = 0; i < d->site.count; i++) {
             const site_proc_t* p = &d->site.procs[i];
             other.address = (p->kind == SITE_DAEMON && strcmp(p->http, address) != 0) ? p->http : other.address;
         }
         site_answer_t third = site_call(&other);
-        snprintf(seen, sizeof(seen), "%ld %s", third.status, third.outcome);
-        row(d, third.status == 409 && strcmp(third.outcome, "unknown") == 0, "the same name at another host", seen);
+        snprintf(observed, sizeof(observed), "%ld %s", third.status, third.outcome);
+        report_check(d, third.status == 409 && strcmp(third.outcome, "unknown") == 0,
+                     "the same idempotency key at another host", observed);
     }
     json_decref(root);
     double runs = site_number(site_find(&d->site, "booking-1")->http, "/admin/stats", "runs");
-    snprintf(seen, sizeof(seen), "the service counted %.0f", runs);
-    row(d, runs == 1, "runs of that booking", seen);
+    snprintf(observed, sizeof(observed), "the service counted %.0f", runs);
+    report_check(d, runs == 1, "runs of that booking", observed);
 }
 
-/* -- a burst -------------------------------------------------------------- */
+/* -- burst ----------------------------------------------------------------- */
 
 typedef struct burst_t {
-    int delivered, refused, other, left;
+    int delivered, refused, other, remaining;
     struct ev_loop* loop;
 } burst_t;
 
@@ -210,25 +215,26 @@
     b->delivered += result->whole && result->status == 200;
     b->refused += result->whole && result->status == 429;
     b->other += !result->whole || (result->status != 200 && result->status != 429);
-    if (--b->left == 0) {
+    if (--b->remaining == 0) {
         ev_break(b->loop, EVBREAK_ALL);
     }
 }
 
-static void show_burst(demo_t* d) {
-    static char bodies[BURST][256];
-    burst_t b = {.left = BURST, .loop = ev_default_loop(EVFLAG_AUTO)};
+static void check_burst(demo_t* d) {
+    static char bodies[BURST_REQUESTS][256];
+    burst_t b = {.remaining = BURST_REQUESTS, .loop = ev_default_loop(EVFLAG_AUTO)};
     cw_client_t* client = cw_client_setup(b.loop, 0);
     const char* daemons[] = {site_find(&d->site, "router-1")->http, site_find(&d->site, "router-2")->http,
                              site_find(&d->site, "router-3")->http};
-    const cw_header_t headers[] = {
-        {"Authorization", "Bearer " TOKEN}, {"Chalkway-Class", "stock-summary"}, {"Content-Type", "application/json"}};
-    for (int i = 0; i < BURST; i++) {
+    const cw_header_t headers[] = {{"Authorization", "Bearer " BEARER_TOKEN},
+                                   {"Chalkway-Class", "stock-summary"},
+                                   {"Content-Type", "application/json"}};
+    for (int i = 0; i < BURST_REQUESTS; i++) {
         char id[32];
         char url[96];
         snprintf(id, sizeof(id), "burst-%d", i);
         snprintf(url, sizeof(url), "http://%s/v1/chat/completions", daemons[i % 3]);
-        prompt_body(id, 60, false, bodies[i], sizeof(bodies[i]));
+        format_prompt(id, 60, false, bodies[i], sizeof(bodies[i]));
         cw_client_call(client, &(cw_call_desc_t){.url = url,
                                                  .headers = headers,
                                                  .header_count = 3,
@@ -240,31 +246,32 @@
     }
     ev_run(b.loop, 0);
     cw_client_shutdown(client);
-    char seen[128];
-    snprintf(seen, sizeof(seen), "%d delivered, %d refused, %d other", b.delivered, b.refused, b.other);
-    row(d, b.delivered > 0 && b.refused > 0 && b.other == 0, "burst of 120 at three hosts, 16 slots", seen);
+    char observed[128];
+    snprintf(observed, sizeof(observed), "%d delivered, %d refused, %d other", b.delivered, b.refused, b.other);
+    report_check(d, b.delivered > 0 && b.refused > 0 && b.other == 0, "burst of 120 at three hosts, 16 slots",
+                 observed);
 }
 
-static void show_errors(demo_t* d, const char* address) {
+static void check_wrong_token(demo_t* d, const char* address) {
     site_answer_t a = site_call(&(site_request_t){.address = address,
                                                   .path = "/v1/chat/completions",
                                                   .token = "wrong",
                                                   .class_name = "stock-summary",
                                                   .body = "{}"});
-    char seen[128];
-    snprintf(seen, sizeof(seen), "%ld %s", a.status, a.outcome);
-    row(d, a.status == 401 && strcmp(a.outcome, "not-run") == 0, "a wrong token", seen);
+    char observed[128];
+    snprintf(observed, sizeof(observed), "%ld %s", a.status, a.outcome);
+    report_check(d, a.status == 401 && strcmp(a.outcome, "not-run") == 0, "wrong bearer token", observed);
 }
 
-static void show_stop(demo_t* d) {
+static void check_stop(demo_t* d) {
     site_proc_t* p = site_find(&d->site, "router-3");
     int code = site_stop(p);
-    char seen[64];
-    snprintf(seen, sizeof(seen), "exit code %d", code);
-    row(d, code == 0, "planned stop of a host (SIGTERM)", seen);
+    char observed[64];
+    snprintf(observed, sizeof(observed), "exit code %d", code);
+    report_check(d, code == 0, "planned stop of a host (SIGTERM)", observed);
     int failed = site_shutdown(&d->site);
-    snprintf(seen, sizeof(seen), "%d daemons with an error", failed);
-    row(d, failed == 0, "stop of all", seen);
+    snprintf(observed, sizeof(observed), "%d daemons with a non-zero exit code", failed);
+    report_check(d, failed == 0, "shutdown of all processes", observed);
 }
 
 int main(int argc, char** argv) {
@@ -273,19 +280,19 @@
     setvbuf(stdout, NULL, _IOLBF, 0);
     site_setup(&d->site, argc > 1 ? argv[1] : "build");
     d->site.daemon_extra = "[entry]\nlookup_keep = 1s\n";
-    if (!start_processes(d) || !publish(d) || !site_wait_ready(&d->site, READY_MS)) {
-        fprintf(stderr, "the site did not become ready, see %s\n", d->site.dir);
+    if (!start_processes(d) || !publish_configuration(d) || !site_wait_ready(&d->site, READY_TIMEOUT_MS)) {
+        fprintf(stderr, "the site did not become ready; logs are in %s\n", d->site.dir);
         site_shutdown(&d->site);
         return 1;
     }
     const char* address = site_find(&d->site, "router-2")->http;
     printf("\n  3 routers in 2 halls, 2 engines, 1 service\n\n");
-    show_stream(d, address);
-    show_whole(d, address);
-    show_booking(d, address);
-    show_burst(d);
-    show_errors(d, address);
-    show_stop(d);
-    printf("\n  %d of %d as expected\n", d->rows - d->wrong, d->rows);
-    return d->wrong ? 1 : 0;
+    check_stream(d, address);
+    check_complete_response(d, address);
+    check_booking(d, address);
+    check_burst(d);
+    check_wrong_token(d, address);
+    check_stop(d);
+    printf("\n  %d of %d checks passed\n", d->check_count - d->failure_count, d->check_count);
+    return d->failure_count ? 1 : 0;
 }
--- a/tools/site.c
+++ b/tools/site.c
@@ -51,21 +51,21 @@
     return NULL;
 }
 
-static const char* program_of(site_kind_t kind) {
+static const char* program_name(site_kind_t kind) {
     static const char* const names[] = {"fake-platform", "fake-engine", "fake-service", "chalkwayd"};
     return names[kind];
 }
 
-static pid_t spawn(const site_t* s, const site_proc_t* p, const char* const* args, int out) {
+static pid_t spawn_process(const site_t* s, const site_proc_t* p, const char* const* args, int out) {
     char program[192];
     char log[192];
-    snprintf(program, sizeof(program), "%s/%s", s->build, program_of(p->kind));
+    snprintf(program, sizeof(program), "%s/%s", s->build, program_name(p->kind));
     snprintf(log, sizeof(log), "%s/%s.log", s->dir, p->name);
     pid_t pid = fork();
     if (pid != 0) {
         return pid;
     }
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* nothing stays behind when the starter dies */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* no orphans: the kernel kills the child when the parent dies */
     int fd = open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     dup2(out, STDOUT_FILENO);
     dup2(fd, STDERR_FILENO);
@@ -77,7 +77,8 @@
     _exit(127);
 }
 
-static void read_word(const char* line, const char* key, char* out, size_t size) {
+/* Copies the value after key= in a ready line; empty if the key is missing. */
+static void read_value(const char* line, const char* key, char* out, size_t size) {
     const char* at = strstr(line, key);
     out[0] = 0;
     if (at) {
@@ -87,30 +88,30 @@
     }
 }
 
-static bool launch(const site_t* s, site_proc_t* p, const char* const* args) {
+static bool start_and_wait_ready(const site_t* s, site_proc_t* p, const char* const* args) {
     int fds[2];
     if (pipe2(fds, O_CLOEXEC) != 0) {
         return false;
     }
-    p->pid = spawn(s, p, args, fds[1]);
+    p->pid = spawn_process(s, p, args, fds[1]);
     close(fds[1]);
     char line[256] = "";
     FILE* in = fdopen(fds[0], "r");
-    bool ready = in && fgets(line, sizeof(line), in) && strncmp(line, "ready ", 6) == 0;
+    bool is_ready = in && fgets(line, sizeof(line), in) && strncmp(line, "ready ", 6) == 0;
     if (in) {
         fclose(in);
     }
-    if (!ready) {
-        fprintf(stderr, "%s did not start, see %s/%s.log\n", p->name, s->dir, p->name);
+    if (!is_ready) {
+        fprintf(stderr, "%s exited or printed no ready line; see %s/%s.log\n", p->name, s->dir, p->name);
         return false;
     }
-    read_word(line, "http=", p->http, sizeof(p->http));
-    read_word(line, "peer=", p->peer, sizeof(p->peer));
-    read_word(line, "operator=", p->operator_http, sizeof(p->operator_http));
+    read_value(line, "http=", p->http, sizeof(p->http));
+    read_value(line, "peer=", p->peer, sizeof(p->peer));
+    read_value(line, "operator=", p->operator_http, sizeof(p->operator_http));
     return true;
 }
 
-static site_proc_t* proc_new(site_t* s, site_kind_t kind, const char* name, const char* hall) {
+static site_proc_t* add_process(site_t* s, site_kind_t kind, const char* name, const char* hall) {
     if (s->count == SITE_MAX_PROCS) {
         return NULL;
     }
@@ -122,8 +123,8 @@
 }
 
 site_proc_t* site_start(site_t* s, site_kind_t kind, const char* name, const char* hall, const char* const* args) {
-    site_proc_t* p = proc_new(s, kind, name, hall);
-    return (p && launch(s, p, args)) ? p : NULL;
+    site_proc_t* p = add_process(s, kind, name, hall);
+    return (p && start_and_wait_ready(s, p, args)) ? p : NULL;
 }
 
 static void write_settings(const site_t* s, const site_proc_t* p, const char* http, const char* peer,
@@ -151,20 +152,20 @@
 }
 
 site_proc_t* site_start_daemon(site_t* s, const char* name, const char* hall) {
-    site_proc_t* p = proc_new(s, SITE_DAEMON, name, hall);
+    site_proc_t* p = add_process(s, SITE_DAEMON, name, hall);
     if (!p) {
         return NULL;
     }
     snprintf(p->config, sizeof(p->config), "%s/%s.ini", s->dir, name);
     write_settings(s, p, "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0");
     const char* const args[] = {"-c", p->config, NULL};
-    return launch(s, p, args) ? p : NULL;
+    return start_and_wait_ready(s, p, args) ? p : NULL;
 }
 
 bool site_restart_daemon(site_t* s, site_proc_t* p) {
     write_settings(s, p, p->http, p->peer, p->operator_http);
     const char* const args[] = {"-c", p->config, NULL};
-    return launch(s, p, args);
+    return start_and_wait_ready(s, p, args);
 }
 
 void site_stop_begin(const site_proc_t* p) {
@@ -176,9 +177,9 @@
 
 int site_stop_wait(site_proc_t* p) {
     int status = 0;
-    int64_t until_ms = site_now_ms() + STOP_TIMEOUT_MS;
+    int64_t deadline_ms = site_now_ms() + STOP_TIMEOUT_MS;
     while (p->pid && waitpid(p->pid, &status, WNOHANG) == 0) {
-        if (site_now_ms() > until_ms) {
+        if (site_now_ms() > deadline_ms) {
             kill(p->pid, SIGKILL);
             waitpid(p->pid, &status, 0);
             break;
@@ -225,17 +226,17 @@
 
 /* -- requests ------------------------------------------------------------- */
 
-static size_t take_body(char* data, size_t size, size_t count, void* user) {
+static size_t on_body(char* data, size_t size, size_t count, void* user) {
     site_answer_t* a = user;
-    size_t have = strlen(a->body);
+    size_t used = strlen(a->body);
     size_t n = size * count;
-    size_t room = sizeof(a->body) - 1 - have;
-    memcpy(a->body + have, data, n < room ? n : room);
-    a->body[have + (n < room ? n : room)] = 0;
+    size_t available = sizeof(a->body) - 1 - used;
+    memcpy(a->body + used, data, n < available ? n : available);
+    a->body[used + (n < available ? n : available)] = 0;
     return n;
 }
 
-static size_t take_header(char* data, size_t size, size_t count, void* user) {
+static size_t on_header(char* data, size_t size, size_t count, void* user) {
     site_answer_t* a = user;
     size_t n = size * count;
     char line[256];
@@ -256,7 +257,7 @@
 }
 
 site_answer_t site_call(const site_request_t* r) {
-    site_answer_t answer = {0};
+    site_answer_t response = {0};
     char url[512];
     char bearer[256];
     snprintf(url, sizeof(url), "http://%s%s", r->address, r->path);
@@ -273,26 +274,26 @@
     curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(e, CURLOPT_HTTPHEADER, headers);
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, r->timeout_ms ? r->timeout_ms : 20000L);
-    curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, take_body);
-    curl_easy_setopt(e, CURLOPT_WRITEDATA, &answer);
-    curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, take_header);
-    curl_easy_setopt(e, CURLOPT_HEADERDATA, &answer);
+    curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
+    curl_easy_setopt(e, CURLOPT_WRITEDATA, &response);
+    curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
+    curl_easy_setopt(e, CURLOPT_HEADERDATA, &response);
     if (r->body) {
         curl_easy_setopt(e, CURLOPT_POSTFIELDS, r->body);
     }
     if (r->method) {
         curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, r->method);
     }
-    answer.whole = curl_easy_perform(e) == CURLE_OK;
-    curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &answer.status);
+    response.whole = curl_easy_perform(e) == CURLE_OK;
+    curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &response.status);
     long sent = 0;
     long head = 0;
     curl_easy_getinfo(e, CURLINFO_REQUEST_SIZE, &sent);
     curl_easy_getinfo(e, CURLINFO_HEADER_SIZE, &head);
-    answer.bytes = sent + head + (long)strlen(answer.body);
+    response.bytes = sent + head + (long)strlen(response.body);
     curl_easy_cleanup(e);
     curl_slist_free_all(headers);
-    return answer;
+    return response;
 }
 
 bool site_publish(site_t* s, const char* items) {
@@ -314,10 +315,10 @@
         if (p->kind == SITE_PLATFORM) {
             platform = p->http;
         } else if (p->pid) {
-            bool leaves = leaving && strcmp(leaving, p->name) == 0;
+            bool is_leaving = leaving && strcmp(leaving, p->name) == 0;
             json_array_append_new(list, json_pack("{s:s,s:s,s:s}", "name", p->name, "role",
                                                   p->kind == SITE_DAEMON ? "router" : "upstream", "state",
-                                                  leaves ? "leaving" : "live"));
+                                                  is_leaving ? "leaving" : "live"));
         }
     }
     json_t* root = json_pack("{s:o}", "hosts", list);
@@ -339,7 +340,7 @@
     return number;
 }
 
-static int live_members(const char* address) {
+static int count_live_members(const char* address) {
     site_answer_t a = site_call(&(site_request_t){.address = address, .path = "/v1/status", .timeout_ms = 2000});
     json_t* root = json_loads(a.body, 0, NULL);
     int live = 0;
@@ -353,7 +354,7 @@
     return live;
 }
 
-static bool all_ready(const site_t* s) {
+static bool are_all_ready(const site_t* s) {
     int daemons = 0;
     for (int i = 0; i < s->count; i++) {
         daemons += s->procs[i].kind == SITE_DAEMON && s->procs[i].pid;
@@ -365,7 +366,7 @@
         }
         site_answer_t a =
             site_call(&(site_request_t){.address = p->operator_http, .path = "/readyz", .timeout_ms = 2000});
-        if (a.status != 200 || live_members(p->operator_http) < daemons) {
+        if (a.status != 200 || count_live_members(p->operator_http) < daemons) {
             return false;
         }
     }
@@ -373,9 +374,9 @@
 }
 
 bool site_wait_ready(site_t* s, int timeout_ms) {
-    int64_t until_ms = site_now_ms() + timeout_ms;
-    while (!all_ready(s)) {
-        if (site_now_ms() > until_ms) {
+    int64_t deadline_ms = site_now_ms() + timeout_ms;
+    while (!are_all_ready(s)) {
+        if (site_now_ms() > deadline_ms) {
             return false;
         }
         site_sleep_ms(50);
@@ -384,12 +385,12 @@
 }
 
 bool site_wait_revision(site_t* s, long long revision, int timeout_ms) {
-    int64_t until_ms = site_now_ms() + timeout_ms;
+    int64_t deadline_ms = site_now_ms() + timeout_ms;
     for (int i = 0; i < s->count; i++) {
         const site_proc_t* p = &s->procs[i];
         while (p->kind == SITE_DAEMON && p->pid &&
                site_number(p->operator_http, "/v1/status", "revision") < (double)revision) {
-            if (site_now_ms() > until_ms) {
+            if (site_now_ms() > deadline_ms) {
                 return false;
             }
             site_sleep_ms(20);
