--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Runs the test programs given, one after the other, and ends with one line of sums. The status is 1 when any test failed.
-# A failure is passed over, and printed, only where KNOWN-RED.txt lists the test; a listed test that passes fails the run.
-# KNOWN-RED.txt: one line a test, "PROGRAM:TEST | cause | issue".
+# Runs the given test programs one after the other and prints the totals. Exits with 1 if any test failed. A failure is
+# ignored, but printed, only if KNOWN-RED.txt lists the test; a listed test that passes fails the run.
+# KNOWN-RED.txt: one line per test, "PROGRAM:TEST | cause | issue".
 known_red=KNOWN-RED.txt
 passed=0
 failed=0
@@ -11,12 +11,13 @@
     [ -f "$known_red" ] && cut -d'|' -f1 "$known_red" | tr -d ' ' | grep -qx "$1:$2"
 }
 
-# Names of the failed tests in the output of a program, one a line.
+# Names of the failed tests in the output of a program, one per line.
 failed_names() {
     echo "$1" | sed -n 's/^[^:]*:[0-9]*:[FE]:[^:]*:\([a-z0-9_]*\):.*/\1/p'
 }
 
-# Failures of the program that no line excuses, and listed tests that did not fail.
+# Sets bad to the number of failures that KNOWN-RED.txt does not list plus listed tests that did not fail; adds the listed
+# failures to known.
 judge() { # PROGRAM OUTPUT FAILURES
     names=$(failed_names "$2")
     excused=0
--- a/tests/test_day_causes.c
+++ b/tests/test_day_causes.c
@@ -1,4 +1,4 @@
-/* tools/day_causes.sh: what it counts from lines of a log. */
+/* tools/day_causes.sh: counts of outcomes and late responses from lines of a log. */
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
@@ -13,7 +13,7 @@
     "6.1 h2 t info 510 request-sent id=4 server=s1 route=r\n"
     "t info 514 request-done id=5 outcome=served status=200 why=\"-\" route=q server=s1 first_ms=20 gap_ms=10\n";
 
-START_TEST(ends_and_late_answers_are_counted_by_route_second_and_server) {
+START_TEST(outcomes_and_late_responses_are_counted_by_route_second_and_server) {
     char path[] = "/tmp/day_causes_XXXXXX";
     char command[128];
     char out[2048] = "";
@@ -39,7 +39,7 @@
 END_TEST
 
 static void add(TCase* t) {
-    tcase_add_test(t, ends_and_late_answers_are_counted_by_route_second_and_server);
+    tcase_add_test(t, outcomes_and_late_responses_are_counted_by_route_second_and_server);
 }
 
 int main(void) {
--- a/tools/arrows.sh
+++ b/tools/arrows.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Checks two rules of the layout: the platform's names stand in platform/ (and tests/) only, and the includes of gateway/
-# run one way. Prints each breach and fails.
+# Checks two layering rules: names of the platform's protocol occur only in platform/ and tests/, and each file of gateway/
+# includes only the headers listed for it, so that includes run in one direction. Prints each violation; exits with 1 if any.
 status=0
 names='op/config|kv-key|kv-range|kv-watch|Attempt-Id|Deadline-Ms: |"Deadline-Ms"|Not-Executed|Expect-Instance'
 names="$names|Response-Signature|Kv-Fetch|Prefix-Hash|Token-Counts|Request-Priority|CHALKWAY_NODE_FILE|tls_key"
 found=$(grep -lE "$names" *.h *.c io/* daemon/* gateway/* standins/* tools/*.c tools/*.h bench/* samples/* 2>/dev/null)
 if [ -n "$found" ]; then
-    echo "the platform's names outside platform/: $found"
+    echo "names of the platform's protocol outside platform/: $found"
     status=1
 fi
 
-# file: the headers of gateway/ that it may include
+# allowed FILE: headers of gateway/ that FILE (without suffix) may include; "any": no restriction
 allowed() {
     case "$1" in
         front) echo "front" ;;
@@ -40,11 +40,11 @@
         case " $may " in
             *" $header "*) ;;
             *)
-                echo "$file includes $header.h, which its part may not know"
+                echo "$file includes $header.h, which is not among its permitted headers"
                 status=1
                 ;;
         esac
     done
 done
-[ "$status" = 0 ] && echo "layout: names and includes as they should be"
+[ "$status" = 0 ] && echo "layout: no violations"
 exit $status
--- a/tools/day_causes.sh
+++ b/tools/day_causes.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# What binds on a day: reads daemons' logs and says, for each route, how its requests ended and why, how many answers were
-# late by their first byte or by a pause, in which seconds, and at which servers.
+# Finds the causes of late and failed requests in daemons' logs. Prints for each route the counts of outcomes with reasons and
+# of responses with a late first byte or too long a gap, by 4 s interval of the run, the latter also by server.
 #   tools/day_causes.sh TARGET_MS GAP_MS FILE...
-# TARGET_MS: longest time to the first byte that is in time; GAP_MS: longest pause between two parts of an answer. Lines may
-# stand behind a prefix that starts with the seconds of the day; without one all falls to second 0.
+# TARGET_MS: limit of the time to the first byte; GAP_MS: limit of the gap between two parts of a response. A line may have a
+# prefix that begins with the second of the run; lines without one count for second 0.
 set -eu
 [ $# -ge 3 ] || { sed -n '2,6s/^# //p' "$0" >&2; exit 64; }
 target=$1
--- a/tools/install_packages.sh
+++ b/tools/install_packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the Debian packages that the file names, one a line, where they are missing.
+# install_packages.sh FILE: installs the Debian packages listed in FILE, one per line, that are missing.
 missing=""
 for package in $(cat "$1"); do
     dpkg -s "$package" >/dev/null 2>&1 || missing="$missing $package"
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Runs clang-tidy over every C file, as many at once as there are processors. Headers are checked through chalkway.c.
+# Runs clang-tidy on all C files that changed since their last clean run, with one job per processor. Headers are checked
+# through chalkway.c.
 set -e
 build=$1
 mkdir -p "$build/lint"
