--- a/bench/bench_scenario.c
+++ b/bench/bench_scenario.c
@@ -271,7 +271,8 @@
     printf("    goodput %.1f/s, of ideal %.3f; wasted %.3f; jain %.3f; wrong answers %u, second runs %.0f; retries %u; "
            "generator lag p99 %u ms%s\n",
            goodput, goodput / ideal_goodput_per_s, wasted, jain_index(&sc->load, r), mismatched, counts->second_runs,
-           r->retries, r->lag_p99_ms, r->lag_p99_ms > GENERATOR_LAG_MAX_MS ? " (OVERLOADED: proves nothing)" : "");
+           r->retries, r->lag_p99_ms,
+           r->lag_p99_ms > GENERATOR_LAG_MAX_MS ? " (generator overloaded: results are invalid)" : "");
     return json_pack("{s:o,s:f,s:f,s:f,s:f,s:i,s:{s:i,s:i}}", "classes", classes, "goodput", goodput, "goodput_ratio",
                      goodput / ideal_goodput_per_s, "wasted", wasted, "jain", jain_index(&sc->load, r), "lag_p99_ms",
                      (int)r->lag_p99_ms, "violations", "wrong_answers", (int)mismatched, "second_runs",
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -18,7 +18,7 @@
 
 # Sets bad to the number of failures that KNOWN-RED.txt does not list plus listed tests that did not fail; adds the listed
 # failures to known.
-judge() { # PROGRAM OUTPUT FAILURES
+apply_known_red() { # PROGRAM OUTPUT FAILURES
     names=$(failed_names "$2")
     excused=0
     for name in $names; do
@@ -51,7 +51,7 @@
     echo "$name: ${line:-ended with status $code without a result}"
     [ "$code" = 0 ] && [ "$bad" = 0 ] || echo "$out"
     reported=$bad
-    judge "$name" "$out" "$bad"
+    apply_known_red "$name" "$out" "$bad"
     passed=$((passed + checks - reported))
     failed=$((failed + bad))
     [ "$code" = 0 ] || [ "$reported" != 0 ] || failed=$((failed + 1))
--- a/tools/chalkway_load.c
+++ b/tools/chalkway_load.c
@@ -6,6 +6,8 @@
     [workspace NAME]  token, share
     [class NAME]      path, model (engines), once, stream, deadline_ms, weight, length, rate,
                       burst_at_s, burst_rate, burst_s
+
+    once: run-once calls, sent under idempotency keys; length: mean tokens of a response; rates in requests per second
 */
 #include <argp.h>
 #include <ini.h>
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -151,7 +151,7 @@
     bool is_same = got && strcmp(got, expected) == 0;
     char observed[128];
     snprintf(observed, sizeof(observed), "%ld %s, 25 tokens %s", a.status, a.outcome, is_same ? "as sent" : "differ");
-    report_check(d, a.status == 200 && is_same, "whole chat completion (stock-summary)", observed);
+    report_check(d, a.status == 200 && is_same, "non-streamed chat completion (stock-summary)", observed);
     json_decref(root);
 }
 
--- a/tools/load.c
+++ b/tools/load.c
@@ -229,13 +229,13 @@
     return (size_t)(out - text);
 }
 
-static bool tokens_match(const request_t* j, const char* text, size_t size) {
-    if (size != (size_t)j->arrival->token_count * TOKEN_CHARS) {
+static bool tokens_match(const request_t* req, const char* text, size_t size) {
+    if (size != (size_t)req->arrival->token_count * TOKEN_CHARS) {
         return false;
     }
-    for (uint32_t k = 0; k < j->arrival->token_count; k++) {
+    for (uint32_t k = 0; k < req->arrival->token_count; k++) {
         char token[32];
-        snprintf(token, sizeof(token), "w%05u ", (unsigned)(XXH64(j->id, strlen(j->id), k) % 100000));
+        snprintf(token, sizeof(token), "w%05u ", (unsigned)(XXH64(req->id, strlen(req->id), k) % 100000));
         if (memcmp(text + (size_t)k * TOKEN_CHARS, token, TOKEN_CHARS) != 0) {
             return false;
         }
@@ -243,55 +243,55 @@
     return true;
 }
 
-static bool response_matches(request_t* j) {
-    if (!j->response.data) {
+static bool response_matches(request_t* req) {
+    if (!req->response.data) {
         return false;
     }
-    if (j->class->is_stream) {
-        bool has_done_event = strstr(j->response.data, "data: [DONE]") != NULL;
-        return tokens_match(j, j->response.data, join_stream(j->response.data)) && has_done_event;
+    if (req->class->is_stream) {
+        bool has_done_event = strstr(req->response.data, "data: [DONE]") != NULL;
+        return tokens_match(req, req->response.data, join_stream(req->response.data)) && has_done_event;
     }
-    json_t* root = json_loadb(j->response.data, j->response.size, 0, NULL);
+    json_t* root = json_loadb(req->response.data, req->response.size, 0, NULL);
     bool is_match = false;
-    if (j->class->model) {
+    if (req->class->model) {
         json_t* choice = json_array_get(json_object_get(root, "choices"), 0);
         const char* text = json_string_value(json_object_get(json_object_get(choice, "message"), "content"));
-        is_match = text && tokens_match(j, text, strlen(text));
+        is_match = text && tokens_match(req, text, strlen(text));
     } else {
         const char* echo = json_string_value(json_object_get(root, "echo"));
-        is_match = echo && strcmp(echo, j->body) == 0;
+        is_match = echo && strcmp(echo, req->body) == 0;
     }
     json_decref(root);
     return is_match;
 }
 
-static void finish_request(request_t* j) {
-    load_t* l = j->load;
-    ev_timer_stop(l->loop, &j->timer);
-    cw_buffer_free(&j->response);
-    free(j);
+static void finish_request(request_t* req) {
+    load_t* l = req->load;
+    ev_timer_stop(l->loop, &req->timer);
+    cw_buffer_free(&req->response);
+    free(req);
     if (--l->open_count == 0 && l->next_index == l->count) {
         ev_break(l->loop, EVBREAK_ALL);
     }
 }
 
-static void count_delivered(request_t* j) {
-    load_t* l = j->load;
-    load_class_result_t* r = j->result;
-    double latency_ms = (now_s() - l->start_s - j->arrival->at_s) * 1000;
+static void count_delivered(request_t* req) {
+    load_t* l = req->load;
+    load_class_result_t* r = req->result;
+    double latency_ms = (now_s() - l->start_s - req->arrival->at_s) * 1000;
     r->delivered++;
-    r->in_time += latency_ms <= j->class->deadline_ms;
-    r->tokens += j->arrival->token_count;
-    l->result.workspace_tokens[j->arrival->workspace] += j->arrival->token_count;
+    r->in_time += latency_ms <= req->class->deadline_ms;
+    r->tokens += req->arrival->token_count;
+    l->result.workspace_tokens[req->arrival->workspace] += req->arrival->token_count;
     cw_hist_add(&r->total_ms, (uint32_t)latency_ms);
-    if (j->first_byte_s > 0) {
-        cw_hist_add(&r->first_ms, (uint32_t)((j->first_byte_s - l->start_s - j->arrival->at_s) * 1000));
+    if (req->first_byte_s > 0) {
+        cw_hist_add(&r->first_ms, (uint32_t)((req->first_byte_s - l->start_s - req->arrival->at_s) * 1000));
     }
 }
 
 /* -- attempts ------------------------------------------------------------- */
 
-static void send_request(request_t* j);
+static void send_request(request_t* req);
 
 static void on_retry(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
@@ -300,155 +300,156 @@
 }
 
 /* Schedules another attempt after wait_ms; false if the deadline or the limit of attempts does not allow one. */
-static bool schedule_retry(request_t* j, uint32_t wait_ms) {
-    load_t* l = j->load;
-    double remaining_ms = j->class->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
-    if (j->attempts >= MAX_ATTEMPTS || wait_ms >= remaining_ms) {
+static bool schedule_retry(request_t* req, uint32_t wait_ms) {
+    load_t* l = req->load;
+    double remaining_ms = req->class->deadline_ms - (now_s() - l->start_s - req->arrival->at_s) * 1000;
+    if (req->attempts >= MAX_ATTEMPTS || wait_ms >= remaining_ms) {
         return false;
     }
     l->result.retries++;
-    ev_timer_stop(l->loop, &j->timer);
-    ev_timer_init(&j->timer, on_retry, wait_ms / 1000.0, 0.0);
-    j->timer.data = j;
-    ev_timer_start(l->loop, &j->timer);
+    ev_timer_stop(l->loop, &req->timer);
+    ev_timer_init(&req->timer, on_retry, wait_ms / 1000.0, 0.0);
+    req->timer.data = req;
+    ev_timer_start(l->loop, &req->timer);
     return true;
 }
 
 static void on_response_head(void* user, unsigned status, const char* type) {
     (void)type;
-    request_t* j = user;
-    j->first_byte_s = now_s();
-    j->status = status;
-    const char* outcome = cw_call_header(j->call, "Chalkway-Outcome");
-    const char* retry = cw_call_header(j->call, "Retry-After");
-    cw_copy(j->outcome, sizeof(j->outcome), outcome);
-    j->retry_after_ms = retry ? (uint32_t)strtoul(retry, NULL, 10) * 1000 : 0;
+    request_t* req = user;
+    req->first_byte_s = now_s();
+    req->status = status;
+    const char* outcome = cw_call_header(req->call, "Chalkway-Outcome");
+    const char* retry = cw_call_header(req->call, "Retry-After");
+    cw_copy(req->outcome, sizeof(req->outcome), outcome);
+    req->retry_after_ms = retry ? (uint32_t)strtoul(retry, NULL, 10) * 1000 : 0;
 }
 
 static bool on_response_data(void* user, const char* data, size_t size) {
-    request_t* j = user;
-    cw_buffer_add(&j->response, data, size);
+    request_t* req = user;
+    cw_buffer_add(&req->response, data, size);
     return true;
 }
 
 /* Ends or retries a request. A call that did not run is retried if nothing was sent or if the response has Retry-After;
-   a call that may have run is retried only if it is repeatable and its response was truncated. */
+   a call that may have run is retried only if it is repeatable and its response did not arrive completely. */
 static void on_response_done(void* user, const cw_call_result_t* result) {
-    request_t* j = user;
-    j->call = NULL;
-    bool is_not_run = strcmp(j->outcome, "not-run") == 0;
+    request_t* req = user;
+    req->call = NULL;
+    bool is_not_run = strcmp(req->outcome, "not-run") == 0;
     if (result->whole && result->status == 200) {
-        if (response_matches(j)) {
-            count_delivered(j);
+        if (response_matches(req)) {
+            count_delivered(req);
         } else {
-            j->result->mismatched++;
+            req->result->mismatched++;
         }
     } else if (is_not_run || !result->sent) {
-        if (!result->sent && j->class->is_run_once) {
+        if (!result->sent && req->class->is_run_once) {
             /* The host that issued the ticket is unreachable: forces a lookup, for a ticket of another host. */
-            j->caller->ticket[0] = 0;
-            j->caller->valid_until_s = 0;
+            req->caller->ticket[0] = 0;
+            req->caller->valid_until_s = 0;
         }
-        bool may_retry = !result->sent || j->retry_after_ms;
-        if (may_retry && schedule_retry(j, is_not_run ? j->retry_after_ms : 0)) {
+        bool may_retry = !result->sent || req->retry_after_ms;
+        if (may_retry && schedule_retry(req, is_not_run ? req->retry_after_ms : 0)) {
             return;
         }
-        j->result->refused++;
-    } else if (!result->whole && !j->class->is_run_once && schedule_retry(j, 0)) {
+        req->result->refused++;
+    } else if (!result->whole && !req->class->is_run_once && schedule_retry(req, 0)) {
         return;
-    } else if (strcmp(j->outcome, "failed") == 0) {
-        j->result->failed++;
+    } else if (strcmp(req->outcome, "failed") == 0) {
+        req->result->failed++;
     } else if (result->status == 200) {
-        j->result->truncated++;
+        req->result->truncated++;
     } else {
-        j->result->unknown++;
+        req->result->unknown++;
     }
-    finish_request(j);
+    finish_request(req);
 }
 
 /* Chooses the host of an attempt. A run-once call goes to the host that issued the ticket. Other calls go to one of the
    first two addresses of the lookup, chosen at random; retry n goes to address n, modulo their number. */
-static bool choose_address(request_t* j, char address[48]) {
-    caller_t* c = j->caller;
+static bool choose_address(request_t* req, char address[48]) {
+    caller_t* c = req->caller;
     refresh_lookup(c);
     if (!c->count) {
         return false;
     }
-    if (!j->class->is_run_once) {
-        cw_copy(address, 48, c->addresses[(j->attempts + (j->attempts ? 0 : rng_below(&j->load->rng, 2))) % c->count]);
+    if (!req->class->is_run_once) {
+        cw_copy(address, 48,
+                c->addresses[(req->attempts + (req->attempts ? 0 : rng_below(&req->load->rng, 2))) % c->count]);
         return true;
     }
     /* A retry of a run-once call follows only attempts that did not run, so a new key, from a live host's ticket, is
        safe. */
-    snprintf(j->idempotency_key, sizeof(j->idempotency_key), "%s/%s-%u", c->ticket, j->id, j->attempts);
+    snprintf(req->idempotency_key, sizeof(req->idempotency_key), "%s/%s-%u", c->ticket, req->id, req->attempts);
     cw_copy(address, 48, c->ticket_address);
     return c->ticket[0] != 0;
 }
 
-static void send_request(request_t* j) {
-    load_t* l = j->load;
-    const load_class_t* c = j->class;
+static void send_request(request_t* req) {
+    load_t* l = req->load;
+    const load_class_t* c = req->class;
     char address[48];
-    if (!choose_address(j, address)) {
-        if (!schedule_retry(j, 20)) { /* until the lookup has answered */
-            j->result->refused++;
-            finish_request(j);
+    if (!choose_address(req, address)) {
+        if (!schedule_retry(req, 20)) { /* until the lookup has answered */
+            req->result->refused++;
+            finish_request(req);
         }
         return;
     }
     char url[160];
     char bearer[160];
     snprintf(url, sizeof(url), "http://%s%s", address, c->path);
-    snprintf(bearer, sizeof(bearer), "Bearer %s", l->desc->workspaces[j->arrival->workspace].token);
+    snprintf(bearer, sizeof(bearer), "Bearer %s", l->desc->workspaces[req->arrival->workspace].token);
     cw_header_t headers[5] = {
         {"Authorization", bearer}, {"Chalkway-Class", c->name}, {"Content-Type", "application/json"}};
     uint32_t count = 3;
     if (c->is_run_once) {
-        headers[count++] = (cw_header_t){"Idempotency-Key", j->idempotency_key};
+        headers[count++] = (cw_header_t){"Idempotency-Key", req->idempotency_key};
     }
-    j->attempts++;
-    j->response.size = 0;
-    j->status = 0;
-    j->outcome[0] = 0;
-    j->retry_after_ms = 0;
-    double remaining_ms = c->deadline_ms - (now_s() - l->start_s - j->arrival->at_s) * 1000;
+    req->attempts++;
+    req->response.size = 0;
+    req->status = 0;
+    req->outcome[0] = 0;
+    req->retry_after_ms = 0;
+    double remaining_ms = c->deadline_ms - (now_s() - l->start_s - req->arrival->at_s) * 1000;
     char deadline[16];
     snprintf(deadline, sizeof(deadline), "%u", remaining_ms > 1 ? (unsigned)remaining_ms : 1);
     headers[count++] = (cw_header_t){"Chalkway-Deadline-Ms", deadline};
-    j->call = cw_client_call(l->client, &(cw_call_desc_t){.url = url,
-                                                          .headers = headers,
-                                                          .header_count = count,
-                                                          .body = j->body,
-                                                          .size = strlen(j->body),
-                                                          .timeout_ms = c->deadline_ms + DEADLINE_GRACE_MS,
-                                                          .connect_ms = 300,
-                                                          .fresh = c->is_run_once,
-                                                          .on_head = on_response_head,
-                                                          .on_data = on_response_data,
-                                                          .on_done = on_response_done,
-                                                          .user_data = j});
+    req->call = cw_client_call(l->client, &(cw_call_desc_t){.url = url,
+                                                            .headers = headers,
+                                                            .header_count = count,
+                                                            .body = req->body,
+                                                            .size = strlen(req->body),
+                                                            .timeout_ms = c->deadline_ms + DEADLINE_GRACE_MS,
+                                                            .connect_ms = 300,
+                                                            .fresh = c->is_run_once,
+                                                            .on_head = on_response_head,
+                                                            .on_data = on_response_data,
+                                                            .on_done = on_response_done,
+                                                            .user_data = req});
 }
 
 static void start_request(load_t* l, uint32_t index) {
     const load_arrival_t* a = &l->plan[index];
-    request_t* j = cw_alloc(NULL, 1, sizeof(*j));
-    j->load = l;
-    j->arrival = a;
-    j->class = &l->desc->classes[a->class_index];
-    j->result = &l->result.classes[a->class_index];
-    j->caller = &l->callers[rng_below(&l->rng, l->desc->callers)];
-    snprintf(j->id, sizeof(j->id), "r%llx-%u", (unsigned long long)l->desc->seed, index);
-    if (j->class->model) {
-        snprintf(j->body, sizeof(j->body),
-                 "{\"model\":\"%s\",\"stream\":%s,\"messages\":[{\"content\":\"id=%s len=%u\"}]}", j->class->model,
-                 j->class->is_stream ? "true" : "false", j->id, a->token_count);
+    request_t* req = cw_alloc(NULL, 1, sizeof(*req));
+    req->load = l;
+    req->arrival = a;
+    req->class = &l->desc->classes[a->class_index];
+    req->result = &l->result.classes[a->class_index];
+    req->caller = &l->callers[rng_below(&l->rng, l->desc->callers)];
+    snprintf(req->id, sizeof(req->id), "r%llx-%u", (unsigned long long)l->desc->seed, index);
+    if (req->class->model) {
+        snprintf(req->body, sizeof(req->body),
+                 "{\"model\":\"%s\",\"stream\":%s,\"messages\":[{\"content\":\"id=%s len=%u\"}]}", req->class->model,
+                 req->class->is_stream ? "true" : "false", req->id, a->token_count);
     } else {
-        snprintf(j->body, sizeof(j->body), "{\"call\":\"%s\"}", j->id);
+        snprintf(req->body, sizeof(req->body), "{\"call\":\"%s\"}", req->id);
     }
-    ev_timer_init(&j->timer, on_retry, 0.0, 0.0);
+    ev_timer_init(&req->timer, on_retry, 0.0, 0.0);
     l->open_count++;
-    j->result->sent++;
-    send_request(j);
+    req->result->sent++;
+    send_request(req);
 }
 
 static void on_arrivals(struct ev_loop* loop, ev_timer* w, int events) {
