--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -75,7 +75,7 @@
     fleet_setup(&fleet, hosts, seed);
     fleet_run(&fleet, 120000);
     int64_t start_ms = fleet.now_ms;
-    cw_members_announce(fleet.hosts[0], 7, 50);
+    cw_members_set_status(fleet.hosts[0], 7, 50);
     uint32_t converged_count = 0;
     while (converged_count < hosts && fleet.now_ms - start_ms < 60000) {
         fleet_run(&fleet, FLEET_STEP_MS);
@@ -86,7 +86,7 @@
                 int64_t known_revision = cw_members_at(fleet.hosts[i], k)->revision;
                 highest = known_revision > highest ? known_revision : highest;
             }
-            cw_members_announce(fleet.hosts[i], highest, 50);
+            cw_members_set_status(fleet.hosts[i], highest, 50);
             converged_count += highest == 7;
         }
     }
@@ -112,12 +112,12 @@
 /* -- messages of one request ---------------------------------------------- */
 
 typedef struct message_cost_t {
-    double want, grant, queued, done, digest; /* bytes of a frame */
-    double codec_us;                          /* CPU time to encode and decode each of them once */
+    double slot_request, grant, queued, done, digest; /* bytes of a frame */
+    double codec_us;                                  /* CPU time to encode and decode each of them once */
 } message_cost_t;
 
 static double frame_size(cw_wire_t* wire, const cw_msg_t* msg) {
-    return (double)cw_wire_frame(wire, msg).size;
+    return (double)cw_wire_encode_frame(wire, msg).size;
 }
 
 static message_cost_t measure_messages(void) {
@@ -128,26 +128,26 @@
     for (int i = 0; i < 5; i++) {
         m[i].shard = id;
     }
-    m[0].type = CW_MSG_WANT;
-    m[0].want = (cw_want_t){.seq = 1000000,
-                            .tier = 1,
-                            .weight = 1,
-                            .workspace = id,
-                            .cost = 400,
-                            .est_ms = 20000,
-                            .queue_ms = 5000,
-                            .left_ms = 30000,
-                            .prefix = id,
-                            .hall = id};
+    m[0].type = CW_MSG_SLOT_REQUEST;
+    m[0].slot_request = (cw_slot_request_t){.seq = 1000000,
+                                            .tier = 1,
+                                            .weight = 1,
+                                            .workspace = id,
+                                            .cost = 400,
+                                            .est_ms = 20000,
+                                            .queue_ms = 5000,
+                                            .remaining_ms = 30000,
+                                            .prefix = id,
+                                            .hall = id};
     m[1].type = m[2].type = CW_MSG_ACTION;
     m[1].action = (cw_shard_action_t){
-        .kind = CW_SHARD_GRANT, .seq = 1000000, .grant = id, .upstream = id, .held_ms = 300, .ttl_ms = 500};
+        .kind = CW_SHARD_GRANT, .seq = 1000000, .grant = id, .upstream = id, .queued_ms = 300, .ttl_ms = 500};
     m[2].action = (cw_shard_action_t){.kind = CW_SHARD_QUEUED, .seq = 1000000};
-    m[3].type = CW_MSG_DONE;
-    m[3].done = (cw_done_t){.grant = id, .took_ms = 20000, .cost = 400};
-    m[4].type = CW_MSG_DIGEST;
-    m[4].digest = (cw_digest_t){.last = id, .xored = id, .count = 200};
-    message_cost_t c = {.want = frame_size(wire, &m[0]),
+    m[3].type = CW_MSG_GRANT_RELEASE;
+    m[3].done = (cw_grant_release_t){.grant = id, .took_ms = 20000, .cost = 400};
+    m[4].type = CW_MSG_GRANT_DIGEST;
+    m[4].digest = (cw_grant_digest_t){.last = id, .ids_xor = id, .count = 200};
+    message_cost_t c = {.slot_request = frame_size(wire, &m[0]),
                         .grant = frame_size(wire, &m[1]),
                         .queued = frame_size(wire, &m[2]),
                         .done = frame_size(wire, &m[3]),
@@ -156,7 +156,7 @@
     double cpu = bench_cpu_s();
     for (int r = 0; r < rounds; r++) {
         for (int i = 0; i < 5; i++) {
-            cw_bytes_t f = cw_wire_frame(wire, &m[i]);
+            cw_bytes_t f = cw_wire_encode_frame(wire, &m[i]);
             if (cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &back, NULL) != CW_OK) {
                 abort();
             }
@@ -166,7 +166,7 @@
     cw_wire_shutdown(wire);
     printf("\nmessages: slot request %.0f, grant %.0f, queued %.0f, release %.0f, digest %.0f bytes; codec %.2f us for "
            "all five\n",
-           c.want, c.grant, c.queued, c.done, c.digest, c.codec_us);
+           c.slot_request, c.grant, c.queued, c.done, c.digest, c.codec_us);
     return c;
 }
 
@@ -181,27 +181,27 @@
     for (uint32_t i = 0; i < 21; i++) {
         specs[i] = (cw_pick_spec_t){.id = 100 + i, .slots = 100};
     }
-    cw_shard_upstreams(s, specs, 21);
+    cw_shard_set_upstreams(s, specs, 21);
     rng_t rng = {.state = entries};
     const uint32_t rounds = 50000;
     static uint64_t held[1000];
     uint32_t seq = 0;
     double cpu = bench_cpu_s();
     for (uint32_t i = 0; i < rounds; i++) {
-        const cw_done_t d = {.grant = held[i % 1000], .took_ms = 20000, .cost = 400};
-        cw_want_t w = {.entry = 1 + rng_below(&rng, entries),
-                       .seq = ++seq,
-                       .tier = (uint8_t)rng_below(&rng, 4),
-                       .workspace = 1 + rng_below(&rng, 900),
-                       .cost = 400,
-                       .est_ms = 100,
-                       .queue_ms = 5000,
-                       .left_ms = 60000,
-                       .prefix = 1 + rng_below(&rng, 5000)};
+        const cw_grant_release_t d = {.grant = held[i % 1000], .took_ms = 20000, .cost = 400};
+        cw_slot_request_t w = {.entry = 1 + rng_below(&rng, entries),
+                               .seq = ++seq,
+                               .tier = (uint8_t)rng_below(&rng, 4),
+                               .workspace = 1 + rng_below(&rng, 900),
+                               .cost = 400,
+                               .est_ms = 100,
+                               .queue_ms = 5000,
+                               .remaining_ms = 60000,
+                               .prefix = 1 + rng_below(&rng, 5000)};
         cw_shard_action_t a;
-        cw_shard_done(s, i / 100, &d);
-        cw_shard_want(s, i / 100, &w);
-        while (cw_shard_next(s, i / 100, &a)) {
+        cw_shard_release_grant(s, i / 100, &d);
+        cw_shard_request_slot(s, i / 100, &w);
+        while (cw_shard_next_action(s, i / 100, &a)) {
             held[i % 1000] = a.kind == CW_SHARD_GRANT ? a.grant : 0;
         }
     }
@@ -275,7 +275,7 @@
     }
     c.change_ms = (bench_cpu_s() - cpu) * 1000 / changes;
     for (uint32_t i = 0; i < cw_store_count(s); i++) {
-        const cw_item_t* item = cw_store_at(s, i);
+        const cw_store_item_t* item = cw_store_at(s, i);
         c.bytes += (double)(strlen(item->key) + strlen(item->value) + 16);
     }
     cw_store_shutdown(s);
@@ -348,7 +348,7 @@
 }
 
 static double peer_bytes(const site_proc_t* p) {
-    static site_answer_t a;
+    static site_response_t a;
     a = site_call(&(site_request_t){.address = p->operator_http, .path = "/metrics"});
     double sum = 0;
     for (const char* at = strstr(a.body, "chalkway_peer_bytes_total{"); at;
@@ -416,7 +416,7 @@
 /* Bytes on the wire of one load report, requested over an open connection. */
 static double measure_report(const char* build) {
     static site_t site;
-    static site_answer_t a;
+    static site_response_t a;
     static const char* const none[] = {NULL};
     site_setup(&site, build);
     site_proc_t* engine = site_start(&site, SITE_ENGINE, "engine", "h0", none);
@@ -459,7 +459,7 @@
     double entry_requests_per_s = REQUESTS_PER_S / TARGET_HOSTS;
     double shard_requests_per_s = REQUESTS_PER_S / shards;
     const message_cost_t* m = &k->messages;
-    double request_bytes = m->want + m->grant + m->done + 3 * PACKET_BYTES;
+    double request_bytes = m->slot_request + m->grant + m->done + 3 * PACKET_BYTES;
     double changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     printf("\nat 330 hosts, shards of %.0f servers (%.0f shards): one host that owns one shard\n", shard_size, shards);
     printf("  %-34s %8s %10s %10s\n", "role", "cpu %", "bytes/s", "memory MB");
@@ -512,9 +512,9 @@
     json_t* large = print_sum(&k, 21);
     json_t* small = print_sum(&k, 8);
     json_t* smallest = print_sum(&k, 4);
-    json_t* messages = json_pack("{s:f,s:f,s:f,s:f,s:f,s:f}", "want", k.messages.want, "grant", k.messages.grant,
-                                 "queued", k.messages.queued, "done", k.messages.done, "digest", k.messages.digest,
-                                 "codec_us", k.messages.codec_us);
+    json_t* messages = json_pack("{s:f,s:f,s:f,s:f,s:f,s:f}", "want", k.messages.slot_request, "grant",
+                                 k.messages.grant, "queued", k.messages.queued, "done", k.messages.done, "digest",
+                                 k.messages.digest, "codec_us", k.messages.codec_us);
     return bench_write(build, "capacity",
                        json_pack("{s:s,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o}", "scenario", "capacity", "member",
                                  member, "spread", spread, "messages", messages, "allocator", allocator, "config",
--- a/bench/bench_choose.c
+++ b/bench/bench_choose.c
@@ -19,13 +19,13 @@
     cw_server_spec_t* specs = cw_alloc(NULL, size->engines, sizeof(*specs));
     cw_balance_t* b =
         cw_balance_setup(&(cw_balance_desc_t){.seed = ids[0], .max_servers = size->engines, .max_peers = HOSTS_MAX});
-    cw_fleet_t fleet = {.ids = ids, .count = size->hosts, .reach_ms = 12, .direct_ms = 4};
+    cw_fleet_t fleet = {.ids = ids, .count = size->hosts, .propagation_ms = 12, .direct_propagation_ms = 4};
     for (uint32_t i = 0; i < size->engines; i++) {
         engines[i] = cw_mix(i, 5);
         specs[i] = (cw_server_spec_t){.id = engines[i], .slots = size->slots, .memory_tokens = 400000};
     }
     cw_balance_set_fleet(b, 1000, &fleet);
-    cw_balance_set(b, 0, specs, size->engines);
+    cw_balance_set_servers(b, 0, specs, size->engines);
     cw_free(NULL, specs);
     return b;
 }
@@ -35,7 +35,7 @@
                        rng_t* rng, int64_t now_ms) {
     cw_load_t load = {.running = 1, .tokens = 12000, .streaming = 1, .gap_ms = 250};
     uint64_t engine = engines[rng_below(rng, size->engines)];
-    cw_balance_news(b, now_ms, ids[1 + rng_below(rng, size->hosts - 1)], engine, &load);
+    cw_balance_on_peer_load(b, now_ms, ids[1 + rng_below(rng, size->hosts - 1)], engine, &load);
 }
 
 static cost_t measure(const fleet_size_t* size) {
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -16,17 +16,17 @@
     double request_ns, grant_ns, release_ns;
 } decision_cost_t;
 
-static cw_want_t make_random_request(rng_t* rng, uint32_t seq, uint32_t workspaces) {
-    return (cw_want_t){.entry = 1 + rng_below(rng, ENTRY_COUNT),
-                       .seq = seq,
-                       .tier = (uint8_t)rng_below(rng, CW_TIERS),
-                       .weight = 1,
-                       .workspace = 1 + rng_below(rng, workspaces),
-                       .cost = 50 + rng_below(rng, 500),
-                       .est_ms = 1,
-                       .queue_ms = 100000000,
-                       .left_ms = 200000000,
-                       .prefix = 1 + rng_below(rng, 1000)};
+static cw_slot_request_t make_random_request(rng_t* rng, uint32_t seq, uint32_t workspaces) {
+    return (cw_slot_request_t){.entry = 1 + rng_below(rng, ENTRY_COUNT),
+                               .seq = seq,
+                               .tier = (uint8_t)rng_below(rng, CW_TIERS),
+                               .weight = 1,
+                               .workspace = 1 + rng_below(rng, workspaces),
+                               .cost = 50 + rng_below(rng, 500),
+                               .est_ms = 1,
+                               .queue_ms = 100000000,
+                               .remaining_ms = 200000000,
+                               .prefix = 1 + rng_below(rng, 1000)};
 }
 
 static cw_shard_t* setup_shard(const load_point_t* p) {
@@ -39,7 +39,7 @@
     for (uint32_t i = 0; i < 8; i++) {
         specs[i] = (cw_pick_spec_t){.id = 1000 + i, .slots = SLOTS_PER_UPSTREAM};
     }
-    cw_shard_upstreams(s, specs, 8);
+    cw_shard_set_upstreams(s, specs, 8);
     return s;
 }
 
@@ -51,11 +51,11 @@
     uint32_t seq = 0;
     cw_shard_action_t a;
     while (cw_shard_stats(s, 0).waiting < p->waiting) {
-        cw_want_t w = make_random_request(&rng, ++seq, p->workspaces);
-        if (cw_shard_want(s, 0, &w) != CW_OK) {
+        cw_slot_request_t w = make_random_request(&rng, ++seq, p->workspaces);
+        if (cw_shard_request_slot(s, 0, &w) != CW_OK) {
             abort();
         }
-        if (held_count < 8 * SLOTS_PER_UPSTREAM && cw_shard_next(s, 0, &a)) {
+        if (held_count < 8 * SLOTS_PER_UPSTREAM && cw_shard_next_action(s, 0, &a)) {
             held[held_count++] = a.grant;
         }
     }
@@ -67,13 +67,13 @@
     for (uint32_t finished = 0; finished < REQUEST_COUNT; finished += block) {
         double started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            const cw_done_t d = {.grant = held[(finished + i) % held_count], .took_ms = 5, .cost = 100};
-            cw_shard_done(s, 1, &d);
+            const cw_grant_release_t d = {.grant = held[(finished + i) % held_count], .took_ms = 5, .cost = 100};
+            cw_shard_release_grant(s, 1, &d);
         }
         t[2] += bench_cpu_s() - started_s;
         started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            if (!cw_shard_next(s, 1, &a)) {
+            if (!cw_shard_next_action(s, 1, &a)) {
                 abort();
             }
             held[(finished + i) % held_count] = a.grant;
@@ -81,8 +81,8 @@
         t[1] += bench_cpu_s() - started_s;
         started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            cw_want_t w = make_random_request(&rng, ++seq, p->workspaces);
-            cw_shard_want(s, 1, &w);
+            cw_slot_request_t w = make_random_request(&rng, ++seq, p->workspaces);
+            cw_shard_request_slot(s, 1, &w);
         }
         t[0] += bench_cpu_s() - started_s;
     }
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -33,12 +33,12 @@
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.hall = 1, .seed = ids[0], .max_servers = servers});
     double start_ms = now_ms();
     cw_balance_set_fleet(b, 1000, &fleet);
-    cw_balance_set(b, 1000, specs, servers);
+    cw_balance_set_servers(b, 1000, specs, servers);
     printf("%6u %6u %10.2f", servers, hosts, now_ms() - start_ms);
     start_ms = now_ms();
     for (int i = 0; i < ROUNDS; i++) {
         specs[0].id++;
-        cw_balance_set(b, 1000, specs, servers);
+        cw_balance_set_servers(b, 1000, specs, servers);
     }
     printf(" %10.2f", (now_ms() - start_ms) / ROUNDS);
     start_ms = now_ms();
@@ -60,7 +60,7 @@
     static fleet_t fleet;
     int64_t complete_ms = 0;
     fleet_setup_with(&fleet, hosts, 1, &member_times);
-    for (; complete_ms < 20000 && !fleet_complete(&fleet); complete_ms += 250) {
+    for (; complete_ms < 20000 && !fleet_is_converged(&fleet); complete_ms += 250) {
         fleet_run(&fleet, 250);
     }
     double start_kb = (double)fleet.bytes / hosts / 1000;
--- a/bench/bench_quarantine.c
+++ b/bench/bench_quarantine.c
@@ -37,19 +37,19 @@
 
 typedef struct running_t {
     bool used;
-    uint64_t content;
+    uint64_t content_hash;
     uint32_t host, server, attempts;
     int64_t ends_at_ms;
 } running_t;
 
 typedef struct server_t {
-    uint64_t life;
+    uint64_t incarnation;
     int64_t down_until_ms;
 } server_t;
 
 /* An observation in transit to one host. */
 typedef struct in_transit_t {
-    cw_mark_t observation;
+    cw_quarantine_observation_t observation;
     int64_t sent_at_ms, due_at_ms;
     uint32_t host;
 } in_transit_t;
@@ -78,11 +78,11 @@
     return (uint32_t)(random_unit(sim) * n);
 }
 
-static cw_fingerprint_t request_of(uint64_t content) {
-    return (cw_fingerprint_t){.workspace = content <= BODIES_MAX ? 1 : 2, .content = content};
+static cw_fingerprint_t request_of(uint64_t content_hash) {
+    return (cw_fingerprint_t){.workspace = content_hash <= BODIES_MAX ? 1 : 2, .content_hash = content_hash};
 }
 
-static void broadcast(simulation_t* sim, uint32_t from, const cw_mark_t* observation, int64_t now_ms,
+static void broadcast(simulation_t* sim, uint32_t from, const cw_quarantine_observation_t* observation, int64_t now_ms,
                       int64_t later_ms) {
     for (uint32_t h = 0; h < sim->hosts; h++) {
         if (h == from || random_unit(sim) < sim->loss) {
@@ -101,14 +101,15 @@
     }
 }
 
-static bool observe(simulation_t* sim, uint32_t host, const cw_mark_t* observation, int64_t now_ms) {
+static bool observe(simulation_t* sim, uint32_t host, const cw_quarantine_observation_t* observation, int64_t now_ms) {
     double started_s = bench_cpu_s();
-    bool is_new = cw_quarantine_take(sim->quarantines[host], now_ms, observation);
+    bool is_new = cw_quarantine_observe(sim->quarantines[host], now_ms, observation);
     sim->cpu_s += bench_cpu_s() - started_s;
     return is_new;
 }
 
-static void make_observation(simulation_t* sim, uint32_t host, const cw_mark_t* observation, int64_t now_ms) {
+static void make_observation(simulation_t* sim, uint32_t host, const cw_quarantine_observation_t* observation,
+                             int64_t now_ms) {
     if (observe(sim, host, observation, now_ms)) {
         broadcast(sim, host, observation, now_ms, 0);
         broadcast(sim, host, observation, now_ms, RESEND_MS);
@@ -130,8 +131,8 @@
 }
 
 static bool is_available(const simulation_t* sim, uint32_t s, const cw_verdict_t* v, int64_t now_ms) {
-    for (uint32_t i = 0; i < v->ruled_out; i++) {
-        if (v->lives[i] == sim->server[s].life) {
+    for (uint32_t i = 0; i < v->excluded_count; i++) {
+        if (v->incarnations[i] == sim->server[s].incarnation) {
             return false;
         }
     }
@@ -139,12 +140,12 @@
 }
 
 /* Chooses a server at random, or by the fingerprint where the verdict demands it; SERVERS_MAX when there is none. */
-static uint32_t choose_server(simulation_t* sim, uint64_t content, const cw_verdict_t* v, int64_t now_ms) {
+static uint32_t choose_server(simulation_t* sim, uint64_t content_hash, const cw_verdict_t* v, int64_t now_ms) {
     uint32_t best = SERVERS_MAX;
     uint64_t best_score = 0;
-    uint64_t salt = v->kind == CW_VERDICT_FREE ? cw_mix(11, ++sim->draw_count) : content;
+    uint64_t salt = v->kind == CW_VERDICT_ALLOWED ? cw_mix(11, ++sim->draw_count) : content_hash;
     for (uint32_t s = 0; s < sim->servers; s++) {
-        uint64_t score = cw_mix(salt, sim->server[s].life);
+        uint64_t score = cw_mix(salt, sim->server[s].incarnation);
         if (is_available(sim, s, v, now_ms) && score > best_score) {
             best = s;
             best_score = score;
@@ -153,20 +154,20 @@
     return best;
 }
 
-static void send_request(simulation_t* sim, uint32_t host, uint64_t content, uint32_t attempts, int64_t now_ms) {
-    cw_fingerprint_t request = request_of(content);
-    cw_verdict_t v = cw_quarantine_ask(sim->quarantines[host], now_ms, &request);
-    bool is_query_of_death = content <= BODIES_MAX;
-    if (v.kind == CW_VERDICT_HELD) {
+static void send_request(simulation_t* sim, uint32_t host, uint64_t content_hash, uint32_t attempts, int64_t now_ms) {
+    cw_fingerprint_t request = request_of(content_hash);
+    cw_verdict_t v = cw_quarantine_evaluate(sim->quarantines[host], now_ms, &request);
+    bool is_query_of_death = content_hash <= BODIES_MAX;
+    if (v.kind == CW_VERDICT_QUARANTINED) {
         sim->refused += !is_query_of_death;
         return;
     }
-    uint32_t s = v.kind == CW_VERDICT_WAIT ? SERVERS_MAX : choose_server(sim, content, &v, now_ms);
+    uint32_t s = v.kind == CW_VERDICT_PENDING ? SERVERS_MAX : choose_server(sim, content_hash, &v, now_ms);
     for (uint32_t i = 0; i < RUNNING_MAX && s < SERVERS_MAX; i++) {
         if (!sim->running[i].used) {
             sim->running[i] =
                 (running_t){.used = true,
-                            .content = content,
+                            .content_hash = content_hash,
                             .host = host,
                             .server = s,
                             .attempts = attempts,
@@ -176,19 +177,21 @@
     }
     if (s < SERVERS_MAX && v.kind == CW_VERDICT_TRIAL) {
         make_observation(sim, host,
-                         &(cw_mark_t){.kind = CW_MARK_TRIED, .request = request, .life = sim->server[s].life}, now_ms);
+                         &(cw_quarantine_observation_t){
+                             .kind = CW_OBSERVED_TRIAL, .request = request, .incarnation = sim->server[s].incarnation},
+                         now_ms);
     }
 }
 
-static void count_crash(simulation_t* sim, uint64_t content, int64_t now_ms) {
-    uint32_t body = (uint32_t)content - 1;
+static void count_crash(simulation_t* sim, uint64_t content_hash, int64_t now_ms) {
+    uint32_t body = (uint32_t)content_hash - 1;
     sim->crashes[body]++;
     sim->third_crash_ms[body] = sim->crashes[body] == 3 ? now_ms : sim->third_crash_ms[body];
 }
 
 static void crash_server(simulation_t* sim, uint32_t s, uint64_t by, int64_t now_ms) {
-    uint64_t life = sim->server[s].life;
-    sim->server[s] = (server_t){.life = ++sim->incarnation_count, .down_until_ms = now_ms + RESTART_MS};
+    uint64_t incarnation = sim->server[s].incarnation;
+    sim->server[s] = (server_t){.incarnation = ++sim->incarnation_count, .down_until_ms = now_ms + RESTART_MS};
     count_crash(sim, by, now_ms);
     for (uint32_t i = 0; i < RUNNING_MAX; i++) {
         running_t run = sim->running[i];
@@ -196,9 +199,12 @@
             continue;
         }
         sim->running[i].used = false;
-        sim->broken += run.content > BODIES_MAX;
+        sim->broken += run.content_hash > BODIES_MAX;
         make_observation(sim, run.host,
-                         &(cw_mark_t){.kind = CW_MARK_ENDED, .request = request_of(run.content), .life = life}, now_ms);
+                         &(cw_quarantine_observation_t){.kind = CW_OBSERVED_CRASH,
+                                                        .request = request_of(run.content_hash),
+                                                        .incarnation = incarnation},
+                         now_ms);
     }
 }
 
@@ -209,7 +215,7 @@
         if (!run.used || run.ends_at_ms > now_ms) {
             continue;
         }
-        if (run.content <= BODIES_MAX) {
+        if (run.content_hash <= BODIES_MAX) {
             running_t others[64];
             uint32_t count = 0;
             for (uint32_t k = 0; k < RUNNING_MAX && count < 64; k++) {
@@ -217,27 +223,28 @@
                     others[count++] = sim->running[k];
                 }
             }
-            crash_server(sim, run.server, run.content, now_ms);
+            crash_server(sim, run.server, run.content_hash, now_ms);
             for (uint32_t k = 0; k < count; k++) {
                 if (others[k].attempts < MAX_ATTEMPTS) {
-                    send_request(sim, others[k].host, others[k].content, others[k].attempts + 1, now_ms);
+                    send_request(sim, others[k].host, others[k].content_hash, others[k].attempts + 1, now_ms);
                 }
             }
             continue;
         }
         sim->running[i].used = false;
-        cw_fingerprint_t request = request_of(run.content);
-        if (cw_quarantine_knows(sim->quarantines[run.host], &request)) {
-            make_observation(sim, run.host, &(cw_mark_t){.kind = CW_MARK_CLEARED, .request = request}, now_ms);
+        cw_fingerprint_t request = request_of(run.content_hash);
+        if (cw_quarantine_has_crashes(sim->quarantines[run.host], &request)) {
+            make_observation(sim, run.host,
+                             &(cw_quarantine_observation_t){.kind = CW_OBSERVED_CLEARED, .request = request}, now_ms);
         }
     }
 }
 
 static void export_observations(simulation_t* sim, int64_t now_ms) {
     for (uint32_t h = 0; h < 2 && now_ms % EXPORT_INTERVAL_MS == 0; h++) {
-        cw_mark_t observations[CW_LOAD_MARKS];
+        cw_quarantine_observation_t observations[CW_LOAD_OBSERVATIONS];
         uint32_t at = 0;
-        uint32_t count = cw_quarantine_marks(sim->quarantines[h], now_ms, &at, observations, CW_LOAD_MARKS);
+        uint32_t count = cw_quarantine_export(sim->quarantines[h], now_ms, &at, observations, CW_LOAD_OBSERVATIONS);
         for (uint32_t i = 0; i < count; i++) {
             broadcast(sim, h, &observations[i], now_ms, 0);
         }
@@ -250,7 +257,7 @@
         cw_fingerprint_t request = request_of(body + 1);
         for (uint32_t h = 0; h < sim->hosts && is_quarantined_everywhere; h++) {
             is_quarantined_everywhere =
-                cw_quarantine_ask(sim->quarantines[h], now_ms, &request).kind == CW_VERDICT_HELD;
+                cw_quarantine_evaluate(sim->quarantines[h], now_ms, &request).kind == CW_VERDICT_QUARANTINED;
         }
         sim->quarantined_ms[body] = is_quarantined_everywhere ? now_ms : sim->quarantined_ms[body];
     }
@@ -309,7 +316,7 @@
         sim->quarantines[h] = cw_quarantine_setup(&(cw_quarantine_desc_t){0});
     }
     for (uint32_t s = 0; s < servers; s++) {
-        sim->server[s].life = ++sim->incarnation_count;
+        sim->server[s].incarnation = ++sim->incarnation_count;
     }
     simulate(sim);
     report(sim);
--- a/bench/bench_scenario.c
+++ b/bench/bench_scenario.c
@@ -100,7 +100,7 @@
     snprintf(lag, sizeof(lag), "%u", sc->report_lag_ms);
     snprintf(extra, sizeof(extra), "[allocator]\npolicy = %s\n[entry]\nlookup_keep = 2s\n", policy);
     site_setup(s, build);
-    s->daemon_extra = extra;
+    s->extra_daemon_settings = extra;
     const char* const none[] = {NULL};
     const char* const engine[] = {"--slots", slots, "--step", step, "--lag", lag, NULL};
     const char* const service[] = {"--ms", ms, "--slots", service_slots, NULL};
@@ -153,10 +153,10 @@
     for (int i = 0; i < run->site.count; i++) {
         const site_proc_t* p = &run->site.procs[i];
         if (p->kind == SITE_ENGINE && p->pid) {
-            double tokens = site_number(p->http, "/admin/stats", "tokens");
+            double tokens = site_get_number(p->http, "/admin/stats", "tokens");
             c.tokens += tokens > 0 ? tokens : 0;
         } else if (p->kind == SITE_SERVICE && p->pid) {
-            double second_runs = site_number(p->http, "/admin/stats", "repeated");
+            double second_runs = site_get_number(p->http, "/admin/stats", "repeated");
             c.second_runs += second_runs > 0 ? second_runs : 0;
         }
     }
@@ -460,19 +460,19 @@
 }
 
 static void unequal_engines_prepare(scenario_run_t* run) {
-    site_proc_t* slow = site_find(&run->site, "engine0");
+    site_proc_t* slow = site_find_process(&run->site, "engine0");
     site_call(&(site_request_t){.address = slow->http, .path = "/admin/set?step_ms=80", .body = ""});
 }
 
 static void unequal_engines_on_progress(scenario_run_t* run, double at_s) {
     if (run->stage == 0 && at_s > 4) {
         run->stage = 1;
-        run->suspended = site_find(&run->site, "engine1");
+        run->suspended = site_find_process(&run->site, "engine1");
         kill(run->suspended->pid, SIGSTOP);
     } else if (run->stage == 1 && at_s > 8) {
         run->stage = 2;
-        site_proc_t* crashing = site_find(&run->site, "engine2");
-        run->killed_engine_tokens = site_number(crashing->http, "/admin/stats", "tokens");
+        site_proc_t* crashing = site_find_process(&run->site, "engine2");
+        run->killed_engine_tokens = site_get_number(crashing->http, "/admin/stats", "tokens");
         site_kill(crashing); /* while it is streaming responses */
     }
 }
@@ -502,7 +502,7 @@
         if (p->kind != SITE_DAEMON || !p->pid || p == run->suspended) {
             continue;
         }
-        static site_answer_t a;
+        static site_response_t a;
         a = site_call(&(site_request_t){.address = p->operator_http, .path = "/v1/status", .timeout_ms = 500});
         json_t* root = json_loads(a.body, 0, NULL);
         size_t shards = json_array_size(json_object_get(root, "shards"));
--- a/chalkway_backlog.h
+++ b/chalkway_backlog.h
@@ -14,7 +14,7 @@
             cw_backlog_t b = {0};
             cw_backlog_plan_t plan = cw_backlog_add(&b, now_ms, urgency, prefill_ms);
             double wait_ms = cw_backlog_ms(&b, now_ms, urgency);
-            cw_backlog_done(&b, now_ms, &plan);
+            cw_backlog_remove(&b, now_ms, &plan);
 
     WHAT IT DOES NOT DO
         It does not predict the prefill time of a prompt.
@@ -27,15 +27,15 @@
 /* Position of one prompt in the backlog. */
 typedef struct cw_backlog_plan_t {
     uint32_t urgency;
-    double done_ms;       /* predicted end of its prefill, if no more urgent prompt is added */
-    double put_before_ms; /* value of its urgency's put_before_ms when it was added */
+    double expected_end_ms; /* predicted end of its prefill, if no more urgent prompt is added */
+    double inserted_ms;     /* value of its urgency's inserted_ms when it was added */
 } cw_backlog_plan_t;
 
 /* All zero: empty. */
 typedef struct cw_backlog_t {
-    double until_ms[CW_URGENCIES];      /* predicted end of the prefills of this urgency and more urgent ones */
-    uint32_t unread[CW_URGENCIES];      /* pending prompts of this urgency and more urgent ones */
-    double put_before_ms[CW_URGENCIES]; /* total prefill time of more urgent prompts added so far */
+    double until_ms[CW_URGENCY_LEVELS];    /* predicted end of the prefills of this urgency and more urgent ones */
+    uint32_t pending[CW_URGENCY_LEVELS];   /* pending prompts of this urgency and more urgent ones */
+    double inserted_ms[CW_URGENCY_LEVELS]; /* total prefill time of more urgent prompts added so far */
 } cw_backlog_t;
 
 /* Time until the prompts of the urgency and more urgent ones are prefilled. Once the predicted time has passed, they
@@ -43,7 +43,7 @@
 double cw_backlog_ms(const cw_backlog_t* b, int64_t now_ms, uint32_t urgency);
 cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double prefill_ms);
 /* Removes a prompt that is prefilled, or never will be. */
-void cw_backlog_done(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan);
+void cw_backlog_remove(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan);
 
 #endif /* CHALKWAY_BACKLOG_H */
 
@@ -54,29 +54,29 @@
 
 double cw_backlog_ms(const cw_backlog_t* b, int64_t now_ms, uint32_t urgency) {
     double remaining_ms = b->until_ms[urgency] - (double)now_ms;
-    if (!b->unread[urgency]) {
+    if (!b->pending[urgency]) {
         return 0;
     }
     return remaining_ms > 0 ? remaining_ms : -remaining_ms;
 }
 
 cw_backlog_plan_t cw_backlog_add(cw_backlog_t* b, int64_t now_ms, uint32_t urgency, double prefill_ms) {
-    for (uint32_t i = urgency; i < CW_URGENCIES; i++) {
+    for (uint32_t i = urgency; i < CW_URGENCY_LEVELS; i++) {
         b->until_ms[i] = (double)now_ms + cw_backlog_ms(b, now_ms, i) + prefill_ms;
-        b->unread[i]++;
-        b->put_before_ms[i] += i > urgency ? prefill_ms : 0;
+        b->pending[i]++;
+        b->inserted_ms[i] += i > urgency ? prefill_ms : 0;
     }
     return (cw_backlog_plan_t){
-        .urgency = urgency, .done_ms = b->until_ms[urgency], .put_before_ms = b->put_before_ms[urgency]};
+        .urgency = urgency, .expected_end_ms = b->until_ms[urgency], .inserted_ms = b->inserted_ms[urgency]};
 }
 
-void cw_backlog_done(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan) {
-    double put_before_ms = b->put_before_ms[plan->urgency] - plan->put_before_ms;
-    double delay_ms = (double)now_ms - plan->done_ms - put_before_ms;
-    for (uint32_t i = plan->urgency; i < CW_URGENCIES; i++) {
-        b->unread[i] -= b->unread[i] > 0;
+void cw_backlog_remove(cw_backlog_t* b, int64_t now_ms, const cw_backlog_plan_t* plan) {
+    double inserted_ms = b->inserted_ms[plan->urgency] - plan->inserted_ms;
+    double delay_ms = (double)now_ms - plan->expected_end_ms - inserted_ms;
+    for (uint32_t i = plan->urgency; i < CW_URGENCY_LEVELS; i++) {
+        b->pending[i] -= b->pending[i] > 0;
         b->until_ms[i] += delay_ms;
-        if (!b->unread[i] || b->until_ms[i] < (double)now_ms) {
+        if (!b->pending[i] || b->until_ms[i] < (double)now_ms) {
             b->until_ms[i] = (double)now_ms;
         }
     }
--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -28,11 +28,11 @@
 
     HOW TO USE IT
             cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.hall = hall, .seed = host});
-            cw_balance_set(b, now_ms, specs, count);
+            cw_balance_set_servers(b, now_ms, specs, count);
             cw_choice_t c = cw_balance_choose(b, now_ms, &work, tried, tried_count);
             if (c.server != CW_BALANCE_NONE) {
                 cw_run_t run = cw_balance_begin(b, now_ms, c.server, &work);
-                cw_balance_first(b, now_ms, &run);
+                cw_balance_on_first_byte(b, now_ms, &run);
                 cw_balance_end(b, now_ms, &run, CW_TRY_SERVED);
             }
 
@@ -56,17 +56,17 @@
 #include "chalkway_suspect.h"
 
 #define CW_BALANCE_NONE UINT32_MAX
-#define CW_WORK_PARTS 8
+#define CW_PROMPT_PARTS 8
 
 /* A server as published by the configuration source. */
 typedef struct cw_server_spec_t {
     uint64_t id;   /* of this incarnation of the server */
     uint64_t hall; /* id of the hall's name */
     uint32_t slots;
-    uint32_t memory_tokens; /* 0: not an engine */
-    uint32_t cold_ms;       /* remaining slow start, from now */
-    double cold_per_s;      /* rate limit during slow start, over all daemons, requests per second; 0: no limit */
-    double move_ms;         /* time to fetch one cached token from another server; 0: not supported */
+    uint32_t memory_tokens;    /* 0: not an engine */
+    uint32_t cold_ms;          /* remaining slow start, from now */
+    double cold_per_s;         /* rate limit during slow start, over all daemons, requests per second; 0: no limit */
+    double fetch_ms_per_token; /* time to fetch one cached token from another server; 0: not supported */
 } cw_server_spec_t;
 
 /* Demand of a request, as far as the choice depends on it. All zero for a plain call. */
@@ -74,35 +74,36 @@
     uint32_t urgency; /* as sent to engines: 0 is prefilled first and preempted last */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    uint32_t target_ms; /* to the first byte */
-    uint32_t gap_ms;    /* gap limit: longest accepted gap between events; 0: none */
-    bool repeatable;    /* a failed attempt may be retried, so a recent failure of a server weighs half */
-    bool late;          /* it waited so long for a slot that it can hardly meet its target (chalkway_turn.h) */
-    bool light;         /* its class needs few slots, see cw_balance_light */
-    uint64_t spread;    /* if not 0, the server is chosen by rendezvous hashing of this key, not by cost */
+    uint32_t target_ms;      /* to the first byte */
+    uint32_t gap_ms;         /* gap limit: longest accepted gap between events; 0: none */
+    bool repeatable;         /* a failed attempt may be retried, so a recent failure of a server weighs half */
+    bool is_late;            /* it waited so long for a slot that it can hardly meet its target (chalkway_turn.h) */
+    bool is_light;           /* its class needs few slots, see cw_balance_is_light */
+    uint64_t rendezvous_key; /* if not 0, the server is chosen by rendezvous hashing of this key, not by cost */
     uint32_t part_count;
-    cw_work_part_t parts[CW_WORK_PARTS]; /* the prompt from its start */
+    cw_prompt_part_t parts[CW_PROMPT_PARTS]; /* the prompt from its start */
 } cw_work_t;
 
 /* Load of one daemon at one server. */
 typedef struct cw_load_t {
     uint32_t running;
-    uint32_t gap_ms;                   /* strictest gap limit among its streams there; 0: none */
-    uint32_t streaming;                /* streams with that gap limit */
-    uint32_t backlog_ms[CW_URGENCIES]; /* time to prefill its unanswered prompts of this urgency and more urgent ones */
-    uint32_t deepest;                  /* tokens of the longest unanswered prompt */
+    uint32_t gap_ms;    /* strictest gap limit among its streams there; 0: none */
+    uint32_t streaming; /* streams with that gap limit */
+    uint32_t
+        backlog_ms[CW_URGENCY_LEVELS]; /* time to prefill its unanswered prompts of this urgency and more urgent ones */
+    uint32_t longest_prompt_tokens;    /* tokens of the longest unanswered prompt */
     uint32_t tokens;                   /* memory that its running requests use or will use */
-    uint32_t pace_us;                  /* learned event interval there while no prompt is prefilled; 0: unknown */
+    uint32_t event_interval_us;        /* learned event interval there while no prompt is prefilled; 0: unknown */
     uint32_t failed_ago_ms;            /* since one of its connections to the server last failed; 0: not recently */
-    uint32_t alive_ago_ms;             /* since it last sent a request there that was answered; 0: not recently */
-    cw_rate_said_t rate;               /* state of the server's advertised rate in the daemon's own recent responses */
+    uint32_t answered_ago_ms;          /* since it last sent a request there that was answered; 0: not recently */
+    cw_rate_state_t rate;              /* state of the server's advertised rate in the daemon's own recent responses */
     uint32_t rate_per_ks;              /* that rate, requests per 1,000 s */
     uint32_t rate_ago_ms;              /* age of that observation */
 } cw_load_t;
 
 /* The urgency by which a request is queued: a late one goes last and delays no other request. */
-static inline uint32_t cw_work_turn_urgency(const cw_work_t* work) {
-    return work->late ? CW_URGENCIES - 1 : work->urgency;
+static inline uint32_t cw_work_queue_urgency(const cw_work_t* work) {
+    return work->is_late ? CW_URGENCY_LEVELS - 1 : work->urgency;
 }
 
 typedef enum cw_try_result_t {
@@ -120,62 +121,62 @@
     uint64_t id;     /* of the server: the index may belong to another server once this one was removed */
     int64_t begun_ms;
     uint32_t urgency;
-    double read_ms; /* predicted prefill time of the prompt */
+    double prefill_ms; /* predicted prefill time of the prompt */
     cw_backlog_plan_t plan;
     /* Backlog of all urgencies at the start, since an engine may finish a chunk of any prompt first. */
-    double found_ms;
-    bool quiet;            /* nothing was known there that the prompt may have waited for */
-    uint32_t fresh_tokens; /* to be prefilled, neither cached nor fetched */
+    double backlog_ahead_ms;
+    bool is_unqueued;         /* nothing was known there that the prompt may have waited for */
+    uint32_t uncached_tokens; /* to be prefilled, neither cached nor fetched */
     uint32_t tokens;
     uint32_t gap_ms;
     bool answered;
-    int64_t event_ms; /* time of the last event of the response */
-    uint32_t beside;  /* tokens of the longest prompt that was prefilled there at that time */
+    int64_t last_event_ms;             /* time of the last event of the response */
+    uint32_t concurrent_prompt_tokens; /* tokens of the longest prompt that was prefilled there at that time */
 } cw_run_t;
 
 /* Numbers of servers that were excluded from a choice. A server counts once, by the first reason that applies. */
-typedef struct cw_left_out_t {
-    uint32_t tried;     /* in the caller's list of tried servers */
-    uint32_t away;      /* unreachable, or it has just refused a request for lack of capacity */
-    uint32_t cold;      /* in slow start and at its rate limit */
-    uint32_t resting;   /* it asked this host to back off */
-    uint32_t limited;   /* its advertised rate allows no request of this host now */
-    uint32_t suspected; /* suspected, and in another host's time slice to probe it */
-    uint32_t no_place;  /* no free slot for this request, or none for this host now */
-} cw_left_out_t;
+typedef struct cw_excluded_t {
+    uint32_t tried;        /* in the caller's list of tried servers */
+    uint32_t unreachable;  /* unreachable, or it has just refused a request for lack of capacity */
+    uint32_t cold;         /* in slow start and at its rate limit */
+    uint32_t backing_off;  /* it asked this host to back off */
+    uint32_t rate_limited; /* its advertised rate allows no request of this host now */
+    uint32_t suspected;    /* suspected, and in another host's time slice to probe it */
+    uint32_t no_slot;      /* no free slot for this request, or none for this host now */
+} cw_excluded_t;
 
 /* The chosen server and the inputs of the choice. */
 typedef struct cw_choice_t {
-    uint32_t server;     /* CW_BALANCE_NONE: no server has capacity */
-    uint64_t id;         /* of the server */
-    double cost_ms;      /* cost by which servers are compared */
-    double reserved;     /* free slots reserved for requests with priority over this one, over all servers */
-    double wait_ms;      /* backlog of the server for the request's urgency, all daemons */
-    double read_ms;      /* predicted prefill time of this prompt */
-    uint32_t running;    /* at the server, all daemons */
-    uint32_t age_ms;     /* of the oldest load report that was used */
-    uint32_t kept;       /* tokens of the prompt that are assumed to be cached there */
-    uint64_t from;       /* id of the server to fetch more of the prompt from; 0: none */
-    uint32_t moved;      /* tokens to fetch from it */
-    uint32_t again;      /* tokens that are cached at another server and recomputed here all the same */
-    uint32_t streaming;  /* streams at the server with the strictest gap limit */
-    uint32_t candidates; /* servers that had capacity */
-    cw_left_out_t left_out;
-    double pace; /* event interval of the server relative to the fastest one's, 1 while unknown */
-    bool late;   /* the backlog is too long at every candidate, see cw_balance_choose */
+    uint32_t server;            /* CW_BALANCE_NONE: no server has capacity */
+    uint64_t id;                /* of the server */
+    double cost_ms;             /* cost by which servers are compared */
+    double reserved_slots;      /* free slots reserved for requests with priority over this one, over all servers */
+    double wait_ms;             /* backlog of the server for the request's urgency, all daemons */
+    double prefill_ms;          /* predicted prefill time of this prompt */
+    uint32_t running;           /* at the server, all daemons */
+    uint32_t age_ms;            /* of the oldest load report that was used */
+    uint32_t cached_tokens;     /* tokens of the prompt that are assumed to be cached there */
+    uint64_t fetch_source;      /* id of the server to fetch more of the prompt from; 0: none */
+    uint32_t fetched_tokens;    /* tokens to fetch from it */
+    uint32_t recomputed_tokens; /* tokens that are cached at another server and recomputed here all the same */
+    uint32_t streaming;         /* streams at the server with the strictest gap limit */
+    uint32_t candidates;        /* servers that had capacity */
+    cw_excluded_t excluded;
+    double interval_ratio; /* event interval of the server relative to the fastest one's, 1 while unknown */
+    bool is_late;          /* the backlog is too long at every candidate, see cw_balance_choose */
 } cw_choice_t;
 
 typedef struct cw_balance_desc_t {
-    uint64_t hall;        /* id of the own hall, preferred when all else is equal */
-    uint64_t seed;        /* id of the own host: breaks ties between servers of equal cost */
-    uint32_t max_servers; /* default 256; memory grows with the number in use */
-    uint32_t max_peers;   /* daemons whose load reports are kept for one server, default 128 */
-    uint32_t max_parts;   /* capacity of the table of cached prompt parts, default 131072 */
-    uint32_t news_ms;     /* load reports of other daemons are ignored when older, default 1500 */
-    uint32_t away_ms;     /* time until the first probe of an unreachable server, default 250 */
-    uint32_t away_max_ms; /* longest time between two such probes, default 4000 */
+    uint64_t hall;                  /* id of the own hall, preferred when all else is equal */
+    uint64_t seed;                  /* id of the own host: breaks ties between servers of equal cost */
+    uint32_t max_servers;           /* default 256; memory grows with the number in use */
+    uint32_t max_peers;             /* daemons whose load reports are kept for one server, default 128 */
+    uint32_t max_parts;             /* capacity of the table of cached prompt parts, default 131072 */
+    uint32_t report_max_age_ms;     /* load reports of other daemons are ignored when older, default 1500 */
+    uint32_t probe_interval_ms;     /* time until the first probe of an unreachable server, default 250 */
+    uint32_t probe_interval_max_ms; /* longest time between two such probes, default 4000 */
     /* Whether this daemon is the only one that sends to the server during its slow start; NULL: always true. */
-    bool (*is_mine)(void* user_data, uint64_t server);
+    bool (*owns_server)(void* user_data, uint64_t server);
     void* user_data;
     cw_allocator_t allocator;
 } cw_balance_desc_t;
@@ -184,38 +185,38 @@
 typedef struct cw_fleet_t {
     const uint64_t* ids;
     uint32_t count;
-    uint32_t missing;   /* hosts that vanished without a clean stop: they may run on behind a network partition */
-    uint32_t reach_ms;  /* time until a load report has reached all hosts */
-    uint32_t direct_ms; /* the same for the other owner hosts of the server (chalkway_home.h) */
+    uint32_t missing;        /* hosts that vanished without a clean stop: they may run on behind a network partition */
+    uint32_t propagation_ms; /* time until a load report has reached all hosts */
+    uint32_t direct_propagation_ms; /* the same for the other owner hosts of the server (chalkway_home.h) */
 } cw_fleet_t;
 
 /* Numbers of servers that throttle this host now. */
-typedef struct cw_held_back_t {
-    uint32_t resting; /* asked this host to back off */
-    uint32_t limited; /* advertise a rate */
-    uint32_t owned;   /* of these, servers where this host owns a share of the rate */
-} cw_held_back_t;
+typedef struct cw_throttled_t {
+    uint32_t backing_off;  /* asked this host to back off */
+    uint32_t rate_limited; /* advertise a rate */
+    uint32_t owned_rates;  /* of these, servers where this host owns a share of the rate */
+} cw_throttled_t;
 
 typedef struct cw_balance_t cw_balance_t;
 
 cw_balance_t* cw_balance_setup(const cw_balance_desc_t* desc);
 void cw_balance_shutdown(cw_balance_t* b);
 /* Replaces the list of servers; servers that stay in it keep their state. CW_ERR_FULL when there are too many. */
-cw_status_t cw_balance_set(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count);
+cw_status_t cw_balance_set_servers(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count);
 /* Index of a server; CW_BALANCE_NONE when it is not known. */
 uint32_t cw_balance_find(const cw_balance_t* b, uint64_t id);
 /* Sets the live hosts, this one among them. The ids are not copied: they must stay valid until the next call or the
    shutdown. */
 void cw_balance_set_fleet(cw_balance_t* b, int64_t now_ms, const cw_fleet_t* fleet);
 /* Counts a new request for the pool. */
-void cw_balance_asked(cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
+void cw_balance_on_request(cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
 /* Whether the request's class is light: by its arrival rate and slot time it needs few of the pool's slots, and its
    prompts are short compared to those of the class with the longest ones. */
-bool cw_balance_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
+bool cw_balance_is_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work);
 /* Whether the request is delay-tolerant: its target is much longer than the pool's shortest one. */
-bool cw_balance_patient(const cw_balance_t* b, const cw_work_t* work);
+bool cw_balance_is_delay_tolerant(const cw_balance_t* b, const cw_work_t* work);
 /* Sets the number of this host's requests of the urgency that wait for a slot. */
-void cw_balance_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count);
+void cw_balance_set_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count);
 /* Chooses the best server for the request, except those already tried.
    - A server whose backlog for the request's urgency exceeds the request's backlog limit (a multiple of its target) is
      chosen only where all candidates exceed it; the choice is then marked late.
@@ -230,51 +231,51 @@
 cw_run_t cw_balance_begin(cw_balance_t* b, int64_t now_ms, uint32_t server, const cw_work_t* work);
 /* Records the first byte of the response. True: it ends a suspicion of the server, which should be reported to the
    peers at once. */
-bool cw_balance_first(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
+bool cw_balance_on_first_byte(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
 /* Records a further event of a streamed response. */
-void cw_balance_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
+void cw_balance_on_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
 /* Records the end of the request. */
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result);
 /* Sets whether this daemon has an idle connection to the server; without one a request opens a new one. */
-void cw_balance_warm(cw_balance_t* b, uint64_t id, bool has_idle_connection);
+void cw_balance_set_idle_connection(cw_balance_t* b, uint64_t id, bool has_idle_connection);
 /* Sets whether the server is unreachable. */
-void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable);
+void cw_balance_set_unreachable(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable);
 /* Records the rate limit in a response of the server that has just arrived: the requests per second that the server
    takes from all hosts together; per_s < 0: the response has none. The request was sent at sent_ms. True: the active
    rate changed. */
-bool cw_balance_limit(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s);
+bool cw_balance_on_rate(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s);
 /* The active rate, requests per second of all hosts together; < 0: none. */
-double cw_balance_limit_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id);
+double cw_balance_rate_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Records that the server asked this host to back off for ms. */
-void cw_balance_rest(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms);
+void cw_balance_back_off(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms);
 /* Whether this host backs off from the server now. */
-bool cw_balance_rests(const cw_balance_t* b, int64_t now_ms, uint64_t id);
+bool cw_balance_is_backing_off(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Time until the first server accepts a request of this host, if all servers throttle it; 0: some server doesn't, or
    the time is unknown. */
-uint32_t cw_balance_opens_in_ms(const cw_balance_t* b, int64_t now_ms);
-cw_held_back_t cw_balance_held_back(const cw_balance_t* b, int64_t now_ms);
+uint32_t cw_balance_throttle_wait_ms(const cw_balance_t* b, int64_t now_ms);
+cw_throttled_t cw_balance_throttled(const cw_balance_t* b, int64_t now_ms);
 /* Whether this host's own responses showed a state of the server's rate that is to be sent to the peers. */
-bool cw_balance_tells_limit(const cw_balance_t* b, int64_t now_ms, uint64_t id);
+bool cw_balance_has_rate_to_send(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Whether the server is suspected to be gone, by the reports of all daemons. */
-bool cw_balance_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id);
+bool cw_balance_is_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Returns an unreachable server whose next probe is due, and schedules the one after that. 0: none. */
-uint64_t cw_balance_probe(cw_balance_t* b, int64_t now_ms);
+uint64_t cw_balance_next_probe(cw_balance_t* b, int64_t now_ms);
 /* This daemon's load at the server. */
-cw_load_t cw_balance_load(const cw_balance_t* b, int64_t now_ms, uint32_t server);
+cw_load_t cw_balance_own_load(const cw_balance_t* b, int64_t now_ms, uint32_t server);
 /* Records the load report of another daemon. */
-void cw_balance_news(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load);
+void cw_balance_on_peer_load(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load);
 /* Records that another daemon sent a prompt with this part to the server. */
-void cw_balance_kept(cw_balance_t* b, uint64_t server, const cw_work_part_t* part);
+void cw_balance_on_peer_prompt(cw_balance_t* b, uint64_t server, const cw_prompt_part_t* part);
 /* Known share 0..1 of slots in use, over the servers that don't throttle this host; 1 when there are none. */
-double cw_balance_fullness(const cw_balance_t* b, int64_t now_ms);
+double cw_balance_utilization(const cw_balance_t* b, int64_t now_ms);
 /* Learned shortest target of the pool's requests, ms; 0: none seen yet. */
-double cw_balance_shortest_target(const cw_balance_t* b);
+double cw_balance_shortest_target_ms(const cw_balance_t* b);
 /* This host's requests at the pool, by urgency. */
-const cw_holding_t* cw_balance_holding(const cw_balance_t* b);
+const cw_occupancy_t* cw_balance_occupancy(const cw_balance_t* b);
 /* Learned gap between events of a stream while a prompt of so many tokens is prefilled on its server, ms. */
-double cw_balance_pause(const cw_balance_t* b, uint32_t tokens);
+double cw_balance_stall_ms(const cw_balance_t* b, uint32_t tokens);
 /* Learned prefill time per token, ms. */
-double cw_balance_read_rate(const cw_balance_t* b);
+double cw_balance_prefill_ms_per_token(const cw_balance_t* b);
 
 #endif /* CHALKWAY_BALANCE_H */
 
@@ -377,11 +378,11 @@
     bool is_listed;    /* it may be chosen */
     uint32_t position; /* in the fill order, which is the same in all daemons */
     uint32_t running;
-    cw_gaps_t gap_limits; /* of own streams that have begun */
+    cw_gap_limits_t gap_limits; /* of own streams that have begun */
     uint64_t tokens;
-    cw_backlog_t backlog;     /* own prompts, from sending to the first byte */
-    uint32_t deepest;         /* tokens of the longest prompt among them; 0 when there are none */
-    double event_interval_ms; /* learned event interval while nothing is prefilled there; 0: unknown */
+    cw_backlog_t backlog;           /* own prompts, from sending to the first byte */
+    uint32_t longest_prompt_tokens; /* tokens of the longest prompt among them; 0 when there are none */
+    double event_interval_ms;       /* learned event interval while nothing is prefilled there; 0: unknown */
     uint32_t interval_samples;
     double slowdown;        /* time that requests take, relative to the other servers; 1: the same */
     int64_t slowdown_at_ms; /* when it was learned */
@@ -389,7 +390,7 @@
     int64_t failure_at_ms;
     bool has_idle_connection;
     bool is_unreachable;
-    uint32_t away_ms;
+    uint32_t probe_interval_ms;
     int64_t next_probe_ms;
     int64_t full_until_ms;
     bool is_owner_host;           /* this host is an owner host of it, as of owner_fleet_version */
@@ -398,10 +399,10 @@
     int64_t own_failed_ms;        /* observed by this host and sent to its peers; 0: never */
     int64_t own_answered_ms;
     cw_rate_t rate;
-    cw_rest_t backoff;
+    cw_backoff_t backoff;
     int64_t cold_until_ms;
     cw_bucket_t cold;           /* rate limit until then */
-    uint64_t read_tokens;       /* all tokens prefilled there, as far as known */
+    uint64_t prefilled_tokens;  /* all tokens prefilled there, as far as known */
     _cw_load_report_t* reports; /* of daemons with load there; most servers of a large pool have none */
     uint32_t report_count, report_capacity;
 } _cw_server_t;
@@ -422,20 +423,20 @@
     uint32_t unreachable_count;
     uint32_t first_free; /* all entries before it are in use */
     uint32_t listed_count;
-    cw_kept_t* prefix_cache;
+    cw_prefix_cache_t* prefix_cache;
     cw_fleet_t fleet;
     uint64_t fleet_version; /* 1 + number of times that the fleet was set */
     cw_contention_t contention;
-    cw_holding_t occupancy;
-    cw_reading_t prefill;
+    cw_occupancy_t occupancy;
+    cw_prefill_t prefill;
     double call_ms;
     uint32_t call_samples;
-    cw_pauses_t stalls;
-    double backlog_limit_ms[CW_URGENCIES]; /* learned backlog limit of each urgency's requests; 0: none seen */
-    double short_target_ms;                /* learned target of the requests with the shortest ones; 0: none yet */
-    double long_prompt_tokens;             /* learned length of long prompts */
-    double long_prompt_wait_ms;            /* mean backlog that long prompts found recently */
-    double fastest_interval_ms;            /* shortest known event interval of a server; 0: none known */
+    cw_stalls_t stalls;
+    double backlog_limit_ms[CW_URGENCY_LEVELS]; /* learned backlog limit of each urgency's requests; 0: none seen */
+    double short_target_ms;                     /* learned target of the requests with the shortest ones; 0: none yet */
+    double long_prompt_tokens;                  /* learned length of long prompts */
+    double long_prompt_wait_ms;                 /* mean backlog that long prompts found recently */
+    double fastest_interval_ms;                 /* shortest known event interval of a server; 0: none known */
 };
 
 static cw_balance_desc_t _cw_balance_desc_defaults(const cw_balance_desc_t* desc) {
@@ -443,9 +444,9 @@
     d.max_servers = d.max_servers ? d.max_servers : 256;
     d.max_peers = d.max_peers ? d.max_peers : 128;
     d.max_parts = d.max_parts ? d.max_parts : 131072;
-    d.news_ms = d.news_ms ? d.news_ms : 1500;
-    d.away_ms = d.away_ms ? d.away_ms : 250;
-    d.away_max_ms = d.away_max_ms ? d.away_max_ms : 4000;
+    d.report_max_age_ms = d.report_max_age_ms ? d.report_max_age_ms : 1500;
+    d.probe_interval_ms = d.probe_interval_ms ? d.probe_interval_ms : 250;
+    d.probe_interval_max_ms = d.probe_interval_max_ms ? d.probe_interval_max_ms : 4000;
     return d;
 }
 
@@ -456,8 +457,8 @@
     b->servers = cw_alloc(&b->desc.allocator, b->capacity, sizeof(*b->servers));
     b->order = cw_alloc(&b->desc.allocator, b->capacity, sizeof(*b->order));
     b->index = cw_map_setup(b->capacity, &b->desc.allocator);
-    b->prefix_cache = cw_kept_setup(b->desc.max_parts, &b->desc.allocator);
-    b->prefill = cw_reading_new();
+    b->prefix_cache = cw_prefix_cache_setup(b->desc.max_parts, &b->desc.allocator);
+    b->prefill = cw_prefill_init();
     b->fleet_version = 1;
     b->contention.seed = desc->seed;
     b->call_ms = _CW_CALL_DEFAULT_MS;
@@ -470,7 +471,7 @@
         cw_free(&allocator, b->servers[i].reports);
     }
     cw_map_shutdown(&b->index);
-    cw_kept_shutdown(b->prefix_cache);
+    cw_prefix_cache_shutdown(b->prefix_cache);
     cw_free(&allocator, b->order);
     cw_free(&allocator, b->servers);
     cw_free(&allocator, b);
@@ -553,7 +554,7 @@
     _cw_balance_find_fastest(b);
 }
 
-cw_status_t cw_balance_set(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count) {
+cw_status_t cw_balance_set_servers(cw_balance_t* b, int64_t now_ms, const cw_server_spec_t* specs, uint32_t count) {
     cw_status_t status = CW_OK;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         b->servers[i].is_listed = false;
@@ -574,7 +575,7 @@
     }
     for (uint32_t i = 0; i < b->entry_count; i++) {
         _cw_server_t* s = &b->servers[i];
-        bool is_throttling = now_ms < s->backoff.until_ms || cw_rate_holds(&s->rate, now_ms);
+        bool is_throttling = now_ms < s->backoff.until_ms || cw_rate_is_active(&s->rate, now_ms);
         if (s->is_used && !s->is_listed && !s->running && !is_throttling) {
             _cw_balance_remove(b, i);
         }
@@ -585,28 +586,29 @@
 
 /* -- prompt parts --------------------------------------------------------- */
 
-static cw_prefix_memory_t _cw_balance_prefix_capacity(const _cw_server_t* s) {
-    return (cw_prefix_memory_t){.server = s->spec.id,
-                                .read_tokens = s->read_tokens,
-                                .room_tokens = _CW_PREFIX_CACHE_SHARE * s->spec.memory_tokens};
+static cw_prefix_capacity_t _cw_balance_prefix_capacity(const _cw_server_t* s) {
+    return (cw_prefix_capacity_t){.server = s->spec.id,
+                                  .prefilled_tokens = s->prefilled_tokens,
+                                  .capacity_tokens = _CW_PREFIX_CACHE_SHARE * s->spec.memory_tokens};
 }
 
 /* Tokens of the prompt that are assumed to be cached at the server. */
 static uint32_t _cw_balance_cached_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_work_t* work) {
-    cw_prefix_memory_t capacity = _cw_balance_prefix_capacity(s);
-    uint32_t tokens = cw_prefix_kept(b->prefix_cache, &capacity, work->parts, work->part_count);
+    cw_prefix_capacity_t capacity = _cw_balance_prefix_capacity(s);
+    uint32_t tokens = cw_prefix_cached_tokens(b->prefix_cache, &capacity, work->parts, work->part_count);
     return tokens < work->prompt_tokens ? tokens : work->prompt_tokens;
 }
 
-static void _cw_balance_cache_part(cw_balance_t* b, _cw_server_t* s, const cw_work_part_t* part) {
-    cw_prefix_memory_t capacity = _cw_balance_prefix_capacity(s);
-    if (!cw_kept_has(b->prefix_cache, s->spec.id, part->id, capacity.read_tokens, capacity.room_tokens)) {
-        s->read_tokens += part->tokens;
+static void _cw_balance_cache_part(cw_balance_t* b, _cw_server_t* s, const cw_prompt_part_t* part) {
+    cw_prefix_capacity_t capacity = _cw_balance_prefix_capacity(s);
+    if (!cw_prefix_cache_has(b->prefix_cache, s->spec.id, part->id, capacity.prefilled_tokens,
+                             capacity.capacity_tokens)) {
+        s->prefilled_tokens += part->tokens;
     }
-    cw_kept_add(b->prefix_cache, s->spec.id, part->id, s->read_tokens);
+    cw_prefix_cache_add(b->prefix_cache, s->spec.id, part->id, s->prefilled_tokens);
 }
 
-void cw_balance_kept(cw_balance_t* b, uint64_t server, const cw_work_part_t* part) {
+void cw_balance_on_peer_prompt(cw_balance_t* b, uint64_t server, const cw_prompt_part_t* part) {
     uint32_t at = cw_balance_find(b, server);
     if (at != CW_BALANCE_NONE) {
         _cw_balance_cache_part(b, &b->servers[at], part);
@@ -617,7 +619,8 @@
 
 /* Known load of all daemons at a server. */
 typedef struct _cw_total_load_t {
-    uint32_t running, streaming, gap_ms, deepest, age_ms; /* age_ms: of the oldest load report that was used */
+    uint32_t running, streaming, gap_ms, longest_prompt_tokens,
+        age_ms; /* age_ms: of the oldest load report that was used */
     double tokens;
     double wait_ms;    /* backlog of the urgency and more urgent ones */
     double backlog_ms; /* of all urgencies */
@@ -645,28 +648,30 @@
 /* Load that a request of the urgency finds there. */
 static _cw_total_load_t _cw_balance_total_load(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
                                                uint32_t urgency) {
-    double own_ms = _cw_balance_own_backlog_ms(s, now_ms, CW_URGENCIES - 1);
+    double own_ms = _cw_balance_own_backlog_ms(s, now_ms, CW_URGENCY_LEVELS - 1);
     _cw_total_load_t sum = {.running = s->running,
-                            .deepest = own_ms > 0 ? s->deepest : 0,
+                            .longest_prompt_tokens = own_ms > 0 ? s->longest_prompt_tokens : 0,
                             .tokens = (double)s->tokens,
                             .wait_ms = _cw_balance_own_backlog_ms(s, now_ms, urgency),
                             .backlog_ms = own_ms};
-    cw_gap_t own = cw_gaps_shortest(&s->gap_limits);
+    cw_gap_limit_t own = cw_gap_limits_strictest(&s->gap_limits);
     _cw_balance_add_gap_limit(&sum, own.gap_ms, own.count);
     for (uint32_t i = 0; i < s->report_count; i++) {
         const _cw_load_report_t* n = &s->reports[i];
         int64_t age_ms = now_ms - n->at_ms;
-        if (age_ms > b->desc.news_ms) {
+        if (age_ms > b->desc.report_max_age_ms) {
             continue;
         }
         sum.running += n->load.running;
         sum.tokens += n->load.tokens;
         _cw_balance_add_gap_limit(&sum, n->load.gap_ms, n->load.streaming);
         sum.wait_ms += _cw_balance_remaining_ms(n->load.backlog_ms[urgency], age_ms);
-        double all_ms = _cw_balance_remaining_ms(n->load.backlog_ms[CW_URGENCIES - 1], age_ms);
+        double all_ms = _cw_balance_remaining_ms(n->load.backlog_ms[CW_URGENCY_LEVELS - 1], age_ms);
         if (all_ms > 0) {
             sum.backlog_ms += all_ms;
-            sum.deepest = n->load.deepest > sum.deepest ? n->load.deepest : sum.deepest;
+            sum.longest_prompt_tokens = n->load.longest_prompt_tokens > sum.longest_prompt_tokens
+                                            ? n->load.longest_prompt_tokens
+                                            : sum.longest_prompt_tokens;
         }
         sum.age_ms = n->load.running && age_ms > sum.age_ms ? (uint32_t)age_ms : sum.age_ms;
     }
@@ -675,8 +680,8 @@
 
 /* -- speed and failures of servers ---------------------------------------- */
 
-double cw_balance_pause(const cw_balance_t* b, uint32_t tokens) {
-    return cw_pauses_expected(&b->stalls, tokens, b->prefill.token_ms);
+double cw_balance_stall_ms(const cw_balance_t* b, uint32_t tokens) {
+    return cw_stalls_expected_ms(&b->stalls, tokens, b->prefill.ms_per_token);
 }
 
 /* Finds the shortest event interval of a listed server. */
@@ -713,12 +718,12 @@
 }
 
 /* Takes over the event interval that another daemon has learned, as long as this one has few samples of its own. */
-static void _cw_balance_merge_interval(cw_balance_t* b, _cw_server_t* s, uint32_t pace_us) {
-    if (!pace_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
+static void _cw_balance_merge_interval(cw_balance_t* b, _cw_server_t* s, uint32_t event_interval_us) {
+    if (!event_interval_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
         return;
     }
     double old_interval_ms = s->event_interval_ms;
-    s->event_interval_ms = pace_us / 1000.0;
+    s->event_interval_ms = event_interval_us / 1000.0;
     s->interval_samples = _CW_INTERVAL_SAMPLES_MIN;
     _cw_balance_update_fastest(b, s, old_interval_ms);
 }
@@ -740,17 +745,17 @@
 /* Whether the server takes requests up to its slots: it is neither unreachable nor throttling. */
 static bool _cw_balance_is_unthrottled(const _cw_server_t* s, int64_t now_ms) {
     return s->is_used && s->is_listed && !s->is_unreachable && now_ms >= s->backoff.until_ms &&
-           !cw_rate_holds(&s->rate, now_ms);
+           !cw_rate_is_active(&s->rate, now_ms);
 }
 
 /* Finds where the prompt's parts are cached, and their owners, among the servers that may be chosen. */
 static cw_prefix_t _cw_balance_prefix(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
-    cw_prefix_t prefix = cw_prefix_new(work->parts, work->part_count);
+    cw_prefix_t prefix = cw_prefix_init(work->parts, work->part_count);
     for (uint32_t i = 0; i < b->entry_count && work->part_count; i++) {
         const _cw_server_t* s = &b->servers[i];
         if (s->is_used && s->is_listed && !s->is_unreachable) {
-            cw_prefix_see(&prefix, s->spec.id, _cw_balance_cached_tokens(b, s, work),
-                          _cw_balance_is_unthrottled(s, now_ms));
+            cw_prefix_add_server(&prefix, s->spec.id, _cw_balance_cached_tokens(b, s, work),
+                                 _cw_balance_is_unthrottled(s, now_ms));
         }
     }
     return prefix;
@@ -758,9 +763,9 @@
 
 /* Tokens that the server gets faster from the holder's cache than by prefill; 0: none. */
 static uint32_t _cw_balance_fetched_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_prefix_t* prefix,
-                                           uint32_t kept) {
-    uint32_t missing_tokens = prefix->held > kept ? prefix->held - kept : 0;
-    bool is_cheaper = s->spec.move_ms > 0 && s->spec.move_ms < b->prefill.token_ms;
+                                           uint32_t cached_tokens) {
+    uint32_t missing_tokens = prefix->best_tokens > cached_tokens ? prefix->best_tokens - cached_tokens : 0;
+    bool is_cheaper = s->spec.fetch_ms_per_token > 0 && s->spec.fetch_ms_per_token < b->prefill.ms_per_token;
     return is_cheaper && missing_tokens >= _CW_FETCH_TOKENS_MIN ? missing_tokens : 0;
 }
 
@@ -785,14 +790,14 @@
 
 /* Probability that a prompt stalls a stream beyond gap_ms, while the prompts there take prefill_left_ms to prefill. */
 static double _cw_balance_stall_risk(const cw_balance_t* b, uint32_t tokens, double gap_ms, double prefill_left_ms) {
-    return cw_pauses_harm(&b->stalls, tokens, (uint32_t)gap_ms, b->prefill.token_ms, prefill_left_ms);
+    return cw_stalls_violation_risk(&b->stalls, tokens, (uint32_t)gap_ms, b->prefill.ms_per_token, prefill_left_ms);
 }
 
 /* Cost, ms, of the stalls that the prompt causes: each stream that it stalls beyond its gap limit counts as one missed
    target. The prefill left there may be more than is known. */
 static double _cw_balance_caused_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
-                                          const cw_work_t* work, double read_ms) {
-    double prefill_left_ms = _CW_PREFILL_LEFT_FACTOR * (sum->backlog_ms + read_ms) + _CW_PREFILL_LEFT_EXTRA_MS;
+                                          const cw_work_t* work, double prefill_ms) {
+    double prefill_left_ms = _CW_PREFILL_LEFT_FACTOR * (sum->backlog_ms + prefill_ms) + _CW_PREFILL_LEFT_EXTRA_MS;
     double gap_ms = sum->gap_ms / _cw_balance_interval_ratio(b, s);
     return work->target_ms * sum->streaming * _cw_balance_stall_risk(b, work->prompt_tokens, gap_ms, prefill_left_ms);
 }
@@ -802,7 +807,9 @@
 static double _cw_balance_own_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                        const cw_work_t* work) {
     double gap_ms = work->gap_ms / _cw_balance_interval_ratio(b, s);
-    return sum->deepest ? work->target_ms * _cw_balance_stall_risk(b, sum->deepest, gap_ms, INFINITY) / 2 : 0;
+    return sum->longest_prompt_tokens
+               ? work->target_ms * _cw_balance_stall_risk(b, sum->longest_prompt_tokens, gap_ms, INFINITY) / 2
+               : 0;
 }
 
 /* Cost, ms, of placing a gap-sensitive stream on the server. It makes the server unusable for long prompts, the more so
@@ -818,15 +825,17 @@
 
 /* Cost, ms, of parts that another server has cached: they are recomputed or fetched. */
 static double _cw_balance_recompute_ms(const cw_balance_t* b, const _cw_server_t* s, const cw_choice_t* c) {
-    return _CW_RECOMPUTE_FACTOR * b->prefill.token_ms * c->again + _CW_FETCH_FACTOR * s->spec.move_ms * c->moved;
+    return _CW_RECOMPUTE_FACTOR * b->prefill.ms_per_token * c->recomputed_tokens +
+           _CW_FETCH_FACTOR * s->spec.fetch_ms_per_token * c->fetched_tokens;
 }
 
 /* Cost, ms, of a server that neither caches nor owns the shared parts: it would hold one more copy, and the owners
    would still have to prefill theirs later. Owners are the first servers for the part by rendezvous hashing, so all
    hosts agree on them without communication. While they are busy, the prompt goes elsewhere. */
-static double _cw_balance_cache_miss_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t kept) {
-    bool is_available = kept >= prefix->shared || cw_prefix_owns(prefix, s->spec.id);
-    return is_available ? 0 : _CW_CACHE_MISS_FACTOR * s->spec.move_ms * (prefix->shared - kept);
+static double _cw_balance_cache_miss_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t cached_tokens) {
+    bool is_available = cached_tokens >= prefix->shared_tokens || cw_prefix_is_owner(prefix, s->spec.id);
+    return is_available ? 0
+                        : _CW_CACHE_MISS_FACTOR * s->spec.fetch_ms_per_token * (prefix->shared_tokens - cached_tokens);
 }
 
 /* Cost, ms, of memory overflow: the engine would preempt a running request. */
@@ -839,18 +848,20 @@
    urgent ones that it overtakes. */
 static double _cw_balance_generation_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                         const cw_work_t* work, const cw_prefix_t* prefix, cw_choice_t* c) {
-    c->kept = _cw_balance_cached_tokens(b, s, work);
-    c->moved = _cw_balance_fetched_tokens(b, s, prefix, c->kept);
-    c->from = c->moved ? prefix->holder : 0;
-    c->again = c->moved || prefix->held < c->kept ? 0 : prefix->held - c->kept;
+    c->cached_tokens = _cw_balance_cached_tokens(b, s, work);
+    c->fetched_tokens = _cw_balance_fetched_tokens(b, s, prefix, c->cached_tokens);
+    c->fetch_source = c->fetched_tokens ? prefix->best_server : 0;
+    c->recomputed_tokens =
+        c->fetched_tokens || prefix->best_tokens < c->cached_tokens ? 0 : prefix->best_tokens - c->cached_tokens;
     c->streaming = sum->streaming;
-    c->read_ms = b->prefill.token_ms * (work->prompt_tokens - c->kept - c->moved) + s->spec.move_ms * c->moved;
-    double ms = b->prefill.base_ms + sum->backlog_ms + c->read_ms;
+    c->prefill_ms = b->prefill.ms_per_token * (work->prompt_tokens - c->cached_tokens - c->fetched_tokens) +
+                    s->spec.fetch_ms_per_token * c->fetched_tokens;
+    double ms = b->prefill.base_ms + sum->backlog_ms + c->prefill_ms;
     ms += _cw_balance_recompute_ms(b, s, c);
-    ms += _cw_balance_cache_miss_ms(s, prefix, c->kept);
+    ms += _cw_balance_cache_miss_ms(s, prefix, c->cached_tokens);
     ms += _cw_balance_overflow_ms(s, sum, work);
     ms += _CW_RUN_COST_MS * sum->running;
-    ms += _cw_balance_caused_stall_ms(b, s, sum, work, c->read_ms);
+    ms += _cw_balance_caused_stall_ms(b, s, sum, work, c->prefill_ms);
     ms += _cw_balance_own_stall_ms(b, s, sum, work);
     return ms + _cw_balance_consolidation_ms(b, s, sum, work);
 }
@@ -867,12 +878,12 @@
     c.cost_ms = ms * cold * _cw_balance_slowdown(s, now_ms) + _cw_balance_failure_cost_ms(s, now_ms, work);
     c.cost_ms += s->spec.hall == b->desc.hall ? 0 : _CW_OTHER_HALL_COST_MS;
     c.cost_ms += s->has_idle_connection ? 0 : _CW_CONNECT_COST_MS;
-    c.pace = _cw_balance_interval_ratio(b, s);
+    c.interval_ratio = _cw_balance_interval_ratio(b, s);
     c.cost_ms += (double)(cw_mix(b->desc.seed, s->spec.id) & 1023U) / 1024.0;
     return c;
 }
 
-bool cw_balance_patient(const cw_balance_t* b, const cw_work_t* work) {
+bool cw_balance_is_delay_tolerant(const cw_balance_t* b, const cw_work_t* work) {
     double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
     return from_ms > 0 && work->target_ms > from_ms;
 }
@@ -882,7 +893,8 @@
    are treated alike. */
 static double _cw_balance_slot_share(const cw_balance_t* b, const cw_work_t* work) {
     double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
-    return 1 - (cw_balance_patient(b, work) ? _CW_TOLERANT_RESERVE_SHARE * (1 - from_ms / work->target_ms) : 0);
+    return 1 -
+           (cw_balance_is_delay_tolerant(b, work) ? _CW_TOLERANT_RESERVE_SHARE * (1 - from_ms / work->target_ms) : 0);
 }
 
 /* Whether the prompt is long compared to the pool's other prompts. */
@@ -901,7 +913,7 @@
     double* learned_ms = &b->backlog_limit_ms[cw_urgency_level(work->urgency)];
     double backlog_limit_ms = _cw_balance_backlog_limit_ms(b, work);
     *learned_ms = *learned_ms > 0
-                      ? cw_quantile_learn(*learned_ms, backlog_limit_ms, _CW_BACKLOG_LIMIT_UP, _CW_BACKLOG_LIMIT_DOWN)
+                      ? cw_quantile_update(*learned_ms, backlog_limit_ms, _CW_BACKLOG_LIMIT_UP, _CW_BACKLOG_LIMIT_DOWN)
                       : backlog_limit_ms;
 }
 
@@ -936,16 +948,16 @@
     if (now_ms >= s->cold_until_ms || s->spec.cold_per_s <= 0) {
         return true;
     }
-    bool mine = !b->desc.is_mine || b->desc.is_mine(b->desc.user_data, s->spec.id);
-    return mine && !cw_bucket_wait_ms(&s->cold, now_ms, 1);
+    bool is_owner = !b->desc.owns_server || b->desc.owns_server(b->desc.user_data, s->spec.id);
+    return is_owner && !cw_bucket_wait_ms(&s->cold, now_ms, 1);
 }
 
 /* Learns the targets and prompt lengths of the pool's requests. */
 static void _cw_balance_learn_work(cw_balance_t* b, const cw_work_t* work, double wait_ms) {
     double old_target_ms = b->short_target_ms > 0 ? b->short_target_ms : work->target_ms;
-    b->short_target_ms = cw_quantile_learn(old_target_ms, work->target_ms, _CW_SHORT_TARGET_UP, _CW_SHORT_TARGET_DOWN);
+    b->short_target_ms = cw_quantile_update(old_target_ms, work->target_ms, _CW_SHORT_TARGET_UP, _CW_SHORT_TARGET_DOWN);
     b->long_prompt_tokens =
-        cw_quantile_learn(b->long_prompt_tokens, work->prompt_tokens, _CW_LONG_PROMPT_UP, _CW_LONG_PROMPT_DOWN);
+        cw_quantile_update(b->long_prompt_tokens, work->prompt_tokens, _CW_LONG_PROMPT_UP, _CW_LONG_PROMPT_DOWN);
     if (work->prompt_tokens > b->long_prompt_tokens / 2) {
         b->long_prompt_wait_ms += _CW_LONG_PROMPT_WAIT_WEIGHT * (wait_ms - b->long_prompt_wait_ms);
     }
@@ -981,67 +993,67 @@
 static bool _cw_balance_is_owner_host(const cw_balance_t* b, _cw_server_t* s) {
     if (s->owner_fleet_version != b->fleet_version) {
         s->owner_fleet_version = b->fleet_version;
-        s->is_owner_host = cw_home_is(s->spec.id, b->desc.seed, b->fleet.ids, b->fleet.count);
+        s->is_owner_host = cw_owner_includes(s->spec.id, b->desc.seed, b->fleet.ids, b->fleet.count);
     }
     return s->is_owner_host;
 }
 
-bool cw_balance_limit(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s) {
+bool cw_balance_on_rate(cw_balance_t* b, int64_t now_ms, uint64_t id, int64_t sent_ms, double per_s) {
     uint32_t at = cw_balance_find(b, id);
     if (at == CW_BALANCE_NONE) {
         return false;
     }
     _cw_server_t* s = &b->servers[at];
-    bool changed =
-        per_s < 0 ? cw_rate_lifted(&s->rate, sent_ms, now_ms) : cw_rate_named(&s->rate, sent_ms, now_ms, per_s);
+    bool changed = per_s < 0 ? cw_rate_on_withdrawn(&s->rate, sent_ms, now_ms)
+                             : cw_rate_on_advertised(&s->rate, sent_ms, now_ms, per_s);
     if (changed) {
         _cw_balance_update_rate_share(b, s, now_ms);
     }
     return changed;
 }
 
-void cw_balance_rest(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms) {
+void cw_balance_back_off(cw_balance_t* b, int64_t now_ms, uint64_t id, uint32_t ms) {
     uint32_t at = cw_balance_find(b, id);
     if (at != CW_BALANCE_NONE) {
-        cw_rest_ask(&b->servers[at].backoff, now_ms, ms);
+        cw_backoff_start(&b->servers[at].backoff, now_ms, ms);
     }
 }
 
-bool cw_balance_rests(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
+bool cw_balance_is_backing_off(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
     return at != CW_BALANCE_NONE && now_ms < b->servers[at].backoff.until_ms;
 }
 
-double cw_balance_limit_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
+double cw_balance_rate_per_s(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    bool is_active = at != CW_BALANCE_NONE && cw_rate_holds(&b->servers[at].rate, now_ms);
-    return is_active ? b->servers[at].rate.word.per_s : -1;
+    bool is_active = at != CW_BALANCE_NONE && cw_rate_is_active(&b->servers[at].rate, now_ms);
+    return is_active ? b->servers[at].rate.observation.per_s : -1;
 }
 
-cw_held_back_t cw_balance_held_back(const cw_balance_t* b, int64_t now_ms) {
-    cw_held_back_t throttled = {0};
+cw_throttled_t cw_balance_throttled(const cw_balance_t* b, int64_t now_ms) {
+    cw_throttled_t throttled = {0};
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        bool limited = s->is_used && s->is_listed && cw_rate_holds(&s->rate, now_ms);
-        throttled.resting += s->is_used && s->is_listed && now_ms < s->backoff.until_ms;
-        throttled.limited += limited;
-        throttled.owned += limited && s->rate.mine;
+        bool rate_limited = s->is_used && s->is_listed && cw_rate_is_active(&s->rate, now_ms);
+        throttled.backing_off += s->is_used && s->is_listed && now_ms < s->backoff.until_ms;
+        throttled.rate_limited += rate_limited;
+        throttled.owned_rates += rate_limited && s->rate.is_owner;
     }
     return throttled;
 }
 
-bool cw_balance_tells_limit(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
+bool cw_balance_has_rate_to_send(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    return at != CW_BALANCE_NONE && cw_rate_tell(&b->servers[at].rate, now_ms).said != CW_RATE_UNKNOWN;
+    return at != CW_BALANCE_NONE && cw_rate_to_send(&b->servers[at].rate, now_ms).state != CW_RATE_UNKNOWN;
 }
 
-void cw_balance_asked(cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
-    cw_contention_asked(&b->contention, now_ms, work->urgency);
-    cw_holding_asked(&b->occupancy, work->urgency, work->prompt_tokens);
+void cw_balance_on_request(cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
+    cw_contention_on_request(&b->contention, now_ms, work->urgency);
+    cw_occupancy_on_request(&b->occupancy, work->urgency, work->prompt_tokens);
 }
 
-void cw_balance_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count) {
-    cw_contention_waiting(&b->contention, now_ms, urgency, count);
+void cw_balance_set_waiting(cw_balance_t* b, int64_t now_ms, uint32_t urgency, uint32_t count) {
+    cw_contention_set_waiting(&b->contention, now_ms, urgency, count);
 }
 
 /* -- admission to an engine ----------------------------------------------- */
@@ -1051,15 +1063,15 @@
     return own * (b->fleet.count ? b->fleet.count : 1);
 }
 
-bool cw_balance_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
+bool cw_balance_is_light(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
     double slots = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
         slots += _cw_balance_is_unthrottled(s, now_ms) ? s->spec.slots : 0;
     }
-    double rate = cw_contention_rate(&b->contention, now_ms, work->urgency);
-    double needed_slots = _cw_balance_fleet_total(b, cw_holding_places(&b->occupancy, work->urgency, rate));
-    return needed_slots < _CW_LIGHT_SLOT_SHARE * slots && cw_holding_short_prompts(&b->occupancy, work->urgency);
+    double rate = cw_contention_rate_per_s(&b->contention, now_ms, work->urgency);
+    double needed_slots = _cw_balance_fleet_total(b, cw_occupancy_slots(&b->occupancy, work->urgency, rate));
+    return needed_slots < _CW_LIGHT_SLOT_SHARE * slots && cw_occupancy_has_short_prompts(&b->occupancy, work->urgency);
 }
 
 /* Free slots to reserve for requests with priority over this one: those expected to take a slot before this request
@@ -1067,12 +1079,12 @@
    requests, the burst lacks these slots at its peak. A late request leaves slots to all requests that are in time,
    those of its own urgency included. */
 static double _cw_balance_reserved_slots(const cw_balance_t* b, int64_t now_ms, const cw_work_t* work) {
-    uint32_t end = work->late ? CW_URGENCIES : work->urgency;
-    double held_ms = cw_holding_ms(&b->occupancy, work->urgency);
+    uint32_t end = work->is_late ? CW_URGENCY_LEVELS : work->urgency;
+    double hold_ms = cw_occupancy_hold_ms(&b->occupancy, work->urgency);
     double expected_slots = 0;
-    for (uint32_t i = 0; i < end && i < CW_URGENCIES && !work->light; i++) {
-        double rate = cw_contention_rate(&b->contention, now_ms, i);
-        expected_slots += cw_holding_growth(&b->occupancy, i, rate, held_ms);
+    for (uint32_t i = 0; i < end && i < CW_URGENCY_LEVELS && !work->is_light; i++) {
+        double rate = cw_contention_rate_per_s(&b->contention, now_ms, i);
+        expected_slots += cw_occupancy_growth(&b->occupancy, i, rate, hold_ms);
     }
     return _cw_balance_fleet_total(b, expected_slots);
 }
@@ -1080,26 +1092,26 @@
 /* Whether this host may place the request at an engine with so many free slots. The last slots are for its owner hosts
    only, which use them in random time slices (chalkway_contention.h). */
 static bool _cw_balance_can_use(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_work_t* work,
-                                double free_places) {
-    bool is_large_fleet = b->fleet.count > CW_HOME_FLEET;
-    bool is_last_slots = is_large_fleet && free_places <= _CW_OWNER_FREE_SHARE * s->spec.slots;
-    if (free_places <= 0 || (is_last_slots && !_cw_balance_is_owner_host(b, s))) {
+                                double free_slots) {
+    bool is_large_fleet = b->fleet.count > CW_OWNER_SMALL_FLEET;
+    bool is_last_slots = is_large_fleet && free_slots <= _CW_OWNER_FREE_SHARE * s->spec.slots;
+    if (free_slots <= 0 || (is_last_slots && !_cw_balance_is_owner_host(b, s))) {
         return false;
     }
     cw_contention_use_t use = {.server = s->spec.id,
-                               .free_places = free_places,
-                               .urgency = cw_work_turn_urgency(work),
-                               .hosts = is_last_slots ? CW_HOME_HOSTS : b->fleet.count,
-                               .delay_ms = is_last_slots ? b->fleet.direct_ms : b->fleet.reach_ms};
-    return cw_contention_open(&b->contention, now_ms, &use);
+                               .free_slots = free_slots,
+                               .urgency = cw_work_queue_urgency(work),
+                               .hosts = is_last_slots ? CW_OWNER_HOSTS : b->fleet.count,
+                               .delay_ms = is_last_slots ? b->fleet.direct_propagation_ms : b->fleet.propagation_ms};
+    return cw_contention_may_use(&b->contention, now_ms, &use);
 }
 
 /* -- choice --------------------------------------------------------------- */
 
 /* Whether the server is suspected, and it is not this host's time slice to probe it. */
 static bool _cw_balance_is_excluded_suspect(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
-    return cw_suspect_holds(&s->suspicion, now_ms) &&
-           !cw_suspect_may_try(&s->suspicion, now_ms, b->desc.seed, s->spec.id, b->fleet.count);
+    return cw_suspect_is_active(&s->suspicion, now_ms) &&
+           !cw_suspect_may_probe(&s->suspicion, now_ms, b->desc.seed, s->spec.id, b->fleet.count);
 }
 
 /* Whether suspected servers are excluded: not when so many are suspected that the fault is more likely this side's. */
@@ -1107,19 +1119,19 @@
     uint32_t suspected = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        suspected += s->is_used && s->is_listed && cw_suspect_holds(&s->suspicion, now_ms);
+        suspected += s->is_used && s->is_listed && cw_suspect_is_active(&s->suspicion, now_ms);
     }
     return suspected <= _CW_SUSPECT_SHARE * b->listed_count;
 }
 
 /* Time, ms, until a throttling server accepts a request of this host; 0: now, CW_RATE_NEVER: unknown. */
 static uint32_t _cw_balance_throttle_ms(const _cw_server_t* s, int64_t now_ms) {
-    uint32_t backoff_ms = cw_rest_wait_ms(&s->backoff, now_ms);
+    uint32_t backoff_ms = cw_backoff_wait_ms(&s->backoff, now_ms);
     uint32_t rate_ms = cw_rate_wait_ms(&s->rate, now_ms);
     return backoff_ms > rate_ms ? backoff_ms : rate_ms;
 }
 
-uint32_t cw_balance_opens_in_ms(const cw_balance_t* b, int64_t now_ms) {
+uint32_t cw_balance_throttle_wait_ms(const cw_balance_t* b, int64_t now_ms) {
     uint32_t soonest_ms = CW_RATE_NEVER;
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
@@ -1132,18 +1144,18 @@
 /* Returns the counter of the reason to exclude the server, or NULL if it may be used as far as can be determined
    without summing its load. */
 static uint32_t* _cw_balance_exclusion_counter(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
-                                               bool exclude_suspects, cw_left_out_t* exclusions) {
+                                               bool exclude_suspects, cw_excluded_t* exclusions) {
     if (s->is_unreachable || now_ms < s->full_until_ms) {
-        return &exclusions->away;
+        return &exclusions->unreachable;
     }
     if (!_cw_balance_can_send_cold(b, s, now_ms)) {
         return &exclusions->cold;
     }
-    if (cw_rest_wait_ms(&s->backoff, now_ms)) {
-        return &exclusions->resting;
+    if (cw_backoff_wait_ms(&s->backoff, now_ms)) {
+        return &exclusions->backing_off;
     }
     if (cw_rate_wait_ms(&s->rate, now_ms)) {
-        return &exclusions->limited;
+        return &exclusions->rate_limited;
     }
     return exclude_suspects && _cw_balance_is_excluded_suspect(b, s, now_ms) ? &exclusions->suspected : NULL;
 }
@@ -1153,18 +1165,18 @@
     if (best->server == CW_BALANCE_NONE) {
         return true;
     }
-    if (work->spread) {
-        return cw_mix(work->spread, c->id) > cw_mix(work->spread, best->id);
+    if (work->rendezvous_key) {
+        return cw_mix(work->rendezvous_key, c->id) > cw_mix(work->rendezvous_key, best->id);
     }
-    return c->late != best->late ? best->late : c->cost_ms < best->cost_ms;
+    return c->is_late != best->is_late ? best->is_late : c->cost_ms < best->cost_ms;
 }
 
 cw_choice_t cw_balance_choose(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, const uint64_t* tried,
                               uint32_t tried_count) {
     cw_choice_t best = {.server = CW_BALANCE_NONE};
-    cw_left_out_t exclusions = {0};
+    cw_excluded_t exclusions = {0};
     uint32_t candidates = 0;
-    double free_places = 0; /* at all engines that are not excluded */
+    double free_slots = 0; /* at all engines that are not excluded */
     cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
     bool exclude_suspects = _cw_balance_can_exclude_suspects(b, now_ms);
     double share = _cw_balance_slot_share(b, work);
@@ -1182,27 +1194,27 @@
             continue;
         }
         cw_choice_t c = _cw_balance_evaluate(b, i, now_ms, work, &prefix);
-        free_places += (double)s->spec.slots - c.running;
+        free_slots += (double)s->spec.slots - c.running;
         if (s->spec.memory_tokens && !_cw_balance_can_use(b, s, now_ms, work, share * s->spec.slots - c.running)) {
-            exclusions.no_place++;
+            exclusions.no_slot++;
             continue;
         }
         candidates++;
-        c.late = _cw_balance_is_late(b, s, now_ms, work, c.wait_ms);
+        c.is_late = _cw_balance_is_late(b, s, now_ms, work, c.wait_ms);
         if (_cw_balance_is_better(work, &c, &best)) {
             best = c;
         }
     }
     bool engine = best.server != CW_BALANCE_NONE && b->servers[best.server].spec.memory_tokens;
-    double reserved = engine ? _cw_balance_reserved_slots(b, now_ms, work) : 0;
-    if (engine && free_places - reserved < 1) {
+    double reserved_slots = engine ? _cw_balance_reserved_slots(b, now_ms, work) : 0;
+    if (engine && free_slots - reserved_slots < 1) {
         best = (cw_choice_t){.server = CW_BALANCE_NONE};
-        exclusions.no_place += candidates;
+        exclusions.no_slot += candidates;
         candidates = 0;
     }
-    best.reserved = reserved;
+    best.reserved_slots = reserved_slots;
     best.candidates = candidates;
-    best.left_out = exclusions;
+    best.excluded = exclusions;
     return best;
 }
 
@@ -1217,31 +1229,32 @@
                     .gap_ms = work->gap_ms,
                     .urgency = cw_urgency_level(work->urgency)};
     _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, run.urgency);
-    run.found_ms = sum.backlog_ms;
-    run.quiet =
+    run.backlog_ahead_ms = sum.backlog_ms;
+    run.is_unqueued =
         sum.backlog_ms < 1.0 && sum.running < _CW_UNQUEUED_SLOT_SHARE * s->spec.slots && now_ms >= s->cold_until_ms;
     if (s->spec.memory_tokens) {
         cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
-        uint32_t kept = _cw_balance_cached_tokens(b, s, work);
-        uint32_t moved = _cw_balance_fetched_tokens(b, s, &prefix, kept);
-        run.quiet = run.quiet && !moved;
-        run.fresh_tokens = work->prompt_tokens - kept - moved;
-        run.read_ms =
-            b->prefill.token_ms * run.fresh_tokens * _cw_balance_slowdown(s, now_ms) + s->spec.move_ms * moved;
+        uint32_t cached_tokens = _cw_balance_cached_tokens(b, s, work);
+        uint32_t fetched_tokens = _cw_balance_fetched_tokens(b, s, &prefix, cached_tokens);
+        run.is_unqueued = run.is_unqueued && !fetched_tokens;
+        run.uncached_tokens = work->prompt_tokens - cached_tokens - fetched_tokens;
+        run.prefill_ms = b->prefill.ms_per_token * run.uncached_tokens * _cw_balance_slowdown(s, now_ms) +
+                         s->spec.fetch_ms_per_token * fetched_tokens;
         run.tokens = work->prompt_tokens + work->output_tokens;
-        run.plan = cw_backlog_add(&s->backlog, now_ms, run.urgency, run.read_ms);
-        s->deepest = work->prompt_tokens > s->deepest ? work->prompt_tokens : s->deepest;
-        _cw_balance_learn_work(b, work, run.found_ms);
+        run.plan = cw_backlog_add(&s->backlog, now_ms, run.urgency, run.prefill_ms);
+        s->longest_prompt_tokens =
+            work->prompt_tokens > s->longest_prompt_tokens ? work->prompt_tokens : s->longest_prompt_tokens;
+        _cw_balance_learn_work(b, work, run.backlog_ahead_ms);
         for (uint32_t i = 0; i < work->part_count; i++) {
             _cw_balance_cache_part(b, s, &work->parts[i]);
         }
     }
     s->running++;
-    cw_holding_begin(&b->occupancy, run.urgency);
+    cw_occupancy_begin(&b->occupancy, run.urgency);
     s->tokens += run.tokens;
     cw_bucket_take(&s->cold, now_ms, 1); /* no effect outside of slow start */
-    cw_rate_take(&s->rate, now_ms);
-    cw_rest_take(&s->backoff, now_ms);
+    cw_rate_on_send(&s->rate, now_ms);
+    cw_backoff_on_send(&s->backoff, now_ms);
     return run;
 }
 
@@ -1257,9 +1270,9 @@
 static void _cw_balance_end_prefill(_cw_server_t* s, int64_t now_ms, cw_run_t* run) {
     run->answered = true;
     if (s->spec.memory_tokens) {
-        cw_backlog_done(&s->backlog, now_ms, &run->plan);
+        cw_backlog_remove(&s->backlog, now_ms, &run->plan);
     }
-    s->deepest = s->backlog.unread[CW_URGENCIES - 1] ? s->deepest : 0;
+    s->longest_prompt_tokens = s->backlog.pending[CW_URGENCY_LEVELS - 1] ? s->longest_prompt_tokens : 0;
 }
 
 static void _cw_balance_learn_slowdown(_cw_server_t* s, int64_t now_ms, double ratio) {
@@ -1274,10 +1287,10 @@
 static void _cw_balance_learn_prefill(cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_run_t* run) {
     double took_ms = (double)(now_ms - run->begun_ms);
     /* Time that the prompts ahead of it may have taken is no slowdown of the server. */
-    double alone_ms = took_ms - run->found_ms;
-    double expected_ms = cw_reading_ms(&b->prefill, run->fresh_tokens);
-    if (run->fresh_tokens) {
-        cw_reading_learn(&b->prefill, run->fresh_tokens, took_ms, run->quiet);
+    double alone_ms = took_ms - run->backlog_ahead_ms;
+    double expected_ms = cw_prefill_ms(&b->prefill, run->uncached_tokens);
+    if (run->uncached_tokens) {
+        cw_prefill_learn(&b->prefill, run->uncached_tokens, took_ms, run->is_unqueued);
     }
     if (alone_ms > 0 && expected_ms > 0) {
         _cw_balance_learn_slowdown(s, now_ms, alone_ms / (expected_ms > 20 ? expected_ms : 20));
@@ -1288,10 +1301,10 @@
 static bool _cw_balance_record_response(_cw_server_t* s, int64_t sent_ms) {
     s->own_answered_ms = sent_ms > s->own_answered_ms ? sent_ms : s->own_answered_ms;
     s->own_failed_ms = sent_ms >= s->own_failed_ms ? 0 : s->own_failed_ms;
-    return cw_suspect_alive(&s->suspicion, sent_ms);
+    return cw_suspect_on_response(&s->suspicion, sent_ms);
 }
 
-bool cw_balance_first(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
+bool cw_balance_on_first_byte(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
     _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (!s || run->answered) {
         return false;
@@ -1301,28 +1314,30 @@
     }
     _cw_balance_end_prefill(s, now_ms, run);
     if (run->gap_ms) {
-        cw_gaps_count(&s->gap_limits, run->gap_ms, 1);
+        cw_gap_limits_add(&s->gap_limits, run->gap_ms, 1);
     }
-    run->event_ms = now_ms;
-    run->beside = _cw_balance_total_load(b, s, now_ms, run->urgency).deepest;
+    run->last_event_ms = now_ms;
+    run->concurrent_prompt_tokens = _cw_balance_total_load(b, s, now_ms, run->urgency).longest_prompt_tokens;
     return _cw_balance_record_response(s, run->begun_ms);
 }
 
-void cw_balance_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
+void cw_balance_on_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run) {
     _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (!s || !run->answered || !s->spec.memory_tokens) {
         return;
     }
     _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, run->urgency);
-    uint32_t deepest = sum.deepest > run->beside ? sum.deepest : run->beside;
-    double pause_ms = (double)(now_ms - run->event_ms);
-    if (deepest) {
-        cw_pauses_learn(&b->stalls, deepest, pause_ms / _cw_balance_interval_ratio(b, s));
+    uint32_t longest_prompt_tokens = sum.longest_prompt_tokens > run->concurrent_prompt_tokens
+                                         ? sum.longest_prompt_tokens
+                                         : run->concurrent_prompt_tokens;
+    double pause_ms = (double)(now_ms - run->last_event_ms);
+    if (longest_prompt_tokens) {
+        cw_stalls_learn(&b->stalls, longest_prompt_tokens, pause_ms / _cw_balance_interval_ratio(b, s));
     } else if (sum.running <= _CW_INTERVAL_RUNS_MAX) {
         _cw_balance_learn_interval(b, s, pause_ms);
     }
-    run->event_ms = now_ms;
-    run->beside = sum.deepest;
+    run->last_event_ms = now_ms;
+    run->concurrent_prompt_tokens = sum.longest_prompt_tokens;
 }
 
 static void _cw_balance_learn_failure(_cw_server_t* s, int64_t now_ms, double outcome) {
@@ -1341,20 +1356,20 @@
 
 static void _cw_balance_record_failure(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms) {
     s->own_failed_ms = now_ms;
-    cw_suspect_failed_here(&s->suspicion, b->desc.seed, now_ms);
+    cw_suspect_on_own_failure(&s->suspicion, b->desc.seed, now_ms);
 }
 
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result) {
     _cw_server_t* s = _cw_balance_server_of_run(b, run);
     if (run->server != CW_BALANCE_NONE) {
-        cw_holding_end(&b->occupancy, run->urgency);
+        cw_occupancy_end(&b->occupancy, run->urgency);
     }
     run->server = CW_BALANCE_NONE;
     if (!s) {
         return;
     }
     if (run->answered && run->gap_ms) {
-        cw_gaps_count(&s->gap_limits, run->gap_ms, -1);
+        cw_gap_limits_add(&s->gap_limits, run->gap_ms, -1);
     }
     if (!run->answered) {
         _cw_balance_end_prefill(s, now_ms, run);
@@ -1363,7 +1378,7 @@
     s->tokens -= run->tokens < s->tokens ? run->tokens : s->tokens;
     switch (result) {
         case CW_TRY_SERVED:
-            cw_holding_learn(&b->occupancy, run->urgency, (double)(now_ms - run->begun_ms));
+            cw_occupancy_learn(&b->occupancy, run->urgency, (double)(now_ms - run->begun_ms));
             _cw_balance_learn_failure(s, now_ms, 0);
             if (!s->spec.memory_tokens) {
                 _cw_balance_learn_call(b, s, now_ms, run);
@@ -1378,7 +1393,7 @@
             break;
         case CW_TRY_UNREACHABLE:
             _cw_balance_record_failure(b, s, now_ms);
-            cw_balance_away(b, now_ms, run->id, true);
+            cw_balance_set_unreachable(b, now_ms, run->id, true);
             break;
         case CW_TRY_FULL:
             s->full_until_ms = now_ms + _CW_FULL_PAUSE_MS;
@@ -1388,44 +1403,45 @@
     }
 }
 
-void cw_balance_warm(cw_balance_t* b, uint64_t id, bool has_idle_connection) {
+void cw_balance_set_idle_connection(cw_balance_t* b, uint64_t id, bool has_idle_connection) {
     uint32_t at = cw_balance_find(b, id);
     if (at != CW_BALANCE_NONE) {
         b->servers[at].has_idle_connection = has_idle_connection;
     }
 }
 
-void cw_balance_away(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable) {
+void cw_balance_set_unreachable(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable) {
     uint32_t at = cw_balance_find(b, id);
     if (at == CW_BALANCE_NONE) {
         return;
     }
     _cw_server_t* s = &b->servers[at];
     if (!is_unreachable) {
-        s->away_ms = 0;
+        s->probe_interval_ms = 0;
     } else if (!s->is_unreachable) {
-        s->away_ms = b->desc.away_ms;
-        s->next_probe_ms = now_ms + s->away_ms;
+        s->probe_interval_ms = b->desc.probe_interval_ms;
+        s->next_probe_ms = now_ms + s->probe_interval_ms;
     }
     b->unreachable_count += is_unreachable - s->is_unreachable;
     s->is_unreachable = is_unreachable;
 }
 
-bool cw_balance_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
+bool cw_balance_is_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id) {
     uint32_t at = cw_balance_find(b, id);
-    return at != CW_BALANCE_NONE && cw_suspect_holds(&b->servers[at].suspicion, now_ms);
+    return at != CW_BALANCE_NONE && cw_suspect_is_active(&b->servers[at].suspicion, now_ms);
 }
 
-uint64_t cw_balance_probe(cw_balance_t* b, int64_t now_ms) {
+uint64_t cw_balance_next_probe(cw_balance_t* b, int64_t now_ms) {
     for (uint32_t i = 0; i < b->entry_count && b->unreachable_count; i++) {
         _cw_server_t* s = &b->servers[i];
         if (!s->is_used || !s->is_listed || !s->is_unreachable || now_ms < s->next_probe_ms ||
             _cw_balance_throttle_ms(s, now_ms)) {
             continue;
         }
-        s->away_ms = s->away_ms * 2 > b->desc.away_max_ms ? b->desc.away_max_ms : s->away_ms * 2;
-        s->next_probe_ms = now_ms + s->away_ms;
-        cw_rate_take(&s->rate, now_ms); /* a health check counts against the server's rate, too */
+        s->probe_interval_ms = s->probe_interval_ms * 2 > b->desc.probe_interval_max_ms ? b->desc.probe_interval_max_ms
+                                                                                        : s->probe_interval_ms * 2;
+        s->next_probe_ms = now_ms + s->probe_interval_ms;
+        cw_rate_on_send(&s->rate, now_ms); /* a health check counts against the server's rate, too */
         return s->spec.id;
     }
     return 0;
@@ -1434,37 +1450,38 @@
 /* -- load reports --------------------------------------------------------- */
 
 static void _cw_balance_fill_rate(const cw_rate_t* rate, int64_t now_ms, cw_load_t* load) {
-    cw_rate_word_t word = cw_rate_tell(rate, now_ms);
-    if (word.said != CW_RATE_UNKNOWN) {
-        load->rate = word.said;
-        load->rate_per_ks = (uint32_t)(word.per_s * 1000);
-        load->rate_ago_ms = (uint32_t)(now_ms - word.at_ms);
+    cw_rate_observation_t observation = cw_rate_to_send(rate, now_ms);
+    if (observation.state != CW_RATE_UNKNOWN) {
+        load->rate = observation.state;
+        load->rate_per_ks = (uint32_t)(observation.per_s * 1000);
+        load->rate_ago_ms = (uint32_t)(now_ms - observation.at_ms);
     }
 }
 
-cw_load_t cw_balance_load(const cw_balance_t* b, int64_t now_ms, uint32_t server) {
+cw_load_t cw_balance_own_load(const cw_balance_t* b, int64_t now_ms, uint32_t server) {
     const _cw_server_t* s = &b->servers[server];
-    cw_gap_t gap = cw_gaps_shortest(&s->gap_limits);
-    cw_load_t load = {
-        .running = s->running,
-        .gap_ms = gap.gap_ms,
-        .streaming = gap.count,
-        .tokens = s->tokens > UINT32_MAX ? UINT32_MAX : (uint32_t)s->tokens,
-        .pace_us = s->interval_samples > _CW_INTERVAL_SAMPLES_MIN ? (uint32_t)(s->event_interval_ms * 1000.0) : 0,
-        .failed_ago_ms = cw_suspect_age(s->own_failed_ms, now_ms),
-        .alive_ago_ms = s->suspicion.failures ? cw_suspect_age(s->own_answered_ms, now_ms) : 0};
+    cw_gap_limit_t gap = cw_gap_limits_strictest(&s->gap_limits);
+    cw_load_t load = {.running = s->running,
+                      .gap_ms = gap.gap_ms,
+                      .streaming = gap.count,
+                      .tokens = s->tokens > UINT32_MAX ? UINT32_MAX : (uint32_t)s->tokens,
+                      .event_interval_us = s->interval_samples > _CW_INTERVAL_SAMPLES_MIN
+                                               ? (uint32_t)(s->event_interval_ms * 1000.0)
+                                               : 0,
+                      .failed_ago_ms = cw_suspect_age_ms(s->own_failed_ms, now_ms),
+                      .answered_ago_ms = s->suspicion.failures ? cw_suspect_age_ms(s->own_answered_ms, now_ms) : 0};
     _cw_balance_fill_rate(&s->rate, now_ms, &load);
-    for (uint32_t urgency = 0; urgency < CW_URGENCIES; urgency++) {
+    for (uint32_t urgency = 0; urgency < CW_URGENCY_LEVELS; urgency++) {
         load.backlog_ms[urgency] = (uint32_t)_cw_balance_own_backlog_ms(s, now_ms, urgency);
     }
-    load.deepest = load.backlog_ms[CW_URGENCIES - 1] ? s->deepest : 0;
+    load.longest_prompt_tokens = load.backlog_ms[CW_URGENCY_LEVELS - 1] ? s->longest_prompt_tokens : 0;
     return load;
 }
 
 /* Drops reports that are too old, and the peer's, which is about to be replaced. */
 static void _cw_balance_drop_reports(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer) {
     for (uint32_t i = 0; i < s->report_count;) {
-        if (s->reports[i].peer == peer || now_ms - s->reports[i].at_ms > b->desc.news_ms) {
+        if (s->reports[i].peer == peer || now_ms - s->reports[i].at_ms > b->desc.report_max_age_ms) {
             s->reports[i] = s->reports[--s->report_count];
         } else {
             i++;
@@ -1488,35 +1505,36 @@
 }
 
 static bool _cw_balance_has_load(const cw_load_t* load) {
-    return load->running || load->streaming || load->tokens || load->backlog_ms[CW_URGENCIES - 1];
+    return load->running || load->streaming || load->tokens || load->backlog_ms[CW_URGENCY_LEVELS - 1];
 }
 
-/* Merges the failures and responses that another daemon observed. Its report may have been in transit for reach_ms. */
+/* Merges the failures and responses that another daemon observed. Its report may have been in transit for
+ * propagation_ms. */
 static void _cw_balance_merge_suspicion(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer,
                                         const cw_load_t* load) {
     if (load->failed_ago_ms && load->failed_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
-        cw_suspect_failed(&s->suspicion, peer, now_ms - load->failed_ago_ms);
+        cw_suspect_on_failure(&s->suspicion, peer, now_ms - load->failed_ago_ms);
     }
-    if (load->alive_ago_ms && load->alive_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
-        cw_suspect_alive(&s->suspicion, now_ms - load->alive_ago_ms - b->fleet.reach_ms);
+    if (load->answered_ago_ms && load->answered_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
+        cw_suspect_on_response(&s->suspicion, now_ms - load->answered_ago_ms - b->fleet.propagation_ms);
     }
 }
 
 static void _cw_balance_merge_rate(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_load_t* load) {
-    cw_rate_word_t word = {
-        .said = load->rate, .per_s = load->rate_per_ks / 1000.0, .at_ms = now_ms - load->rate_ago_ms};
-    if (cw_rate_heard(&s->rate, &word, b->fleet.reach_ms)) {
+    cw_rate_observation_t observation = {
+        .state = load->rate, .per_s = load->rate_per_ks / 1000.0, .at_ms = now_ms - load->rate_ago_ms};
+    if (cw_rate_on_peer(&s->rate, &observation, b->fleet.propagation_ms)) {
         _cw_balance_update_rate_share(b, s, now_ms);
     }
 }
 
-void cw_balance_news(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load) {
+void cw_balance_on_peer_load(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load) {
     uint32_t at = cw_balance_find(b, server);
     if (at == CW_BALANCE_NONE) {
         return;
     }
     _cw_server_t* s = &b->servers[at];
-    _cw_balance_merge_interval(b, s, load->pace_us);
+    _cw_balance_merge_interval(b, s, load->event_interval_us);
     _cw_balance_merge_suspicion(b, s, now_ms, peer, load);
     _cw_balance_merge_rate(b, s, now_ms, load);
     _cw_balance_drop_reports(b, s, now_ms, peer);
@@ -1526,7 +1544,7 @@
     }
 }
 
-double cw_balance_fullness(const cw_balance_t* b, int64_t now_ms) {
+double cw_balance_utilization(const cw_balance_t* b, int64_t now_ms) {
     double slots = 0;
     double running = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
@@ -1539,16 +1557,16 @@
     return slots > 0 ? running / slots : 1;
 }
 
-const cw_holding_t* cw_balance_holding(const cw_balance_t* b) {
+const cw_occupancy_t* cw_balance_occupancy(const cw_balance_t* b) {
     return &b->occupancy;
 }
 
-double cw_balance_shortest_target(const cw_balance_t* b) {
+double cw_balance_shortest_target_ms(const cw_balance_t* b) {
     return b->short_target_ms;
 }
 
-double cw_balance_read_rate(const cw_balance_t* b) {
-    return b->prefill.token_ms;
+double cw_balance_prefill_ms_per_token(const cw_balance_t* b) {
+    return b->prefill.ms_per_token;
 }
 
 #endif /* CHALKWAY_BALANCE_IMPL_INCLUDED */
--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -20,9 +20,9 @@
              "workspaces": [{"name": "kiosks", "keys": ["secret"], "tier": 1}]}
 
     HOW TO USE IT
-            cw_catalog_t* c = cw_catalog_read(text, size, &err);   // NULL: invalid, err says why
-            const cw_route_t* route = cw_catalog_route(c, host, path, path_size);
-            const cw_tenant_t* workspace = cw_catalog_workspace(c, key);
+            cw_catalog_t* c = cw_catalog_parse(text, size, &err);   // NULL: invalid, err says why
+            const cw_route_t* route = cw_catalog_find_route(c, host, path, path_size);
+            const cw_catalog_workspace_t* workspace = cw_catalog_find_workspace(c, key);
             cw_catalog_release(c);
 
     WHAT IT DOES NOT DO
@@ -53,8 +53,8 @@
     const char* host;   /* lower case */
     const char* prefix; /* of the path; begins and ends with a slash */
     cw_route_kind_t kind;
-    bool resume;         /* a broken stream may be resumed at another server */
-    bool open;           /* requests need no key */
+    bool is_resumable;   /* a broken stream may be resumed at another server */
+    bool is_public;      /* requests need no key */
     uint32_t timeout_ms; /* deadline of a request */
     uint32_t target_ms;  /* target latency of the response, or of the first event of a stream */
     uint32_t gap_ms;     /* target for the time between two events of a stream, 0: none */
@@ -76,13 +76,13 @@
     uint32_t link_mbps;     /* engine: bandwidth between two engines, 0: they do not transfer KV cache */
 } cw_catalog_pool_t;
 
-typedef struct cw_tenant_t {
+typedef struct cw_catalog_workspace_t {
     const char* name;
     bool has_tier; /* its tier overrides the tier of the route */
     uint32_t tier;
     uint32_t key_count;
     const char** keys;
-} cw_tenant_t;
+} cw_catalog_workspace_t;
 
 typedef struct cw_catalog_limits_t {
     uint32_t head_bytes;
@@ -96,23 +96,24 @@
     uint32_t route_count, pool_count, workspace_count;
     cw_route_t* routes;
     cw_catalog_pool_t* pools;
-    cw_tenant_t* workspaces;
-    bool needs_keys; /* the document declares workspaces, so requests need one of their keys */
+    cw_catalog_workspace_t* workspaces;
+    bool requires_keys; /* the document declares workspaces, so requests need one of their keys */
     cw_catalog_limits_t limits;
     struct _cw_catalog_index_t* index; /* private */
 } cw_catalog_t;
 
 /* Reads a document and returns it with one reference; returns NULL and sets err when it is invalid. */
-cw_catalog_t* cw_catalog_read(const char* text, size_t size, cw_error_t* err);
+cw_catalog_t* cw_catalog_parse(const char* text, size_t size, cw_error_t* err);
 /* Adds a reference. */
-cw_catalog_t* cw_catalog_hold(cw_catalog_t* catalog);
+cw_catalog_t* cw_catalog_retain(cw_catalog_t* catalog);
 void cw_catalog_release(cw_catalog_t* catalog);
 /* Finds the route with the longest prefix of the path; NULL: none. host has no port and may have any case. */
-const cw_route_t* cw_catalog_route(const cw_catalog_t* catalog, const char* host, const char* path, size_t path_size);
+const cw_route_t* cw_catalog_find_route(const cw_catalog_t* catalog, const char* host, const char* path,
+                                        size_t path_size);
 /* Finds the workspace that has the key; NULL: none. */
-const cw_tenant_t* cw_catalog_workspace(const cw_catalog_t* catalog, const char* key);
+const cw_catalog_workspace_t* cw_catalog_find_workspace(const cw_catalog_t* catalog, const char* key);
 /* Chooses a pool of the route by weight; draw is a random number of any size. */
-const cw_catalog_pool_t* cw_catalog_pool(const cw_catalog_t* catalog, const cw_route_t* route, uint64_t draw);
+const cw_catalog_pool_t* cw_catalog_choose_pool(const cw_catalog_t* catalog, const cw_route_t* route, uint64_t draw);
 
 #endif /* CHALKWAY_CATALOG_H */
 
@@ -273,12 +274,12 @@
     route->tier = _cw_catalog_uint32(r, o, route->name, "tier", 0);
     route->attempts = _cw_catalog_uint32(r, o, route->name, "attempts", 1);
     route->attempts = route->attempts ? route->attempts : 1;
-    route->open = _cw_catalog_bool(o, "open");
-    route->resume = _cw_catalog_bool(o, "resume");
+    route->is_public = _cw_catalog_bool(o, "open");
+    route->is_resumable = _cw_catalog_bool(o, "resume");
     _cw_catalog_read_route_pools(r, c, o, route);
 }
 
-static void _cw_catalog_read_workspace(_cw_catalog_reader_t* r, const json_t* o, cw_tenant_t* workspace) {
+static void _cw_catalog_read_workspace(_cw_catalog_reader_t* r, const json_t* o, cw_catalog_workspace_t* workspace) {
     workspace->name = _cw_catalog_string(r, o, "workspace", "name");
     workspace->has_tier = json_is_number(json_object_get(o, "tier"));
     workspace->tier = _cw_catalog_uint32(r, o, workspace->name, "tier", 0);
@@ -349,7 +350,7 @@
     c->pools = cw_alloc(NULL, json_array_size(pools) + 1, sizeof(*c->pools));
     c->routes = cw_alloc(NULL, json_array_size(routes) + 1, sizeof(*c->routes));
     c->workspaces = cw_alloc(NULL, json_array_size(workspaces) + 1, sizeof(*c->workspaces));
-    c->needs_keys = json_is_array(workspaces);
+    c->requires_keys = json_is_array(workspaces);
     for (size_t i = 0; i < json_array_size(pools); i++) {
         _cw_catalog_read_pool(r, json_array_get(pools, i), &c->pools[c->pool_count++]);
     }
@@ -362,7 +363,7 @@
     _cw_catalog_read_limits(r, json_object_get(document, "limits"), &c->limits);
 }
 
-cw_catalog_t* cw_catalog_read(const char* text, size_t size, cw_error_t* err) {
+cw_catalog_t* cw_catalog_parse(const char* text, size_t size, cw_error_t* err) {
     json_error_t problem;
     json_t* document = json_loadb(text, size, 0, &problem);
     if (!json_is_object(document)) {
@@ -390,7 +391,7 @@
     return c;
 }
 
-cw_catalog_t* cw_catalog_hold(cw_catalog_t* c) {
+cw_catalog_t* cw_catalog_retain(cw_catalog_t* c) {
     if (c) {
         c->index->references++;
     }
@@ -417,7 +418,7 @@
     cw_free(NULL, c);
 }
 
-const cw_route_t* cw_catalog_route(const cw_catalog_t* c, const char* host, const char* path, size_t path_size) {
+const cw_route_t* cw_catalog_find_route(const cw_catalog_t* c, const char* host, const char* path, size_t path_size) {
     char lower[_CW_CATALOG_HOST_MAX];
     size_t n = 0;
     for (; host[n] && n < sizeof(lower) - 1; n++) {
@@ -441,12 +442,12 @@
     return NULL;
 }
 
-const cw_tenant_t* cw_catalog_workspace(const cw_catalog_t* c, const char* key) {
+const cw_catalog_workspace_t* cw_catalog_find_workspace(const cw_catalog_t* c, const char* key) {
     uint32_t at = cw_map_get(&c->index->keys, _cw_catalog_key_id(key));
     if (at == CW_MAP_NONE) {
         return NULL;
     }
-    const cw_tenant_t* workspace = &c->workspaces[at];
+    const cw_catalog_workspace_t* workspace = &c->workspaces[at];
     for (uint32_t i = 0; i < workspace->key_count; i++) {
         if (strcmp(workspace->keys[i], key) == 0) {
             return workspace;
@@ -455,7 +456,7 @@
     return NULL;
 }
 
-const cw_catalog_pool_t* cw_catalog_pool(const cw_catalog_t* c, const cw_route_t* route, uint64_t draw) {
+const cw_catalog_pool_t* cw_catalog_choose_pool(const cw_catalog_t* c, const cw_route_t* route, uint64_t draw) {
     uint64_t sum = 0;
     for (uint32_t i = 0; i < route->pool_count; i++) {
         sum += route->pools[i].weight;
--- a/chalkway_changes.h
+++ b/chalkway_changes.h
@@ -19,11 +19,11 @@
 
     HOW TO USE IT
         The daemon that serves its list:
-            cw_changes_note(&changes, &before, &after);        // both sorted
+            cw_changes_record(&changes, &before, &after);        // both sorted
             cw_delta_t delta = {0};
-            if (cw_changes_since(&changes, &list, peer_revision, &delta)) { text = cw_delta_text(&delta); }
+            if (cw_changes_get_delta(&changes, &list, peer_revision, &delta)) { text = cw_delta_to_json(&delta); }
         The peer:
-            if (cw_delta_read(&delta, text, size, &err) == CW_OK && cw_delta_apply(&list, &delta)) { ... }
+            if (cw_delta_from_json(&delta, text, size, &err) == CW_OK && cw_delta_apply(&list, &delta)) { ... }
         Both free the delta with cw_delta_free.
 
     WHAT IT DOES NOT DO
@@ -37,43 +37,44 @@
 
 /* The changes from one list of a source to a later one. */
 typedef struct cw_delta_t {
-    int64_t since;     /* revision of the earlier list: every change after it is included */
-    uint64_t to;       /* hash of the later list, see cw_servers_id */
-    int64_t at;        /* revision of the later list, see cw_servers_t */
-    uint32_t age_ms;   /* of the later list */
-    cw_servers_t put;  /* servers that were added or changed, sorted; and all halls closed in the later list */
-    cw_servers_t gone; /* servers that were removed; only their ids are set */
+    int64_t since;        /* revision of the earlier list: every change after it is included */
+    uint64_t result_hash; /* hash of the later list, see cw_servers_hash */
+    int64_t at;           /* revision of the later list, see cw_servers_t */
+    uint32_t age_ms;      /* of the later list */
+    cw_servers_t updated; /* servers that were added or changed, sorted; and all halls closed in the later list */
+    cw_servers_t removed; /* servers that were removed; only their ids are set */
 } cw_delta_t;
 
 /* An entry that was removed. */
-typedef struct cw_gone_t {
+typedef struct cw_removed_server_t {
     int64_t revision; /* at or after its removal */
     char id[CW_NAME_MAX];
-} cw_gone_t;
+} cw_removed_server_t;
 
 /* The entries that were removed from a list. All zero: none is recorded. */
 typedef struct cw_changes_t {
     int64_t since; /* all removals after this revision are recorded, 0: none */
     uint32_t count, capacity;
-    cw_gone_t* gone; /* sorted by revision */
+    cw_removed_server_t* removed; /* sorted by revision */
 } cw_changes_t;
 
 /* Records the servers that after lacks, and sets the revisions of the entries of after. Both lists are sorted; before
    is empty when after is the first list. */
-void cw_changes_note(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after);
+void cw_changes_record(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after);
 /* Collects the changes of the list after the revision. Returns false when they are not all recorded, or are so many
    that the delta would be no shorter than the list. The delta must be zero. */
-bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* delta);
+bool cw_changes_get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision,
+                          cw_delta_t* delta);
 /* Records the removal of an entry, at a revision no lower than that of the last removal. */
-void cw_changes_add_gone(cw_changes_t* changes, const char* id, int64_t revision);
+void cw_changes_add_removed(cw_changes_t* changes, const char* id, int64_t revision);
 void cw_changes_free(cw_changes_t* changes);
 
 /* Returns the JSON form, which the caller frees with free(). */
-char* cw_delta_text(const cw_delta_t* delta);
+char* cw_delta_to_json(const cw_delta_t* delta);
 /* Whether the text begins as the JSON form of a delta does, and not as that of a full list. */
-bool cw_delta_is(const char* text, size_t size);
+bool cw_delta_is_json(const char* text, size_t size);
 /* Reads the JSON form; the delta must be zero. */
-cw_status_t cw_delta_read(cw_delta_t* delta, const char* text, size_t size, cw_error_t* err);
+cw_status_t cw_delta_from_json(cw_delta_t* delta, const char* text, size_t size, cw_error_t* err);
 /* Applies the delta to the sorted list. Returns false when the list is older than the revision from which the delta
    starts, or when the result is not the list for which the delta was made: the result must not be used then. */
 bool cw_delta_apply(cw_servers_t* list, const cw_delta_t* delta);
@@ -95,36 +96,36 @@
 #define _CW_CHANGES_REMOVALS_MIN 256 /* limit of recorded removals for a short list */
 
 void cw_delta_free(cw_delta_t* delta) {
-    cw_servers_free(&delta->put);
-    cw_servers_free(&delta->gone);
+    cw_servers_free(&delta->updated);
+    cw_servers_free(&delta->removed);
     *delta = (cw_delta_t){0};
 }
 
 void cw_changes_free(cw_changes_t* changes) {
-    free(changes->gone);
+    free(changes->removed);
     *changes = (cw_changes_t){0};
 }
 
 /* Drops the older half of the recorded removals. */
 static void _cw_changes_drop_oldest(cw_changes_t* changes) {
     uint32_t dropped = changes->count / 2;
-    changes->since = changes->gone[dropped - 1].revision;
+    changes->since = changes->removed[dropped - 1].revision;
     changes->count -= dropped;
-    memmove(changes->gone, &changes->gone[dropped], changes->count * sizeof(*changes->gone));
+    memmove(changes->removed, &changes->removed[dropped], changes->count * sizeof(*changes->removed));
 }
 
-void cw_changes_add_gone(cw_changes_t* changes, const char* id, int64_t revision) {
+void cw_changes_add_removed(cw_changes_t* changes, const char* id, int64_t revision) {
     if (changes->count == changes->capacity) {
         changes->capacity = changes->capacity ? changes->capacity * 2 : 32;
-        cw_gone_t* grown = realloc(changes->gone, changes->capacity * sizeof(*grown));
+        cw_removed_server_t* grown = realloc(changes->removed, changes->capacity * sizeof(*grown));
         if (!grown) {
             abort();
         }
-        changes->gone = grown;
+        changes->removed = grown;
     }
-    cw_gone_t* gone = &changes->gone[changes->count++];
-    gone->revision = revision;
-    cw_copy(gone->id, sizeof(gone->id), id);
+    cw_removed_server_t* removed = &changes->removed[changes->count++];
+    removed->revision = revision;
+    cw_copy(removed->id, sizeof(removed->id), id);
 }
 
 /* Sets the revision of an entry that changed, above the revision of the list before. */
@@ -147,7 +148,7 @@
             if (changes->count >= max_removals) {
                 _cw_changes_drop_oldest(changes);
             }
-            cw_changes_add_gone(changes, old->id, after->at);
+            cw_changes_add_removed(changes, old->id, after->at);
         } else if (order == 0 && cw_server_equal(old, now)) {
             now->revision = old->revision;
         } else {
@@ -158,7 +159,7 @@
     }
 }
 
-void cw_changes_note(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after) {
+void cw_changes_record(cw_changes_t* changes, const cw_servers_t* before, cw_servers_t* after) {
     bool is_successor = changes->since && before->at && after->at >= before->at;
     if (is_successor) {
         _cw_changes_compare(changes, before, after);
@@ -168,26 +169,27 @@
     }
 }
 
-bool cw_changes_since(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* delta) {
+bool cw_changes_get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision,
+                          cw_delta_t* delta) {
     if (!changes->since || peer_revision < changes->since || peer_revision > list->at) {
         return false;
     }
-    *delta = (cw_delta_t){.since = peer_revision, .at = list->at, .put = {.closed = list->closed}};
+    *delta = (cw_delta_t){.since = peer_revision, .at = list->at, .updated = {.closed = list->closed}};
     for (uint32_t i = 0; i < list->count; i++) {
         if (list->items[i].revision > peer_revision) {
-            cw_servers_add(&delta->put, &list->items[i]);
+            cw_servers_add(&delta->updated, &list->items[i]);
         }
     }
-    for (uint32_t i = changes->count; i-- > 0 && changes->gone[i].revision > peer_revision;) {
+    for (uint32_t i = changes->count; i-- > 0 && changes->removed[i].revision > peer_revision;) {
         cw_server_t server = {.slots = 0};
-        cw_copy(server.id, sizeof(server.id), changes->gone[i].id);
-        cw_servers_add(&delta->gone, &server);
+        cw_copy(server.id, sizeof(server.id), changes->removed[i].id);
+        cw_servers_add(&delta->removed, &server);
     }
-    if (delta->put.count + delta->gone.count > list->count / _CW_DELTA_DIVISOR) {
+    if (delta->updated.count + delta->removed.count > list->count / _CW_DELTA_DIVISOR) {
         cw_delta_free(delta);
         return false;
     }
-    delta->to = cw_servers_id(list);
+    delta->result_hash = cw_servers_hash(list);
     return true;
 }
 
@@ -195,61 +197,62 @@
     if (list->at < delta->since) {
         return false;
     }
-    for (uint32_t i = 0; i < delta->gone.count; i++) {
-        cw_servers_remove(list, delta->gone.items[i].id);
+    for (uint32_t i = 0; i < delta->removed.count; i++) {
+        cw_servers_remove(list, delta->removed.items[i].id);
     }
-    for (uint32_t i = 0; i < delta->put.count; i++) {
-        cw_servers_put(list, &delta->put.items[i]);
+    for (uint32_t i = 0; i < delta->updated.count; i++) {
+        cw_servers_put(list, &delta->updated.items[i]);
     }
-    list->closed = delta->put.closed;
+    list->closed = delta->updated.closed;
     list->at = delta->at;
     list->age_ms = delta->age_ms;
-    return cw_servers_id(list) == delta->to;
+    return cw_servers_hash(list) == delta->result_hash;
 }
 
 /* -- JSON form ------------------------------------------------------------ */
 
-char* cw_delta_text(const cw_delta_t* delta) {
+char* cw_delta_to_json(const cw_delta_t* delta) {
     json_t* document = json_object();
-    json_t* gone = json_array();
-    char to[20];
-    snprintf(to, sizeof(to), "%016llx", (unsigned long long)delta->to);
-    for (uint32_t i = 0; i < delta->gone.count; i++) {
-        json_array_append_new(gone, json_string(delta->gone.items[i].id));
+    json_t* removed = json_array();
+    char result_hash[20];
+    snprintf(result_hash, sizeof(result_hash), "%016llx", (unsigned long long)delta->result_hash);
+    for (uint32_t i = 0; i < delta->removed.count; i++) {
+        json_array_append_new(removed, json_string(delta->removed.items[i].id));
     }
     json_object_set_new(document, "since", json_integer(delta->since));
-    json_object_set_new(document, "to", json_string(to));
+    json_object_set_new(document, "to", json_string(result_hash));
     json_object_set_new(document, "at", json_integer(delta->at));
     json_object_set_new(document, "age_ms", json_integer(delta->age_ms));
-    json_object_set_new(document, "gone", gone);
-    cw_servers_json(&delta->put, document);
+    json_object_set_new(document, "gone", removed);
+    cw_servers_add_to_json(&delta->updated, document);
     char* text = json_dumps(document, JSON_COMPACT);
     json_decref(document);
     return text;
 }
 
-bool cw_delta_is(const char* text, size_t size) {
+bool cw_delta_is_json(const char* text, size_t size) {
     static const char start[] = "{\"since\":";
     return size >= sizeof(start) - 1 && memcmp(text, start, sizeof(start) - 1) == 0;
 }
 
-cw_status_t cw_delta_read(cw_delta_t* delta, const char* text, size_t size, cw_error_t* err) {
+cw_status_t cw_delta_from_json(cw_delta_t* delta, const char* text, size_t size, cw_error_t* err) {
     json_t* document = json_loadb(text, size, 0, NULL);
-    const json_t* gone = json_object_get(document, "gone");
-    const char* to = json_string_value(json_object_get(document, "to"));
+    const json_t* removed = json_object_get(document, "gone");
+    const char* result_hash = json_string_value(json_object_get(document, "to"));
     delta->since = json_integer_value(json_object_get(document, "since"));
-    delta->to = to ? strtoull(to, NULL, 16) : 0;
-    cw_status_t status = cw_servers_read(&delta->put, text, size, err);
-    delta->at = delta->put.at;
-    delta->age_ms = delta->put.age_ms;
-    if (status == CW_OK && (delta->since <= 0 || delta->at < delta->since || !delta->to || !json_is_array(gone))) {
+    delta->result_hash = result_hash ? strtoull(result_hash, NULL, 16) : 0;
+    cw_status_t status = cw_servers_from_json(&delta->updated, text, size, err);
+    delta->at = delta->updated.at;
+    delta->age_ms = delta->updated.age_ms;
+    if (status == CW_OK &&
+        (delta->since <= 0 || delta->at < delta->since || !delta->result_hash || !json_is_array(removed))) {
         status = cw_fail(err, CW_ERR_INVALID, "servers", NULL, "delta without gone or a valid since, to or at");
     }
-    for (size_t i = 0; status == CW_OK && i < json_array_size(gone); i++) {
-        const char* id = json_string_value(json_array_get(gone, i));
+    for (size_t i = 0; status == CW_OK && i < json_array_size(removed); i++) {
+        const char* id = json_string_value(json_array_get(removed, i));
         cw_server_t server = {.slots = 0};
         cw_copy(server.id, sizeof(server.id), id ? id : "");
-        cw_servers_add(&delta->gone, &server);
+        cw_servers_add(&delta->removed, &server);
     }
     json_decref(document);
     if (status != CW_OK) {
--- a/chalkway_contention.h
+++ b/chalkway_contention.h
@@ -18,11 +18,11 @@
 
     HOW TO USE IT
             cw_contention_t c = {.seed = host};
-            cw_contention_asked(&c, now_ms, urgency);          // for each new request
-            cw_contention_waiting(&c, now_ms, urgency, count); // when the queue changed
-            cw_contention_use_t use = {.server = server, .free_places = free, .urgency = urgency,
+            cw_contention_on_request(&c, now_ms, urgency);          // for each new request
+            cw_contention_set_waiting(&c, now_ms, urgency, count); // when the queue changed
+            cw_contention_use_t use = {.server = server, .free_slots = free, .urgency = urgency,
                                        .hosts = hosts, .delay_ms = delay_ms};
-            if (cw_contention_open(&c, now_ms, &use)) { ... }
+            if (cw_contention_may_use(&c, now_ms, &use)) { ... }
 
     WHAT IT DOES NOT DO
         It receives nothing from other hosts: they are assumed to be as busy
@@ -45,29 +45,29 @@
 /* All zero: no requests yet. */
 typedef struct cw_contention_t {
     uint64_t seed; /* id of the own host */
-    cw_contention_level_t level[CW_URGENCIES];
+    cw_contention_level_t level[CW_URGENCY_LEVELS];
 } cw_contention_t;
 
 /* A server that this host wants to use, and the hosts that compete for it. */
 typedef struct cw_contention_use_t {
     uint64_t server;
-    double free_places; /* free slots there, as far as known */
-    uint32_t urgency;   /* of the request */
-    uint32_t hosts;     /* hosts that may use these slots, this one among them */
-    uint32_t delay_ms;  /* until a load report has reached them, 0: at once */
+    double free_slots; /* free slots there, as far as known */
+    uint32_t urgency;  /* of the request */
+    uint32_t hosts;    /* hosts that may use these slots, this one among them */
+    uint32_t delay_ms; /* until a load report has reached them, 0: at once */
 } cw_contention_use_t;
 
 /* Counts a new request. */
-void cw_contention_asked(cw_contention_t* c, int64_t now_ms, uint32_t urgency);
+void cw_contention_on_request(cw_contention_t* c, int64_t now_ms, uint32_t urgency);
 /* Sets the number of this host's requests of the urgency that wait for a slot. */
-void cw_contention_waiting(cw_contention_t* c, int64_t now_ms, uint32_t urgency, uint32_t count);
+void cw_contention_set_waiting(cw_contention_t* c, int64_t now_ms, uint32_t urgency, uint32_t count);
 /* Arrival rate of this host's requests of the urgency, per second. */
-double cw_contention_rate(const cw_contention_t* c, int64_t now_ms, uint32_t urgency);
+double cw_contention_rate_per_s(const cw_contention_t* c, int64_t now_ms, uint32_t urgency);
 /* Expected number of hosts that place a request at least as urgent within the propagation time, this one among them. */
-double cw_contention_rivals(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use);
+double cw_contention_contenders(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use);
 /* Whether this host may use the server now. The result does not change within a time slice of delay_ms, since no new
    load reports can arrive in it. */
-bool cw_contention_open(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use);
+bool cw_contention_may_use(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use);
 
 #endif /* CHALKWAY_CONTENTION_H */
 
@@ -95,35 +95,35 @@
     return &c->level[cw_urgency_level(urgency)];
 }
 
-void cw_contention_asked(cw_contention_t* c, int64_t now_ms, uint32_t urgency) {
+void cw_contention_on_request(cw_contention_t* c, int64_t now_ms, uint32_t urgency) {
     cw_contention_level_t* l = _cw_contention_level(c, urgency);
     l->rate = _cw_contention_decayed_rate(l, now_ms) + 1000.0 / _CW_CONTENTION_RATE_MS;
     l->rate_ms = now_ms;
 }
 
-void cw_contention_waiting(cw_contention_t* c, int64_t now_ms, uint32_t urgency, uint32_t count) {
+void cw_contention_set_waiting(cw_contention_t* c, int64_t now_ms, uint32_t urgency, uint32_t count) {
     cw_contention_level_t* l = _cw_contention_level(c, urgency);
     l->waiting = _cw_contention_smoothed_waiting(l, now_ms);
     l->waiting_now = count;
     l->waiting_ms = now_ms;
 }
 
-double cw_contention_rate(const cw_contention_t* c, int64_t now_ms, uint32_t urgency) {
+double cw_contention_rate_per_s(const cw_contention_t* c, int64_t now_ms, uint32_t urgency) {
     return _cw_contention_decayed_rate(&c->level[cw_urgency_level(urgency)], now_ms);
 }
 
-double cw_contention_rivals(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use) {
+double cw_contention_contenders(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use) {
     double placed = 0;
-    for (uint32_t i = 0; i < CW_URGENCIES && i <= use->urgency; i++) {
+    for (uint32_t i = 0; i < CW_URGENCY_LEVELS && i <= use->urgency; i++) {
         placed += _cw_contention_decayed_rate(&c->level[i], now_ms) * use->delay_ms / 1000.0;
         placed += _cw_contention_smoothed_waiting(&c->level[i], now_ms);
     }
     return use->hosts * (1 - exp(-placed)); /* exp(-placed): probability that a host places none */
 }
 
-bool cw_contention_open(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use) {
-    double contenders = use->delay_ms ? cw_contention_rivals(c, now_ms, use) : 0;
-    double admitted = _CW_CONTENTION_HOSTS_PER_SLOT * use->free_places;
+bool cw_contention_may_use(const cw_contention_t* c, int64_t now_ms, const cw_contention_use_t* use) {
+    double contenders = use->delay_ms ? cw_contention_contenders(c, now_ms, use) : 0;
+    double admitted = _CW_CONTENTION_HOSTS_PER_SLOT * use->free_slots;
     if (contenders <= admitted) {
         return true;
     }
--- a/chalkway_core.h
+++ b/chalkway_core.h
@@ -40,11 +40,11 @@
    When the forecast also ordered by the workspaces' priorities, 7 and 8 in 100 requests of the two most urgent kinds
    were refused, over 20 days of overload at nine engines, because of long prompts that the engines prefilled after
    them; with one order it is 1 in 100. */
-#define CW_URGENCIES 10
+#define CW_URGENCY_LEVELS 10
 
 /* Level of an urgency, limited to the last one. */
 static inline uint32_t cw_urgency_level(uint32_t urgency) {
-    return urgency < CW_URGENCIES ? urgency : CW_URGENCIES - 1;
+    return urgency < CW_URGENCY_LEVELS ? urgency : CW_URGENCY_LEVELS - 1;
 }
 
 /* -- status and errors ---------------------------------------------------- */
--- a/chalkway_events.h
+++ b/chalkway_events.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_EVENTS_H
-#define CHALKWAY_EVENTS_H
+#ifndef CHALKWAY_SSE_H
+#define CHALKWAY_SSE_H
 /*
     chalkway_events.h -- complete events of a text/event-stream
 
@@ -11,11 +11,11 @@
         ids up to that one are skipped.
 
     HOW TO USE IT
-            cw_events_t e = {0};
-            cw_events_feed(&e, data, size);
-            cw_bytes_view_t whole = cw_events_take(&e);   // valid until the next call
+            cw_sse_t e = {0};
+            cw_sse_feed(&e, data, size);
+            cw_bytes_view_t whole = cw_sse_take(&e);   // valid until the next call
             // when the stream breaks: request the events after e.last_id, then
-            cw_events_restart(&e);
+            cw_sse_restart(&e);
 
     WHAT IT DOES NOT DO
         It does not interpret the data of events.
@@ -25,51 +25,51 @@
 */
 #include "chalkway_core.h"
 
-#define CW_EVENT_ID_MAX 48
-#define CW_EVENT_BYTES_MAX (1U << 20) /* a longer event sets bad */
+#define CW_SSE_ID_MAX 48
+#define CW_SSE_EVENT_BYTES_MAX (1U << 20) /* a longer event sets bad */
 
 typedef struct cw_bytes_view_t {
     const char* data;
     size_t size;
 } cw_bytes_view_t;
 
-typedef struct cw_events_t {
-    char last_id[CW_EVENT_ID_MAX]; /* id of the last event returned that has one, "": none */
-    uint64_t count;                /* events returned */
-    bool bad;                      /* an event exceeded CW_EVENT_BYTES_MAX; no more events are returned */
+typedef struct cw_sse_t {
+    char last_id[CW_SSE_ID_MAX]; /* id of the last event returned that has one, "": none */
+    uint64_t count;              /* events returned */
+    bool bad;                    /* an event exceeded CW_SSE_EVENT_BYTES_MAX; no more events are returned */
     /* private */
     bool restarted; /* no event with a new id was returned since the restart */
     char* data;
     size_t size, capacity, taken; /* taken: bytes at the start of data that were returned or skipped */
-} cw_events_t;
+} cw_sse_t;
 
-void cw_events_feed(cw_events_t* e, const char* data, size_t size);
+void cw_sse_feed(cw_sse_t* e, const char* data, size_t size);
 /* Returns the complete events that arrived since the last call, concatenated; size 0: none. Skipped events split the
    result, so call it until size is 0. */
-cw_bytes_view_t cw_events_take(cw_events_t* e);
+cw_bytes_view_t cw_sse_take(cw_sse_t* e);
 /* Drops an incomplete event after the stream broke; the next bytes come from another stream. */
-void cw_events_restart(cw_events_t* e);
+void cw_sse_restart(cw_sse_t* e);
 /* Whether the buffer holds an incomplete event. */
-bool cw_events_partial(const cw_events_t* e);
-void cw_events_free(cw_events_t* e);
+bool cw_sse_has_partial(const cw_sse_t* e);
+void cw_sse_free(cw_sse_t* e);
 
-#endif /* CHALKWAY_EVENTS_H */
+#endif /* CHALKWAY_SSE_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_EVENTS_IMPL_INCLUDED
-#define CHALKWAY_EVENTS_IMPL_INCLUDED
+#ifndef CHALKWAY_SSE_IMPL_INCLUDED
+#define CHALKWAY_SSE_IMPL_INCLUDED
 
 #include <stdlib.h>
 #include <string.h>
 
-void cw_events_feed(cw_events_t* e, const char* data, size_t size) {
+void cw_sse_feed(cw_sse_t* e, const char* data, size_t size) {
     if (e->taken) {
         memmove(e->data, e->data + e->taken, e->size - e->taken);
         e->size -= e->taken;
         e->taken = 0;
     }
-    if (e->size + size > CW_EVENT_BYTES_MAX) {
+    if (e->size + size > CW_SSE_EVENT_BYTES_MAX) {
         e->bad = true;
         return;
     }
@@ -102,7 +102,7 @@
 }
 
 /* Copies the value of the event's id line; returns false when it has none. */
-static bool _cw_sse_find_id(const char* event, size_t size, char id[CW_EVENT_ID_MAX]) {
+static bool _cw_sse_find_id(const char* event, size_t size, char id[CW_SSE_ID_MAX]) {
     const char* end = event + size;
     for (const char* line = event; line < end;) {
         const char* next = memchr(line, '\n', (size_t)(end - line));
@@ -117,7 +117,7 @@
                 stop--;
             }
             size_t n = (size_t)(stop - value);
-            n = n < CW_EVENT_ID_MAX - 1 ? n : CW_EVENT_ID_MAX - 1;
+            n = n < CW_SSE_ID_MAX - 1 ? n : CW_SSE_ID_MAX - 1;
             memcpy(id, value, n);
             id[n] = 0;
             return true;
@@ -127,11 +127,11 @@
     return false;
 }
 
-static bool _cw_sse_is_duplicate(const cw_events_t* e, const char* id) {
+static bool _cw_sse_is_duplicate(const cw_sse_t* e, const char* id) {
     return e->restarted && e->last_id[0] && strtoull(id, NULL, 10) <= strtoull(e->last_id, NULL, 10);
 }
 
-cw_bytes_view_t cw_events_take(cw_events_t* e) {
+cw_bytes_view_t cw_sse_take(cw_sse_t* e) {
     size_t begin = e->taken;
     size_t at = begin;
     while (!e->bad) {
@@ -139,7 +139,7 @@
         if (!length) {
             break;
         }
-        char id[CW_EVENT_ID_MAX];
+        char id[CW_SSE_ID_MAX];
         bool has_id = _cw_sse_find_id(e->data + at, length, id);
         if (has_id && _cw_sse_is_duplicate(e, id)) {
             if (at > begin) {
@@ -160,19 +160,19 @@
     return (cw_bytes_view_t){.data = e->data ? e->data + begin : "", .size = at - begin};
 }
 
-void cw_events_restart(cw_events_t* e) {
+void cw_sse_restart(cw_sse_t* e) {
     e->size = e->taken = 0;
     e->restarted = true;
 }
 
-bool cw_events_partial(const cw_events_t* e) {
+bool cw_sse_has_partial(const cw_sse_t* e) {
     return e->size > e->taken;
 }
 
-void cw_events_free(cw_events_t* e) {
+void cw_sse_free(cw_sse_t* e) {
     free(e->data);
-    *e = (cw_events_t){0};
+    *e = (cw_sse_t){0};
 }
 
-#endif /* CHALKWAY_EVENTS_IMPL_INCLUDED */
+#endif /* CHALKWAY_SSE_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_fair.h
+++ b/chalkway_fair.h
@@ -51,9 +51,9 @@
 /* Removes an item from any position. */
 void cw_fair_remove(cw_fair_t* q, uint32_t item);
 /* Newest item of the waiting workspace with the highest counter: the first candidate for eviction. */
-uint32_t cw_fair_last(const cw_fair_t* q);
+uint32_t cw_fair_peek_last(const cw_fair_t* q);
 /* While is_blocked is true, the workspace's items stay queued but are not served. */
-void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool is_blocked);
+void cw_fair_set_blocked(cw_fair_t* q, uint64_t workspace, bool is_blocked);
 /* Adds cost / weight to the workspace's counter; cost may be negative (a correction). */
 void cw_fair_charge(cw_fair_t* q, uint64_t workspace, uint32_t weight, double cost);
 uint32_t cw_fair_count(const cw_fair_t* q);
@@ -246,7 +246,7 @@
     return item;
 }
 
-uint32_t cw_fair_last(const cw_fair_t* q) {
+uint32_t cw_fair_peek_last(const cw_fair_t* q) {
     uint32_t top = cw_heap_top(&q->highest);
     return top == CW_HEAP_NONE ? CW_FAIR_NONE : q->nodes[top].tail;
 }
@@ -262,7 +262,7 @@
     }
 }
 
-void cw_fair_hold(cw_fair_t* q, uint64_t workspace, bool is_blocked) {
+void cw_fair_set_blocked(cw_fair_t* q, uint64_t workspace, bool is_blocked) {
     uint32_t i = cw_map_get(&q->by_workspace, workspace);
     if (i == CW_MAP_NONE) {
         return;
--- a/chalkway_fingerprint.h
+++ b/chalkway_fingerprint.h
@@ -13,7 +13,7 @@
 
     HOW TO USE IT
             cw_fingerprint_t f = cw_fingerprint(workspace, &(cw_fingerprint_parts_t){.method = "POST", ...});
-            if (cw_fingerprint_same(&f, &g)) { ... }
+            if (cw_fingerprint_equal(&f, &g)) { ... }
 
     WHAT IT DOES NOT DO
         It is neither a secret nor a signature: XXH3 is fast and can be
@@ -25,8 +25,8 @@
 #include "chalkway_core.h"
 
 typedef struct cw_fingerprint_t {
-    uint64_t workspace; /* id of its name, 0: none */
-    uint64_t content;   /* hash; cw_fingerprint never returns 0 here */
+    uint64_t workspace;    /* id of its name, 0: none */
+    uint64_t content_hash; /* hash; cw_fingerprint never returns 0 here */
 } cw_fingerprint_t;
 
 typedef struct cw_fingerprint_parts_t {
@@ -38,7 +38,7 @@
 } cw_fingerprint_parts_t;
 
 cw_fingerprint_t cw_fingerprint(uint64_t workspace, const cw_fingerprint_parts_t* parts);
-bool cw_fingerprint_same(const cw_fingerprint_t* a, const cw_fingerprint_t* b);
+bool cw_fingerprint_equal(const cw_fingerprint_t* a, const cw_fingerprint_t* b);
 
 #endif /* CHALKWAY_FINGERPRINT_H */
 
@@ -67,11 +67,11 @@
     hash = _cw_fingerprint_text(hash, parts->host);
     hash = _cw_fingerprint_text(hash, parts->target);
     hash = _cw_fingerprint_add(hash, parts->body, parts->size);
-    return (cw_fingerprint_t){.workspace = workspace, .content = hash};
+    return (cw_fingerprint_t){.workspace = workspace, .content_hash = hash};
 }
 
-bool cw_fingerprint_same(const cw_fingerprint_t* a, const cw_fingerprint_t* b) {
-    return a->content == b->content && a->workspace == b->workspace;
+bool cw_fingerprint_equal(const cw_fingerprint_t* a, const cw_fingerprint_t* b) {
+    return a->content_hash == b->content_hash && a->workspace == b->workspace;
 }
 
 #endif /* CHALKWAY_FINGERPRINT_IMPL_INCLUDED */
--- a/chalkway_gaps.h
+++ b/chalkway_gaps.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_GAPS_H
-#define CHALKWAY_GAPS_H
+#ifndef CHALKWAY_GAP_LIMITS_H
+#define CHALKWAY_GAP_LIMITS_H
 /*
     chalkway_gaps.h -- gap limits of the streams at one server
 
@@ -9,9 +9,9 @@
         stream beyond it stalls none beyond its own limit.
 
     HOW TO USE IT
-            cw_gaps_t g = {0};
-            cw_gaps_count(&g, gap_ms, 1); // and -1 when the stream ends
-            cw_gap_t strictest = cw_gaps_shortest(&g);
+            cw_gap_limits_t g = {0};
+            cw_gap_limits_add(&g, gap_ms, 1); // and -1 when the stream ends
+            cw_gap_limit_t strictest = cw_gap_limits_strictest(&g);
 
     WHAT IT DOES NOT DO
         It does not predict stalls (chalkway_pause.h).
@@ -21,33 +21,33 @@
 */
 #include "chalkway_core.h"
 
-#define CW_GAPS_MAX 8 /* number of different limits; streams with further ones are counted under the last one */
+#define CW_GAP_LIMITS_MAX 8 /* number of different limits; streams with further ones are counted under the last one */
 
 /* Streams with the same gap limit. */
-typedef struct cw_gap_t {
+typedef struct cw_gap_limit_t {
     uint32_t gap_ms, count;
-} cw_gap_t;
+} cw_gap_limit_t;
 
 /* All zero: no streams. */
-typedef struct cw_gaps_t {
-    cw_gap_t items[CW_GAPS_MAX];
-} cw_gaps_t;
+typedef struct cw_gap_limits_t {
+    cw_gap_limit_t items[CW_GAP_LIMITS_MAX];
+} cw_gap_limits_t;
 
 /* Adds a stream (by = 1) or removes one (-1). */
-void cw_gaps_count(cw_gaps_t* g, uint32_t gap_ms, int by);
+void cw_gap_limits_add(cw_gap_limits_t* g, uint32_t gap_ms, int by);
 /* The streams with the strictest limit; count 0: there are none. */
-cw_gap_t cw_gaps_shortest(const cw_gaps_t* g);
+cw_gap_limit_t cw_gap_limits_strictest(const cw_gap_limits_t* g);
 
-#endif /* CHALKWAY_GAPS_H */
+#endif /* CHALKWAY_GAP_LIMITS_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_GAPS_IMPL_INCLUDED
-#define CHALKWAY_GAPS_IMPL_INCLUDED
+#ifndef CHALKWAY_GAP_LIMITS_IMPL_INCLUDED
+#define CHALKWAY_GAP_LIMITS_IMPL_INCLUDED
 
-void cw_gaps_count(cw_gaps_t* g, uint32_t gap_ms, int by) {
-    cw_gap_t* entry = &g->items[CW_GAPS_MAX - 1];
-    for (uint32_t i = 0; i < CW_GAPS_MAX; i++) {
+void cw_gap_limits_add(cw_gap_limits_t* g, uint32_t gap_ms, int by) {
+    cw_gap_limit_t* entry = &g->items[CW_GAP_LIMITS_MAX - 1];
+    for (uint32_t i = 0; i < CW_GAP_LIMITS_MAX; i++) {
         if (g->items[i].gap_ms == gap_ms || !g->items[i].gap_ms) {
             entry = &g->items[i];
             break;
@@ -57,10 +57,10 @@
     entry->count = (uint32_t)((int)entry->count + by > 0 ? (int)entry->count + by : 0);
 }
 
-cw_gap_t cw_gaps_shortest(const cw_gaps_t* g) {
-    cw_gap_t shortest = {0};
-    for (uint32_t i = 0; i < CW_GAPS_MAX; i++) {
-        const cw_gap_t* other = &g->items[i];
+cw_gap_limit_t cw_gap_limits_strictest(const cw_gap_limits_t* g) {
+    cw_gap_limit_t shortest = {0};
+    for (uint32_t i = 0; i < CW_GAP_LIMITS_MAX; i++) {
+        const cw_gap_limit_t* other = &g->items[i];
         if (other->count && (!shortest.count || other->gap_ms < shortest.gap_ms)) {
             shortest = *other;
         }
@@ -68,5 +68,5 @@
     return shortest;
 }
 
-#endif /* CHALKWAY_GAPS_IMPL_INCLUDED */
+#endif /* CHALKWAY_GAP_LIMITS_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_hist.h
+++ b/chalkway_hist.h
@@ -15,7 +15,7 @@
 
             cw_estimate_t est = {0};
             cw_estimate_add(&est, tokens);
-            uint32_t cost = cw_estimate_get(&est, 0.8, 256);  // 256 while there are too few samples
+            uint32_t cost = cw_estimate_quantile(&est, 0.8, 256);  // 256 while there are too few samples
 
     WHAT IT DOES NOT DO
         No exact values, no time windows.
@@ -26,8 +26,8 @@
 #include "chalkway_core.h"
 
 #define CW_HIST_BUCKETS 124
-#define CW_ESTIMATE_FEW 8       /* samples needed for an estimate */
-#define CW_ESTIMATE_WINDOW 2048 /* samples after which all counts are halved */
+#define CW_ESTIMATE_MIN_SAMPLES 8 /* samples needed for an estimate */
+#define CW_ESTIMATE_WINDOW 2048   /* samples after which all counts are halved */
 
 typedef struct cw_hist_t {
     uint64_t count;
@@ -43,16 +43,16 @@
 /* Upper bound of the bucket that holds quantile q (0..1); 0 when empty. */
 uint32_t cw_hist_quantile(const cw_hist_t* hist, double q);
 /* Largest value that bucket i counts. */
-uint32_t cw_hist_bound(uint32_t i);
+uint32_t cw_hist_upper_bound(uint32_t i);
 void cw_estimate_add(cw_estimate_t* est, uint32_t value);
 /* Quantile q of the samples, or initial while there are too few. */
-uint32_t cw_estimate_get(const cw_estimate_t* est, double q, uint32_t initial);
+uint32_t cw_estimate_quantile(const cw_estimate_t* est, double q, uint32_t initial);
 
 /* Mean of the samples, or initial while there are too few. */
 uint32_t cw_estimate_mean(const cw_estimate_t* est, uint32_t initial);
 /* Smallest time-out t, not below the mean, that wastes at most the given share (0..1) of all work when every run longer
    than t is aborted at t: each aborted run wastes t. Returns initial while there are too few samples. */
-uint32_t cw_estimate_need(const cw_estimate_t* est, double share, uint32_t initial);
+uint32_t cw_estimate_cutoff(const cw_estimate_t* est, double share, uint32_t initial);
 
 #endif /* CHALKWAY_HIST_H */
 
@@ -70,7 +70,7 @@
     return 8 + (top - 3) * 4 + ((value >> (top - 2)) & 3U);
 }
 
-uint32_t cw_hist_bound(uint32_t i) {
+uint32_t cw_hist_upper_bound(uint32_t i) {
     if (i < 8) {
         return i;
     }
@@ -103,7 +103,7 @@
             break;
         }
     }
-    return cw_hist_bound(last);
+    return cw_hist_upper_bound(last);
 }
 
 void cw_estimate_add(cw_estimate_t* est, uint32_t value) {
@@ -119,23 +119,23 @@
     }
 }
 
-uint32_t cw_estimate_get(const cw_estimate_t* est, double q, uint32_t initial) {
-    return est->hist.count < CW_ESTIMATE_FEW ? initial : cw_hist_quantile(&est->hist, q);
+uint32_t cw_estimate_quantile(const cw_estimate_t* est, double q, uint32_t initial) {
+    return est->hist.count < CW_ESTIMATE_MIN_SAMPLES ? initial : cw_hist_quantile(&est->hist, q);
 }
 
 uint32_t cw_estimate_mean(const cw_estimate_t* est, uint32_t initial) {
-    return est->hist.count < CW_ESTIMATE_FEW ? initial : (uint32_t)(est->hist.sum / est->hist.count);
+    return est->hist.count < CW_ESTIMATE_MIN_SAMPLES ? initial : (uint32_t)(est->hist.sum / est->hist.count);
 }
 
-uint32_t cw_estimate_need(const cw_estimate_t* est, double share, uint32_t initial) {
-    if (est->hist.count < CW_ESTIMATE_FEW) {
+uint32_t cw_estimate_cutoff(const cw_estimate_t* est, double share, uint32_t initial) {
+    if (est->hist.count < CW_ESTIMATE_MIN_SAMPLES) {
         return initial;
     }
     uint32_t mean = cw_estimate_mean(est, initial);
     uint64_t above = 0; /* samples in the buckets above i */
-    uint32_t need = cw_hist_bound(CW_HIST_BUCKETS - 1);
+    uint32_t need = cw_hist_upper_bound(CW_HIST_BUCKETS - 1);
     for (uint32_t i = CW_HIST_BUCKETS; i-- > 0;) {
-        uint32_t bound = cw_hist_bound(i);
+        uint32_t bound = cw_hist_upper_bound(i);
         if (bound < mean || (double)above * bound > share * (double)est->hist.sum) {
             break;
         }
--- a/chalkway_home.h
+++ b/chalkway_home.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_HOME_H
-#define CHALKWAY_HOME_H
+#ifndef CHALKWAY_OWNER_H
+#define CHALKWAY_OWNER_H
 /*
     chalkway_home.h -- owner hosts of a server, which alone use its last free slots
 
@@ -14,8 +14,8 @@
         or leaves. In a small fleet all hosts own all servers.
 
     HOW TO USE IT
-            bool is_owner = cw_home_is(server, own_id, ids, count);
-            uint32_t found = cw_home_others(server, own_id, ids, count, others); // indices into ids
+            bool is_owner = cw_owner_includes(server, own_id, ids, count);
+            uint32_t found = cw_owner_list_others(server, own_id, ids, count, others); // indices into ids
 
     WHAT IT DOES NOT DO
         It has no list of hosts (chalkway_member.h) and does not communicate.
@@ -28,28 +28,28 @@
 
 /* Owner hosts of a server: enough that a host of a large fleet has engines to choose from, few enough to send reports
    to each of them directly. */
-#define CW_HOME_HOSTS 16
+#define CW_OWNER_HOSTS 16
 /* In fleets up to this size all hosts own all servers, since reports to every host cost less. */
-#define CW_HOME_FLEET 24
+#define CW_OWNER_SMALL_FLEET 24
 
 /* Whether own is an owner host of the server; ids: the live hosts. In a large fleet a host that is not among them owns
    no server. */
-bool cw_home_is(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count);
+bool cw_owner_includes(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count);
 /* The server's owner hosts except own, as indices into ids; none if own is not among them. Returns their number. */
-uint32_t cw_home_others(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count,
-                        uint32_t others[CW_HOME_HOSTS]);
+uint32_t cw_owner_list_others(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count,
+                              uint32_t others[CW_OWNER_HOSTS]);
 
-#endif /* CHALKWAY_HOME_H */
+#endif /* CHALKWAY_OWNER_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_HOME_IMPL_INCLUDED
-#define CHALKWAY_HOME_IMPL_INCLUDED
+#ifndef CHALKWAY_OWNER_IMPL_INCLUDED
+#define CHALKWAY_OWNER_IMPL_INCLUDED
 
 #include "chalkway_place.h"
 
-bool cw_home_is(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count) {
-    return count <= CW_HOME_FLEET || cw_place_rank(server, own, ids, count) < CW_HOME_HOSTS;
+bool cw_owner_includes(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count) {
+    return count <= CW_OWNER_SMALL_FLEET || cw_rendezvous_rank(server, own, ids, count) < CW_OWNER_HOSTS;
 }
 
 /* Inserts the index into found, which is sorted by score, the highest first. Returns the new number of entries. */
@@ -58,10 +58,10 @@
     while (at > 0 && scores[at - 1] < score) {
         at--;
     }
-    if (at == CW_HOME_HOSTS) {
+    if (at == CW_OWNER_HOSTS) {
         return count;
     }
-    uint32_t last = count < CW_HOME_HOSTS ? count : CW_HOME_HOSTS - 1;
+    uint32_t last = count < CW_OWNER_HOSTS ? count : CW_OWNER_HOSTS - 1;
     for (uint32_t i = last; i > at; i--) {
         found[i] = found[i - 1];
         scores[i] = scores[i - 1];
@@ -71,10 +71,10 @@
     return last + 1;
 }
 
-uint32_t cw_home_others(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count,
-                        uint32_t others[CW_HOME_HOSTS]) {
-    uint32_t found[CW_HOME_HOSTS];
-    uint64_t scores[CW_HOME_HOSTS];
+uint32_t cw_owner_list_others(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count,
+                              uint32_t others[CW_OWNER_HOSTS]) {
+    uint32_t found[CW_OWNER_HOSTS];
+    uint64_t scores[CW_OWNER_HOSTS];
     uint32_t owner_count = 0;
     for (uint32_t i = 0; i < count; i++) {
         owner_count = _cw_owner_insert(found, scores, owner_count, i, cw_mix(server, ids[i]));
@@ -88,5 +88,5 @@
     return others_count < owner_count ? others_count : 0;
 }
 
-#endif /* CHALKWAY_HOME_IMPL_INCLUDED */
+#endif /* CHALKWAY_OWNER_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_kept.h
+++ b/chalkway_kept.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_KEPT_H
-#define CHALKWAY_KEPT_H
+#ifndef CHALKWAY_PREFIX_CACHE_H
+#define CHALKWAY_PREFIX_CACHE_H
 /*
     chalkway_kept.h -- estimate of the prompt parts in the servers' prefix caches
 
@@ -12,10 +12,10 @@
         first one is added.
 
     HOW TO USE IT
-            cw_kept_t* k = cw_kept_setup(131072, NULL);
-            cw_kept_add(k, server, part, prefilled_tokens);
-            if (cw_kept_has(k, server, part, prefilled_tokens_now, room_tokens)) { ... }
-            cw_kept_shutdown(k);
+            cw_prefix_cache_t* k = cw_prefix_cache_setup(131072, NULL);
+            cw_prefix_cache_add(k, server, part, prefilled_tokens);
+            if (cw_prefix_cache_has(k, server, part, prefilled_tokens_now, capacity_tokens)) { ... }
+            cw_prefix_cache_shutdown(k);
 
     WHAT IT DOES NOT DO
         It gets no information from the servers: it is an estimate from the
@@ -27,22 +27,23 @@
 */
 #include "chalkway_core.h"
 
-typedef struct cw_kept_t cw_kept_t;
+typedef struct cw_prefix_cache_t cw_prefix_cache_t;
 
 /* A table for about capacity pairs. allocator may be NULL. */
-cw_kept_t* cw_kept_setup(uint32_t capacity, const cw_allocator_t* allocator);
-void cw_kept_shutdown(cw_kept_t* k);
+cw_prefix_cache_t* cw_prefix_cache_setup(uint32_t capacity, const cw_allocator_t* allocator);
+void cw_prefix_cache_shutdown(cw_prefix_cache_t* k);
 /* Records that the server uses the part. prefilled_tokens: all tokens that it has prefilled so far. */
-void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens);
-/* Whether the part is still cached at the server, whose cache holds room_tokens. */
-bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens, double room_tokens);
+void cw_prefix_cache_add(cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens);
+/* Whether the part is still cached at the server, whose cache holds capacity_tokens. */
+bool cw_prefix_cache_has(const cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
+                         double capacity_tokens);
 
-#endif /* CHALKWAY_KEPT_H */
+#endif /* CHALKWAY_PREFIX_CACHE_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_KEPT_IMPL_INCLUDED
-#define CHALKWAY_KEPT_IMPL_INCLUDED
+#ifndef CHALKWAY_PREFIX_CACHE_IMPL_INCLUDED
+#define CHALKWAY_PREFIX_CACHE_IMPL_INCLUDED
 
 #define _CW_PREFIX_CACHE_WAYS 4
 
@@ -53,16 +54,16 @@
     uint32_t last_use;         /* value of the table's uses at the last use */
 } _cw_prefix_cache_entry_t;
 
-struct cw_kept_t {
+struct cw_prefix_cache_t {
     cw_allocator_t allocator;
     _cw_prefix_cache_entry_t* entries; /* NULL: none was added yet */
     uint32_t count;                    /* a power of two */
-    uint32_t uses;                     /* number of calls of cw_kept_add */
+    uint32_t uses;                     /* number of calls of cw_prefix_cache_add */
 };
 
-cw_kept_t* cw_kept_setup(uint32_t capacity, const cw_allocator_t* allocator) {
+cw_prefix_cache_t* cw_prefix_cache_setup(uint32_t capacity, const cw_allocator_t* allocator) {
     cw_allocator_t alloc = allocator ? *allocator : (cw_allocator_t){0};
-    cw_kept_t* k = cw_alloc(&alloc, 1, sizeof(*k));
+    cw_prefix_cache_t* k = cw_alloc(&alloc, 1, sizeof(*k));
     k->allocator = alloc;
     k->count = _CW_PREFIX_CACHE_WAYS;
     while (k->count < capacity) {
@@ -71,7 +72,7 @@
     return k;
 }
 
-void cw_kept_shutdown(cw_kept_t* k) {
+void cw_prefix_cache_shutdown(cw_prefix_cache_t* k) {
     cw_allocator_t alloc = k->allocator;
     cw_free(&alloc, k->entries);
     cw_free(&alloc, k);
@@ -84,7 +85,7 @@
 }
 
 /* The pair's entry, or the one that it would replace: a free one, else the least recently used one. */
-static _cw_prefix_cache_entry_t* _cw_prefix_cache_entry(const cw_kept_t* k, uint64_t key) {
+static _cw_prefix_cache_entry_t* _cw_prefix_cache_entry(const cw_prefix_cache_t* k, uint64_t key) {
     _cw_prefix_cache_entry_t* ways =
         &k->entries[(uint32_t)key & (k->count - 1) & ~(uint32_t)(_CW_PREFIX_CACHE_WAYS - 1)];
     _cw_prefix_cache_entry_t* oldest = ways;
@@ -97,7 +98,7 @@
     return oldest;
 }
 
-void cw_kept_add(cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens) {
+void cw_prefix_cache_add(cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens) {
     uint64_t key = cw_mix(server, part);
     if (!k->entries) {
         k->entries = cw_alloc(&k->allocator, k->count, sizeof(*k->entries));
@@ -107,15 +108,16 @@
         .tag = _cw_prefix_cache_tag(key), .prefilled_tokens = (uint32_t)prefilled_tokens, .last_use = ++k->uses};
 }
 
-bool cw_kept_has(const cw_kept_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens, double room_tokens) {
+bool cw_prefix_cache_has(const cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
+                         double capacity_tokens) {
     if (!k->entries) {
         return false;
     }
     uint64_t key = cw_mix(server, part);
     const _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
     return entry->tag == _cw_prefix_cache_tag(key) &&
-           (uint32_t)prefilled_tokens - entry->prefilled_tokens < room_tokens;
+           (uint32_t)prefilled_tokens - entry->prefilled_tokens < capacity_tokens;
 }
 
-#endif /* CHALKWAY_KEPT_IMPL_INCLUDED */
+#endif /* CHALKWAY_PREFIX_CACHE_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_life.h
+++ b/chalkway_life.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_LIFE_H
-#define CHALKWAY_LIFE_H
+#ifndef CHALKWAY_EPOCH_H
+#define CHALKWAY_EPOCH_H
 /*
     chalkway_life.h -- epochs of a source that may be restored from a copy
 
@@ -12,8 +12,8 @@
         proves nothing, and a response of an earlier epoch must be ignored.
 
     HOW TO USE IT
-            cw_life_t life = {0};
-            switch (cw_life_hear(&life, header)) { case CW_LIFE_NEWER: ... }
+            cw_epoch_t life = {0};
+            switch (cw_epoch_observe(&life, header)) { case CW_EPOCH_NEWER: ... }
 
     WHAT IT DOES NOT DO
         It doesn't parse responses, and never returns to an earlier epoch.
@@ -24,47 +24,47 @@
 #include "chalkway_core.h"
 
 /* Zero-initialized: no epoch is known yet. */
-typedef struct cw_life_t {
+typedef struct cw_epoch_t {
     int64_t number;
-} cw_life_t;
+} cw_epoch_t;
 
-typedef enum cw_life_verdict_t {
-    CW_LIFE_SAME = 0, /* the current epoch, the first one that was seen, or the response names none */
-    CW_LIFE_NEWER,    /* the response is of a newer epoch, which is the current one from now on */
-    CW_LIFE_OLDER,    /* the response is of an earlier epoch */
-    CW_LIFE_MALFORMED /* not a positive integer: nothing changes */
-} cw_life_verdict_t;
+typedef enum cw_epoch_verdict_t {
+    CW_EPOCH_SAME = 0, /* the current epoch, the first one that was seen, or the response names none */
+    CW_EPOCH_NEWER,    /* the response is of a newer epoch, which is the current one from now on */
+    CW_EPOCH_OLDER,    /* the response is of an earlier epoch */
+    CW_EPOCH_MALFORMED /* not a positive integer: nothing changes */
+} cw_epoch_verdict_t;
 
 /* Checks the epoch that a response names, and updates the current one. text NULL: the response names none. */
-cw_life_verdict_t cw_life_hear(cw_life_t* life, const char* text);
+cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* life, const char* text);
 
-#endif /* CHALKWAY_LIFE_H */
+#endif /* CHALKWAY_EPOCH_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_LIFE_IMPL_INCLUDED
-#define CHALKWAY_LIFE_IMPL_INCLUDED
+#ifndef CHALKWAY_EPOCH_IMPL_INCLUDED
+#define CHALKWAY_EPOCH_IMPL_INCLUDED
 
 #include <errno.h>
 #include <stdlib.h>
 
-cw_life_verdict_t cw_life_hear(cw_life_t* life, const char* text) {
+cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* life, const char* text) {
     if (!text) {
-        return CW_LIFE_SAME;
+        return CW_EPOCH_SAME;
     }
     char* end = NULL;
     errno = 0;
     long long number = strtoll(text, &end, 10);
     if (errno || end == text || *end || number <= 0) {
-        return CW_LIFE_MALFORMED;
+        return CW_EPOCH_MALFORMED;
     }
     if (number < life->number) {
-        return CW_LIFE_OLDER;
+        return CW_EPOCH_OLDER;
     }
     bool newer = life->number && number > life->number;
     life->number = number;
-    return newer ? CW_LIFE_NEWER : CW_LIFE_SAME;
+    return newer ? CW_EPOCH_NEWER : CW_EPOCH_SAME;
 }
 
-#endif /* CHALKWAY_LIFE_IMPL_INCLUDED */
+#endif /* CHALKWAY_EPOCH_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -13,7 +13,7 @@
             if (cw_bucket_take(&bucket, now_ms, 1)) { ... }
 
             cw_retry_budget_t budget = {.share = 0.1, .burst = 10};
-            cw_retry_first(&budget);                           // on each first attempt
+            cw_retry_on_first_attempt(&budget);                           // on each first attempt
             if (cw_retry_take(&budget)) { ... }
 
     WHAT IT DOES NOT DO
@@ -38,27 +38,27 @@
     double tokens;
 } cw_retry_budget_t;
 
-#define CW_RETRY_WINDOW_PARTS 16
+#define CW_RETRY_WINDOW_SLICES 16
 
 /* One daemon's share of a retry budget that many daemons share without communication: in any window of time its retries
    stay within ratio * own first attempts + slack / daemons. The shares sum to at most the whole budget as long as
    daemons is no less than the number of live daemons. */
 typedef struct cw_retry_window_t {
-    double ratio;       /* retries allowed for each first attempt */
-    double slack;       /* additional retries of all daemons together in a window */
-    uint32_t window_ms; /* default 10000 */
-    uint32_t daemons;   /* most daemons that were ever known at once, default 1 */
-    int64_t part_at;    /* number of the window's newest slice */
-    uint32_t first[CW_RETRY_WINDOW_PARTS + 1];
-    uint32_t repeats[CW_RETRY_WINDOW_PARTS + 1];
+    double ratio;         /* retries allowed for each first attempt */
+    double slack;         /* additional retries of all daemons together in a window */
+    uint32_t window_ms;   /* default 10000 */
+    uint32_t daemons;     /* most daemons that were ever known at once, default 1 */
+    int64_t newest_slice; /* number of the window's newest slice */
+    uint32_t first_attempts[CW_RETRY_WINDOW_SLICES + 1];
+    uint32_t retries[CW_RETRY_WINDOW_SLICES + 1];
 } cw_retry_window_t;
 
 /* Counts a first attempt. */
-void cw_retry_window_first(cw_retry_window_t* w, int64_t now_ms);
+void cw_retry_window_on_first_attempt(cw_retry_window_t* w, int64_t now_ms);
 /* Takes one retry if the budget allows it. */
 bool cw_retry_window_take(cw_retry_window_t* w, int64_t now_ms);
 /* Whether the budget allows a retry now. */
-bool cw_retry_window_has(cw_retry_window_t* w, int64_t now_ms);
+bool cw_retry_window_has_room(cw_retry_window_t* w, int64_t now_ms);
 
 /* Takes n tokens if the bucket has them. */
 bool cw_bucket_take(cw_bucket_t* bucket, int64_t now_ms, double n);
@@ -66,7 +66,7 @@
 void cw_bucket_set_rate(cw_bucket_t* bucket, int64_t now_ms, double rate, double burst);
 /* Time until the bucket has n tokens, 0: now. */
 uint32_t cw_bucket_wait_ms(const cw_bucket_t* bucket, int64_t now_ms, double n);
-void cw_retry_first(cw_retry_budget_t* budget);
+void cw_retry_on_first_attempt(cw_retry_budget_t* budget);
 bool cw_retry_take(cw_retry_budget_t* budget);
 
 #endif /* CHALKWAY_LIMIT_H */
@@ -82,37 +82,38 @@
    that length is covered. */
 static void _cw_retry_window_advance(cw_retry_window_t* w, int64_t now_ms) {
     uint32_t window_ms = w->window_ms ? w->window_ms : _CW_RETRY_WINDOW_MS;
-    int64_t slice = now_ms * CW_RETRY_WINDOW_PARTS / window_ms;
-    int64_t first_new = slice - w->part_at > CW_RETRY_WINDOW_PARTS ? slice - CW_RETRY_WINDOW_PARTS : w->part_at + 1;
+    int64_t slice = now_ms * CW_RETRY_WINDOW_SLICES / window_ms;
+    int64_t first_new =
+        slice - w->newest_slice > CW_RETRY_WINDOW_SLICES ? slice - CW_RETRY_WINDOW_SLICES : w->newest_slice + 1;
     for (int64_t i = first_new; i <= slice; i++) {
-        w->first[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
-        w->repeats[i % (CW_RETRY_WINDOW_PARTS + 1)] = 0;
+        w->first_attempts[i % (CW_RETRY_WINDOW_SLICES + 1)] = 0;
+        w->retries[i % (CW_RETRY_WINDOW_SLICES + 1)] = 0;
     }
-    w->part_at = slice > w->part_at ? slice : w->part_at;
+    w->newest_slice = slice > w->newest_slice ? slice : w->newest_slice;
 }
 
-void cw_retry_window_first(cw_retry_window_t* w, int64_t now_ms) {
+void cw_retry_window_on_first_attempt(cw_retry_window_t* w, int64_t now_ms) {
     _cw_retry_window_advance(w, now_ms);
-    w->first[w->part_at % (CW_RETRY_WINDOW_PARTS + 1)]++;
+    w->first_attempts[w->newest_slice % (CW_RETRY_WINDOW_SLICES + 1)]++;
 }
 
-bool cw_retry_window_has(cw_retry_window_t* w, int64_t now_ms) {
+bool cw_retry_window_has_room(cw_retry_window_t* w, int64_t now_ms) {
     _cw_retry_window_advance(w, now_ms);
-    uint32_t first = 0;
-    uint32_t repeats = 0;
-    for (int i = 0; i <= CW_RETRY_WINDOW_PARTS; i++) {
-        first += w->first[i];
-        repeats += w->repeats[i];
+    uint32_t first_attempts = 0;
+    uint32_t retries = 0;
+    for (int i = 0; i <= CW_RETRY_WINDOW_SLICES; i++) {
+        first_attempts += w->first_attempts[i];
+        retries += w->retries[i];
     }
     double share = w->slack / (w->daemons ? w->daemons : 1);
-    return repeats + 1 <= w->ratio * first * CW_RETRY_WINDOW_PARTS / (CW_RETRY_WINDOW_PARTS + 1) + share;
+    return retries + 1 <= w->ratio * first_attempts * CW_RETRY_WINDOW_SLICES / (CW_RETRY_WINDOW_SLICES + 1) + share;
 }
 
 bool cw_retry_window_take(cw_retry_window_t* w, int64_t now_ms) {
-    if (!cw_retry_window_has(w, now_ms)) {
+    if (!cw_retry_window_has_room(w, now_ms)) {
         return false;
     }
-    w->repeats[w->part_at % (CW_RETRY_WINDOW_PARTS + 1)]++;
+    w->retries[w->newest_slice % (CW_RETRY_WINDOW_SLICES + 1)]++;
     return true;
 }
 
@@ -157,7 +158,7 @@
     return missing > 0 ? (uint32_t)(missing / bucket->rate * 1000.0) + 1 : 0;
 }
 
-void cw_retry_first(cw_retry_budget_t* budget) {
+void cw_retry_on_first_attempt(cw_retry_budget_t* budget) {
     budget->tokens += budget->share;
     if (budget->tokens > budget->burst) {
         budget->tokens = budget->burst;
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -24,17 +24,17 @@
 #include "chalkway_balance.h"
 #include "chalkway_quarantine.h"
 
-#define CW_LOAD_VERSION 7  /* changes when older receivers would misread an entry; other versions are rejected */
-#define CW_LOAD_ENTRIES 24 /* most entries in a datagram */
-#define CW_LOAD_MARKS 48   /* most quarantine observations in a datagram, which then has no entries */
-#define CW_LOAD_PARTS 4    /* most prompt parts in an entry */
-#define CW_LOAD_BYTES 4096 /* largest datagram, with all entries in use */
+#define CW_LOAD_VERSION 7       /* changes when older receivers would misread an entry; other versions are rejected */
+#define CW_LOAD_ENTRIES 24      /* most entries in a datagram */
+#define CW_LOAD_OBSERVATIONS 48 /* most quarantine observations in a datagram, which then has no entries */
+#define CW_LOAD_PARTS 4         /* most prompt parts in an entry */
+#define CW_LOAD_BYTES 4096      /* largest datagram, with all entries in use */
 
 /* Hosts to which the receiver forwards the entries. */
 typedef enum cw_load_scope_t {
-    CW_LOAD_LAST = 0, /* none */
-    CW_LOAD_FOR_HALL, /* the others of its hall */
-    CW_LOAD_FOR_ALL,  /* the others of its hall and one host of each other hall */
+    CW_LOAD_NO_RELAY = 0,  /* none */
+    CW_LOAD_RELAY_TO_HALL, /* the others of its hall */
+    CW_LOAD_RELAY_TO_ALL,  /* the others of its hall and one host of each other hall */
     CW_LOAD_SCOPE_COUNT
 } cw_load_scope_t;
 
@@ -44,36 +44,36 @@
     bool leaving; /* by the server's own response */
     cw_load_t load;
     uint32_t part_count;
-    cw_work_part_t parts[CW_LOAD_PARTS];
+    cw_prompt_part_t parts[CW_LOAD_PARTS];
 } cw_load_entry_t;
 
 /* The configuration and list of servers that a daemon has from the source. The ages count from the time at which they
    were last confirmed to be current at the source. */
-typedef struct cw_knowledge_t {
+typedef struct cw_source_state_t {
     uint64_t revision; /* of the active configuration, 0: none */
     uint64_t servers;  /* id of the active list of servers, 0: none */
     uint32_t revision_age_ms;
     uint32_t servers_age_ms;
-} cw_knowledge_t;
+} cw_source_state_t;
 
 typedef struct cw_load_message_t {
-    uint64_t cluster;         /* id of the cluster's name */
-    uint64_t host;            /* the sender */
-    cw_knowledge_t knowledge; /* the sender's */
+    uint64_t cluster;               /* id of the cluster's name */
+    uint64_t host;                  /* the sender */
+    cw_source_state_t source_state; /* the sender's */
     cw_load_scope_t scope;
-    uint32_t mark_count;
-    cw_mark_t marks[CW_LOAD_MARKS];
+    uint32_t observation_count;
+    cw_quarantine_observation_t observations[CW_LOAD_OBSERVATIONS];
     uint32_t count;
     cw_load_entry_t entries[CW_LOAD_ENTRIES];
 } cw_load_message_t;
 
 /* Adds ms to both ages. A received state was current when it was sent, so its transit time has to be added: otherwise
    daemons that confirm each other's state would keep its age low forever. */
-void cw_knowledge_age(cw_knowledge_t* knowledge, uint32_t ms);
+void cw_source_state_add_age(cw_source_state_t* source_state, uint32_t ms);
 /* Heartbeat interval of the daemon with this rank among the live ones: the longest time between two of its datagrams.
    The first ranks poll the source and send often. The others only repeat the source state, and since every host
    receives every other one's datagrams, their interval grows with the fleet. */
-uint32_t cw_load_quiet_ms(uint32_t rank, uint32_t live);
+uint32_t cw_load_heartbeat_interval_ms(uint32_t rank, uint32_t live);
 /* Writes the datagram; returns its size, 0 when it does not fit. */
 size_t cw_load_encode(const cw_load_message_t* message, uint8_t* out, size_t size);
 cw_status_t cw_load_decode(cw_load_message_t* message, const uint8_t* data, size_t size, cw_error_t* err);
@@ -102,7 +102,7 @@
 /* Longer than any request waits: longer backlogs are sent as this value. */
 #define _CW_LOAD_BACKLOG_MAX_MS UINT16_MAX
 
-uint32_t cw_load_quiet_ms(uint32_t rank, uint32_t live) {
+uint32_t cw_load_heartbeat_interval_ms(uint32_t rank, uint32_t live) {
     uint32_t fleet_ms = live * _CW_LOAD_HEARTBEAT_STEP_MS;
     return rank < _CW_LOAD_FIRST_RANKS || fleet_ms < _CW_LOAD_HEARTBEAT_MS ? _CW_LOAD_HEARTBEAT_MS : fleet_ms;
 }
@@ -111,18 +111,18 @@
     return age_ms < UINT32_MAX - ms ? age_ms + ms : UINT32_MAX;
 }
 
-void cw_knowledge_age(cw_knowledge_t* knowledge, uint32_t ms) {
-    knowledge->revision_age_ms = _cw_load_add_age(knowledge->revision_age_ms, ms);
-    knowledge->servers_age_ms = _cw_load_add_age(knowledge->servers_age_ms, ms);
+void cw_source_state_add_age(cw_source_state_t* source_state, uint32_t ms) {
+    source_state->revision_age_ms = _cw_load_add_age(source_state->revision_age_ms, ms);
+    source_state->servers_age_ms = _cw_load_add_age(source_state->servers_age_ms, ms);
 }
 
 /* Backlog, ms, that each urgency's prompts add to that of the more urgent ones. Only urgencies that add any, usually
    few, are encoded. Returns their number; bit i of which is set for urgency i. */
-static uint32_t _cw_load_backlog(const cw_load_t* load, uint32_t own_ms[CW_URGENCIES], uint32_t* which) {
+static uint32_t _cw_load_backlog(const cw_load_t* load, uint32_t own_ms[CW_URGENCY_LEVELS], uint32_t* which) {
     uint32_t count = 0;
     uint32_t before_ms = 0;
     *which = 0;
-    for (uint32_t i = 0; i < CW_URGENCIES; i++) {
+    for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
         uint32_t total_ms =
             load->backlog_ms[i] < _CW_LOAD_BACKLOG_MAX_MS ? load->backlog_ms[i] : _CW_LOAD_BACKLOG_MAX_MS;
         if (total_ms > before_ms) {
@@ -135,12 +135,12 @@
 }
 
 static uint32_t _cw_load_flags(const cw_load_entry_t* e) {
-    return (e->leaving ? _CW_LOAD_LEAVING : 0U) | (e->load.rate == CW_RATE_NAMED ? _CW_LOAD_RATE_ADVERTISED : 0U) |
-           (e->load.rate == CW_RATE_LIFTED ? _CW_LOAD_RATE_WITHDRAWN : 0U);
+    return (e->leaving ? _CW_LOAD_LEAVING : 0U) | (e->load.rate == CW_RATE_ADVERTISED ? _CW_LOAD_RATE_ADVERTISED : 0U) |
+           (e->load.rate == CW_RATE_WITHDRAWN ? _CW_LOAD_RATE_WITHDRAWN : 0U);
 }
 
 static void _cw_load_pack_entry(msgpack_packer* p, const cw_load_entry_t* e, uint64_t sender) {
-    uint32_t own_ms[CW_URGENCIES];
+    uint32_t own_ms[CW_URGENCY_LEVELS];
     uint32_t which;
     uint32_t backlogs = _cw_load_backlog(&e->load, own_ms, &which);
     uint32_t rate_fields = e->load.rate ? _CW_LOAD_RATE_FIELDS : 0;
@@ -151,11 +151,11 @@
     msgpack_pack_uint32(p, e->load.running);
     msgpack_pack_uint32(p, e->load.streaming);
     msgpack_pack_uint32(p, e->load.gap_ms);
-    msgpack_pack_uint32(p, e->load.deepest);
+    msgpack_pack_uint32(p, e->load.longest_prompt_tokens);
     msgpack_pack_uint32(p, e->load.tokens);
-    msgpack_pack_uint32(p, e->load.pace_us);
+    msgpack_pack_uint32(p, e->load.event_interval_us);
     msgpack_pack_uint32(p, e->load.failed_ago_ms);
-    msgpack_pack_uint32(p, e->load.alive_ago_ms);
+    msgpack_pack_uint32(p, e->load.answered_ago_ms);
     msgpack_pack_uint32(p, which);
     if (e->load.rate) {
         msgpack_pack_uint32(p, e->load.rate_per_ks);
@@ -172,13 +172,13 @@
 
 /* Packs the observations as one flat array: kind, workspace, content, incarnation, age. */
 static void _cw_load_pack_observations(msgpack_packer* p, const cw_load_message_t* message) {
-    msgpack_pack_array(p, (size_t)_CW_LOAD_OBSERVATION_FIELDS * message->mark_count);
-    for (uint32_t i = 0; i < message->mark_count; i++) {
-        const cw_mark_t* mark = &message->marks[i];
+    msgpack_pack_array(p, (size_t)_CW_LOAD_OBSERVATION_FIELDS * message->observation_count);
+    for (uint32_t i = 0; i < message->observation_count; i++) {
+        const cw_quarantine_observation_t* mark = &message->observations[i];
         msgpack_pack_uint32(p, mark->kind);
         msgpack_pack_uint64(p, mark->request.workspace);
-        msgpack_pack_uint64(p, mark->request.content);
-        msgpack_pack_uint64(p, mark->life);
+        msgpack_pack_uint64(p, mark->request.content_hash);
+        msgpack_pack_uint64(p, mark->incarnation);
         msgpack_pack_uint32(p, mark->age_ms);
     }
 }
@@ -192,10 +192,10 @@
     msgpack_pack_uint32(&packer, CW_LOAD_VERSION);
     msgpack_pack_uint64(&packer, message->cluster);
     msgpack_pack_uint64(&packer, message->host);
-    msgpack_pack_uint64(&packer, message->knowledge.revision);
-    msgpack_pack_uint64(&packer, message->knowledge.servers);
-    msgpack_pack_uint32(&packer, message->knowledge.revision_age_ms);
-    msgpack_pack_uint32(&packer, message->knowledge.servers_age_ms);
+    msgpack_pack_uint64(&packer, message->source_state.revision);
+    msgpack_pack_uint64(&packer, message->source_state.servers);
+    msgpack_pack_uint32(&packer, message->source_state.revision_age_ms);
+    msgpack_pack_uint32(&packer, message->source_state.servers_age_ms);
     msgpack_pack_uint32(&packer, message->scope);
     _cw_load_pack_observations(&packer, message);
     for (uint32_t i = 0; i < message->count; i++) {
@@ -218,7 +218,7 @@
 /* Reads the backlogs that start at *at, and advances *at past them. */
 static bool _cw_load_read_backlog(const msgpack_object_array* a, uint64_t which, cw_load_t* load, uint32_t* at) {
     uint64_t total_ms = 0;
-    for (uint32_t i = 0; i < CW_URGENCIES; i++) {
+    for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
         uint64_t own_ms = 0;
         if ((which >> i & 1U) && !_cw_load_read_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX_MS, &own_ms)) {
             return false;
@@ -233,8 +233,8 @@
 static bool _cw_load_read_rate(const msgpack_object_array* a, uint64_t flags, cw_load_t* load, uint32_t* at) {
     uint64_t per_ks = 0;
     uint64_t ago_ms = 0;
-    load->rate = flags & _CW_LOAD_RATE_ADVERTISED  ? CW_RATE_NAMED
-                 : flags & _CW_LOAD_RATE_WITHDRAWN ? CW_RATE_LIFTED
+    load->rate = flags & _CW_LOAD_RATE_ADVERTISED  ? CW_RATE_ADVERTISED
+                 : flags & _CW_LOAD_RATE_WITHDRAWN ? CW_RATE_WITHDRAWN
                                                    : CW_RATE_UNKNOWN;
     if (load->rate == CW_RATE_UNKNOWN) {
         return true;
@@ -265,11 +265,11 @@
     e->load = (cw_load_t){.running = (uint32_t)v[3],
                           .streaming = (uint32_t)v[4],
                           .gap_ms = (uint32_t)v[5],
-                          .deepest = (uint32_t)v[6],
+                          .longest_prompt_tokens = (uint32_t)v[6],
                           .tokens = (uint32_t)v[7],
-                          .pace_us = (uint32_t)v[8],
+                          .event_interval_us = (uint32_t)v[8],
                           .failed_ago_ms = (uint32_t)v[9],
-                          .alive_ago_ms = (uint32_t)v[10]};
+                          .answered_ago_ms = (uint32_t)v[10]};
     uint32_t at = _CW_LOAD_ENTRY_FIELDS;
     if (!_cw_load_read_rate(&o->via.array, v[2], &e->load, &at) ||
         !_cw_load_read_backlog(&o->via.array, v[_CW_LOAD_ENTRY_FIELDS - 1], &e->load, &at)) {
@@ -277,7 +277,7 @@
     }
     for (; at + 1 < o->via.array.size && e->part_count < CW_LOAD_PARTS; at += 2) {
         uint64_t tokens = 0;
-        cw_work_part_t* part = &e->parts[e->part_count];
+        cw_prompt_part_t* part = &e->parts[e->part_count];
         if (!_cw_load_read_number(&o->via.array, at, UINT64_MAX, &part->id) ||
             !_cw_load_read_number(&o->via.array, at + 1, UINT32_MAX, &tokens)) {
             return false;
@@ -288,7 +288,7 @@
     return true;
 }
 
-static bool _cw_load_read_source_state(cw_knowledge_t* k, const msgpack_object_array* a) {
+static bool _cw_load_read_source_state(cw_source_state_t* k, const msgpack_object_array* a) {
     uint64_t revision_age_ms = 0;
     uint64_t servers_age_ms = 0;
     bool ok = _cw_load_read_number(a, 3, INT64_MAX, &k->revision) &&
@@ -302,22 +302,22 @@
 
 static bool _cw_load_read_observations(cw_load_message_t* message, const msgpack_object* o) {
     if (o->type != MSGPACK_OBJECT_ARRAY || o->via.array.size % _CW_LOAD_OBSERVATION_FIELDS ||
-        o->via.array.size / _CW_LOAD_OBSERVATION_FIELDS > CW_LOAD_MARKS) {
+        o->via.array.size / _CW_LOAD_OBSERVATION_FIELDS > CW_LOAD_OBSERVATIONS) {
         return false;
     }
     const msgpack_object_array* a = &o->via.array;
     for (uint32_t at = 0; at < a->size; at += _CW_LOAD_OBSERVATION_FIELDS) {
-        cw_mark_t* mark = &message->marks[message->mark_count++];
+        cw_quarantine_observation_t* mark = &message->observations[message->observation_count++];
         uint64_t kind = 0;
         uint64_t age_ms = 0;
-        if (!_cw_load_read_number(a, at, CW_MARK_KINDS - 1, &kind) ||
+        if (!_cw_load_read_number(a, at, CW_OBSERVED_COUNT - 1, &kind) ||
             !_cw_load_read_number(a, at + 1, UINT64_MAX, &mark->request.workspace) ||
-            !_cw_load_read_number(a, at + 2, UINT64_MAX, &mark->request.content) ||
-            !_cw_load_read_number(a, at + 3, UINT64_MAX, &mark->life) ||
+            !_cw_load_read_number(a, at + 2, UINT64_MAX, &mark->request.content_hash) ||
+            !_cw_load_read_number(a, at + 3, UINT64_MAX, &mark->incarnation) ||
             !_cw_load_read_number(a, at + 4, UINT32_MAX, &age_ms)) {
             return false;
         }
-        mark->kind = (cw_mark_kind_t)kind;
+        mark->kind = (cw_quarantine_observation_kind_t)kind;
         mark->age_ms = (uint32_t)age_ms;
     }
     return true;
@@ -329,7 +329,7 @@
     if (o->type != MSGPACK_OBJECT_ARRAY || !_cw_load_read_number(&o->via.array, 0, UINT32_MAX, &version) ||
         version != CW_LOAD_VERSION || !_cw_load_read_number(&o->via.array, 1, UINT64_MAX, &message->cluster) ||
         !_cw_load_read_number(&o->via.array, 2, UINT64_MAX, &message->host) ||
-        !_cw_load_read_source_state(&message->knowledge, &o->via.array) ||
+        !_cw_load_read_source_state(&message->source_state, &o->via.array) ||
         !_cw_load_read_number(&o->via.array, 7, CW_LOAD_SCOPE_COUNT - 1, &scope) ||
         o->via.array.size < _CW_LOAD_HEAD_FIELDS ||
         !_cw_load_read_observations(message, &o->via.array.ptr[_CW_LOAD_HEAD_FIELDS - 1])) {
@@ -349,7 +349,7 @@
     msgpack_unpacked_init(&unpacked);
     size_t at = 0;
     message->count = 0;
-    message->mark_count = 0;
+    message->observation_count = 0;
     bool ok = msgpack_unpack_next(&unpacked, (const char*)data, size, &at) == MSGPACK_UNPACK_SUCCESS && at == size &&
               _cw_load_read(message, &unpacked.data);
     msgpack_unpacked_destroy(&unpacked);
