--- a/chalkway_member.h
+++ b/chalkway_member.h
@@ -26,7 +26,7 @@
 
     HOW TO USE IT
             cw_members_t* m = cw_members_setup(&(cw_members_desc_t){.self = info, .seed = random});
-            cw_members_contact(m, "10.0.0.2:7400");
+            cw_members_add_seed(m, "10.0.0.2:7400");
             cw_members_tick(m, now_ms);                    // about every 50 ms
             cw_members_receive(m, now_ms, &message);       // for each datagram received
             while (cw_members_next(m, &out)) { send(out.to, &out.message); }
@@ -43,7 +43,7 @@
 
 #define CW_MEMBER_ADDRESS_MAX 48
 #define CW_MEMBER_HALL_MAX 32
-#define CW_GOSSIP_NEWS 6 /* updates in one message */
+#define CW_GOSSIP_MAX_UPDATES 6 /* updates in one message */
 
 typedef enum cw_member_state_t {
     CW_MEMBER_ALIVE = 0,
@@ -67,33 +67,33 @@
 
 typedef struct cw_member_t {
     cw_member_info_t info;
-    int64_t since_ms; /* time of the latest change of info */
-    int64_t heard_ms; /* time of the latest message received from it directly, 0: never */
-    int64_t revision; /* its configuration revision, from that message */
-    uint32_t room;    /* its free capacity in percent, from that message */
-    bool refused;     /* a connection was refused: its process is down, not unreachable */
-    uint32_t tell;    /* transmissions left for its update */
+    int64_t info_changed_ms;  /* time of the latest change of info */
+    int64_t last_received_ms; /* time of the latest message received from it directly, 0: never */
+    int64_t revision;         /* its configuration revision, from that message */
+    uint32_t free_capacity;   /* its free capacity in percent, from that message */
+    bool connection_refused;  /* a connection was refused: its process is down, not unreachable */
+    uint32_t transmits_left;  /* transmissions left for its update */
 } cw_member_t;
 
 typedef enum cw_gossip_kind_t {
     CW_GOSSIP_PING = 1,
     CW_GOSSIP_ACK,
     CW_GOSSIP_PING_REQ, /* asks the receiver to probe target on the sender's behalf */
-    CW_GOSSIP_NEWS_ONLY /* updates only; not acked */
+    CW_GOSSIP_UPDATE    /* updates only; not acked */
 } cw_gossip_kind_t;
 
 typedef struct cw_gossip_t {
     cw_gossip_kind_t kind;
     uint32_t seq;
-    bool join;            /* ping: requests the receiver's members */
-    uint64_t target;      /* ping-req: host to probe; ack: host that replied */
-    int64_t revision;     /* of the sender's configuration */
-    uint32_t room;        /* free capacity of the sender in percent */
-    uint64_t view;        /* hash of the members that are not dead in the sender's view */
-    cw_summary_t summary; /* ping: summary of the same members; requests those that differ */
+    bool join;              /* ping: requests the receiver's members */
+    uint64_t target;        /* ping-req: host to probe; ack: host that replied */
+    int64_t revision;       /* of the sender's configuration */
+    uint32_t free_capacity; /* free capacity of the sender in percent */
+    uint64_t view_hash;     /* hash of the members that are not dead in the sender's view */
+    cw_summary_t summary;   /* ping: summary of the same members; requests those that differ */
     cw_member_info_t from;
-    uint32_t news_count;
-    cw_member_info_t news[CW_GOSSIP_NEWS];
+    uint32_t update_count;
+    cw_member_info_t updates[CW_GOSSIP_MAX_UPDATES];
 } cw_gossip_t;
 
 typedef struct cw_gossip_out_t {
@@ -102,22 +102,22 @@
 } cw_gossip_out_t;
 
 typedef struct cw_members_desc_t {
-    cw_member_info_t self; /* id, name, hall, addresses; incarnation: milliseconds since 1970 at start */
-    uint64_t seed;         /* of the random number generator */
-    uint32_t max_members;  /* default 1024 */
-    uint32_t max_contacts; /* seed addresses, default 512 */
-    uint32_t period_ms;    /* between probes, default 1000 */
-    uint32_t timeout_ms;   /* for a direct ack, default 300 */
-    uint32_t indirect;     /* hosts asked for an indirect probe, default 3 */
-    uint32_t suspect_ms;   /* minimum time from suspected to dead, default 4000 */
-    uint32_t forget_ms;    /* from dead to removal, default 3600000 */
-    uint32_t retry_ms;     /* mean interval between probes of dead hosts and seed addresses, default 5000 */
+    cw_member_info_t self;         /* id, name, hall, addresses; incarnation: milliseconds since 1970 at start */
+    uint64_t seed;                 /* of the random number generator */
+    uint32_t max_members;          /* default 1024 */
+    uint32_t max_seeds;            /* seed addresses, default 512 */
+    uint32_t period_ms;            /* between probes, default 1000 */
+    uint32_t timeout_ms;           /* for a direct ack, default 300 */
+    uint32_t indirect_probe_count; /* hosts asked for an indirect probe, default 3 */
+    uint32_t suspect_ms;           /* minimum time from suspected to dead, default 4000 */
+    uint32_t dead_retention_ms;    /* from dead to removal, default 3600000 */
+    uint32_t retry_ms;             /* mean interval between probes of dead hosts and seed addresses, default 5000 */
     cw_allocator_t allocator;
 } cw_members_desc_t;
 
 typedef enum cw_members_filter_t {
-    CW_MEMBERS_FOR_ROLES = 0, /* alive and not leaving: eligible for roles */
-    CW_MEMBERS_ALL            /* all that are not dead */
+    CW_MEMBERS_ELIGIBLE = 0, /* alive and not leaving: eligible for roles */
+    CW_MEMBERS_ALL           /* all that are not dead */
 } cw_members_filter_t;
 
 typedef struct cw_members_t cw_members_t;
@@ -125,7 +125,7 @@
 cw_members_t* cw_members_setup(const cw_members_desc_t* desc);
 void cw_members_shutdown(cw_members_t* m);
 /* Adds a seed address from the settings or the platform's host list, and pings it. Known addresses are ignored. */
-void cw_members_contact(cw_members_t* m, const char* address);
+void cw_members_add_seed(cw_members_t* m, const char* address);
 /* Runs probes and timers; to be called about every 50 ms. */
 void cw_members_tick(cw_members_t* m, int64_t now_ms);
 void cw_members_receive(cw_members_t* m, int64_t now_ms, const cw_gossip_t* message);
@@ -134,20 +134,20 @@
 /* Announces to the other hosts that this one is leaving. */
 void cw_members_leave(cw_members_t* m);
 /* Probes the host immediately, since its connection broke and it may be dead. */
-void cw_members_doubt(cw_members_t* m, int64_t now_ms, uint64_t id);
+void cw_members_probe_now(cw_members_t* m, int64_t now_ms, uint64_t id);
 /* Suspects the host immediately, since it refused a connection. A live host refutes the suspicion. */
 void cw_members_suspect(cw_members_t* m, int64_t now_ms, uint64_t id);
 /* Sets the configuration revision and free capacity (percent) that this host's messages carry. */
-void cw_members_announce(cw_members_t* m, int64_t revision, uint32_t room);
+void cw_members_set_status(cw_members_t* m, int64_t revision, uint32_t free_capacity);
 /* Number of known members, dead ones included. Index 0 is this host. */
 uint32_t cw_members_count(const cw_members_t* m);
 const cw_member_t* cw_members_at(const cw_members_t* m, uint32_t index);
 /* Returns NULL when the host is unknown. */
 const cw_member_t* cw_members_find(const cw_members_t* m, uint64_t id);
 /* Writes the ids of the hosts that match the filter to out, at most max. Returns their number. */
-uint32_t cw_members_live(const cw_members_t* m, cw_members_filter_t filter, uint64_t* out, uint32_t max);
+uint32_t cw_members_list_live(const cw_members_t* m, cw_members_filter_t filter, uint64_t* out, uint32_t max);
 /* Counter that each change of a member's record increments. */
-uint64_t cw_members_changes(const cw_members_t* m);
+uint64_t cw_members_change_count(const cw_members_t* m);
 const char* cw_member_state_name(cw_member_state_t state);
 
 #endif /* CHALKWAY_MEMBER_H */
@@ -213,12 +213,12 @@
     uint32_t replies_sent;           /* reply messages sent in that interval */
     int64_t next_forward_ms;         /* earliest time of the next immediate forward */
     bool is_forward_due;
-    uint64_t view; /* cached hash of the view, valid while changes equals view_hash_changes */
+    uint64_t view_hash; /* cached hash of the view, valid while changes equals view_hash_changes */
     uint64_t view_hash_changes;
     uint32_t health_score;  /* local health score: 0 is good, time-outs grow with it */
     uint32_t update_cursor; /* member whose update was considered last for a message */
     int64_t revision;
-    uint32_t room;
+    uint32_t free_capacity;
     uint64_t changes;
     cw_gossip_out_t* out;
     uint32_t out_head, out_count;
@@ -228,12 +228,12 @@
     cw_members_desc_t d = *desc;
     d.seed = d.seed ? d.seed : 1;
     d.max_members = d.max_members ? d.max_members : 1024;
-    d.max_contacts = d.max_contacts ? d.max_contacts : 512;
+    d.max_seeds = d.max_seeds ? d.max_seeds : 512;
     d.period_ms = d.period_ms ? d.period_ms : 1000;
     d.timeout_ms = d.timeout_ms ? d.timeout_ms : 300;
-    d.indirect = d.indirect ? d.indirect : 3;
+    d.indirect_probe_count = d.indirect_probe_count ? d.indirect_probe_count : 3;
     d.suspect_ms = d.suspect_ms ? d.suspect_ms : 4000;
-    d.forget_ms = d.forget_ms ? d.forget_ms : 3600000;
+    d.dead_retention_ms = d.dead_retention_ms ? d.dead_retention_ms : 3600000;
     d.retry_ms = d.retry_ms ? d.retry_ms : 5000;
     return d;
 }
@@ -266,11 +266,11 @@
     m->desc = d;
     m->members = cw_alloc(&d.allocator, d.max_members, sizeof(*m->members));
     m->order = cw_alloc(&d.allocator, d.max_members, sizeof(*m->order));
-    m->seed_addresses = cw_alloc(&d.allocator, d.max_contacts, sizeof(*m->seed_addresses));
+    m->seed_addresses = cw_alloc(&d.allocator, d.max_seeds, sizeof(*m->seed_addresses));
     m->out = cw_alloc(&d.allocator, _CW_MEMBERS_SEND_QUEUE, sizeof(*m->out));
     m->by_id = cw_map_setup(d.max_members, &d.allocator);
     m->rng = d.seed;
-    m->members[0] = (cw_member_t){.info = d.self, .tell = _CW_MEMBERS_TRANSMIT_FACTOR};
+    m->members[0] = (cw_member_t){.info = d.self, .transmits_left = _CW_MEMBERS_TRANSMIT_FACTOR};
     m->members[0].info.state = CW_MEMBER_ALIVE;
     m->count = 1;
     cw_map_put(&m->by_id, d.self.id, 0);
@@ -301,7 +301,7 @@
     return i == CW_MAP_NONE ? NULL : &m->members[i];
 }
 
-uint32_t cw_members_live(const cw_members_t* m, cw_members_filter_t filter, uint64_t* out, uint32_t max) {
+uint32_t cw_members_list_live(const cw_members_t* m, cw_members_filter_t filter, uint64_t* out, uint32_t max) {
     uint32_t n = 0;
     for (uint32_t i = 0; i < m->count && n < max; i++) {
         const cw_member_info_t* info = &m->members[i].info;
@@ -313,27 +313,27 @@
     return n;
 }
 
-uint64_t cw_members_changes(const cw_members_t* m) {
+uint64_t cw_members_change_count(const cw_members_t* m) {
     return m->changes;
 }
 
-void cw_members_announce(cw_members_t* m, int64_t revision, uint32_t room) {
+void cw_members_set_status(cw_members_t* m, int64_t revision, uint32_t free_capacity) {
     m->is_forward_due =
         m->is_forward_due || revision > m->revision; /* a new revision is sent immediately, like an update */
     m->revision = revision;
-    m->room = room;
+    m->free_capacity = free_capacity;
 }
 
 /* -- sending -------------------------------------------------------------- */
 
 /* Adds updates that have transmissions left, in rotation over the members. */
 static void _cw_members_fill_updates(cw_members_t* m, cw_gossip_t* g) {
-    for (uint32_t visited = 0; visited < m->count && g->news_count < CW_GOSSIP_NEWS; visited++) {
+    for (uint32_t visited = 0; visited < m->count && g->update_count < CW_GOSSIP_MAX_UPDATES; visited++) {
         m->update_cursor = (m->update_cursor + 1) % m->count;
         cw_member_t* member = &m->members[m->update_cursor];
-        if (member->tell && m->update_cursor != 0) {
-            member->tell--;
-            g->news[g->news_count++] = member->info;
+        if (member->transmits_left && m->update_cursor != 0) {
+            member->transmits_left--;
+            g->updates[g->update_count++] = member->info;
         }
     }
 }
@@ -345,18 +345,18 @@
 
 /* Hash of the members that are not dead; equal for two hosts with the same view. */
 static uint64_t _cw_members_view_hash(cw_members_t* m) {
-    if (m->view && m->view_hash_changes == m->changes) {
-        return m->view;
+    if (m->view_hash && m->view_hash_changes == m->changes) {
+        return m->view_hash;
     }
-    m->view = 1;
+    m->view_hash = 1;
     m->view_hash_changes = m->changes;
     for (uint32_t i = 0; i < m->count; i++) {
         const cw_member_info_t* info = &m->members[i].info;
         if (info->state != CW_MEMBER_DEAD) {
-            m->view ^= cw_mix(info->id, _cw_members_record_version(info));
+            m->view_hash ^= cw_mix(info->id, _cw_members_record_version(info));
         }
     }
-    return m->view;
+    return m->view_hash;
 }
 
 /* Summary of the same members, with the given number of buckets. */
@@ -381,10 +381,10 @@
     out->message.kind = kind;
     out->message.seq = seq;
     out->message.revision = m->revision;
-    out->message.room = m->room;
-    out->message.view = _cw_members_view_hash(m);
+    out->message.free_capacity = m->free_capacity;
+    out->message.view_hash = _cw_members_view_hash(m);
     out->message.from = m->members[0].info;
-    if (kind != CW_GOSSIP_NEWS_ONLY) {
+    if (kind != CW_GOSSIP_UPDATE) {
         _cw_members_fill_updates(m, &out->message);
     }
     return &out->message;
@@ -427,75 +427,75 @@
         if (!i || info->state == CW_MEMBER_DEAD || (theirs->buckets && !cw_summary_differs(&mine, theirs, info->id))) {
             continue;
         }
-        if (!g || g->news_count == CW_GOSSIP_NEWS) {
+        if (!g || g->update_count == CW_GOSSIP_MAX_UPDATES) {
             if (!messages--) {
                 return;
             }
             m->replies_sent++;
-            g = _cw_members_send(m, to, CW_GOSSIP_NEWS_ONLY, 0);
+            g = _cw_members_send(m, to, CW_GOSSIP_UPDATE, 0);
         }
-        g->news[g->news_count++] = *info;
+        g->updates[g->update_count++] = *info;
     }
 }
 
 /* -- updates -------------------------------------------------------------- */
 
-static bool _cw_members_supersedes(const cw_member_info_t* news, const cw_member_info_t* known) {
-    if (news->incarnation != known->incarnation) {
-        return news->incarnation > known->incarnation;
+static bool _cw_members_supersedes(const cw_member_info_t* updates, const cw_member_info_t* known) {
+    if (updates->incarnation != known->incarnation) {
+        return updates->incarnation > known->incarnation;
     }
-    return news->state > known->state || (news->leaving && !known->leaving);
+    return updates->state > known->state || (updates->leaving && !known->leaving);
 }
 
 /* Handles an update about this host itself: refutes a wrong one, and moves past a higher incarnation, which a previous
    run of this host announced. */
-static void _cw_members_update_self(cw_members_t* m, const cw_member_info_t* news) {
+static void _cw_members_update_self(cw_members_t* m, const cw_member_info_t* updates) {
     cw_member_info_t* self = &m->members[0].info;
-    bool is_wrong = news->state != CW_MEMBER_ALIVE || news->leaving != self->leaving;
-    if (news->incarnation > self->incarnation || (news->incarnation == self->incarnation && is_wrong)) {
-        self->incarnation = news->incarnation + 1;
-        m->members[0].tell = _cw_members_transmit_count(m);
+    bool is_wrong = updates->state != CW_MEMBER_ALIVE || updates->leaving != self->leaving;
+    if (updates->incarnation > self->incarnation || (updates->incarnation == self->incarnation && is_wrong)) {
+        self->incarnation = updates->incarnation + 1;
+        m->members[0].transmits_left = _cw_members_transmit_count(m);
         m->is_forward_due = true;
         m->changes++;
     }
 }
 
-static void _cw_members_apply_update(cw_members_t* m, int64_t now_ms, const cw_member_info_t* news) {
-    if (!news->id || !news->peer[0]) {
+static void _cw_members_apply_update(cw_members_t* m, int64_t now_ms, const cw_member_info_t* updates) {
+    if (!updates->id || !updates->peer[0]) {
         return;
     }
-    if (news->id == m->members[0].info.id) {
-        _cw_members_update_self(m, news);
+    if (updates->id == m->members[0].info.id) {
+        _cw_members_update_self(m, updates);
         return;
     }
-    uint32_t i = cw_map_get(&m->by_id, news->id);
+    uint32_t i = cw_map_get(&m->by_id, updates->id);
     if (i == CW_MAP_NONE) {
-        if (m->count == m->desc.max_members || news->state == CW_MEMBER_DEAD) {
+        if (m->count == m->desc.max_members || updates->state == CW_MEMBER_DEAD) {
             return;
         }
         i = m->count++;
         m->member_added_ms = now_ms;
-        m->members[i] = (cw_member_t){.info = *news};
-        cw_map_put(&m->by_id, news->id, i);
-    } else if (!_cw_members_supersedes(news, &m->members[i].info)) {
+        m->members[i] = (cw_member_t){.info = *updates};
+        cw_map_put(&m->by_id, updates->id, i);
+    } else if (!_cw_members_supersedes(updates, &m->members[i].info)) {
         return;
     } else {
-        bool was_leaving = m->members[i].info.leaving && m->members[i].info.incarnation == news->incarnation;
-        m->members[i].info = *news;
-        m->members[i].info.leaving = news->leaving || was_leaving;
-        m->members[i].refused = m->members[i].refused && news->state != CW_MEMBER_ALIVE;
+        bool was_leaving = m->members[i].info.leaving && m->members[i].info.incarnation == updates->incarnation;
+        m->members[i].info = *updates;
+        m->members[i].info.leaving = updates->leaving || was_leaving;
+        m->members[i].connection_refused = m->members[i].connection_refused && updates->state != CW_MEMBER_ALIVE;
     }
-    m->members[i].since_ms = now_ms;
-    m->members[i].tell = _cw_members_transmit_count(m);
+    m->members[i].info_changed_ms = now_ms;
+    m->members[i].transmits_left = _cw_members_transmit_count(m);
     m->is_forward_due = true;
     m->changes++;
 }
 
 /* Changes a member's state as detected by this host itself. */
 static void _cw_members_set_state(cw_members_t* m, int64_t now_ms, uint32_t i, cw_member_state_t state) {
-    cw_member_info_t news = m->members[i].info;
-    news.state = state;
-    _cw_members_apply_update(m, now_ms, &news);
+    cw_member_info_t updates = m->members[i].info;
+    updates.state = state;
+    _cw_members_apply_update(m, now_ms, &updates);
 }
 
 static void _cw_members_remove(cw_members_t* m, uint32_t i) {
@@ -511,10 +511,10 @@
 /* Sends new updates to a few random hosts immediately; each host to which they are new does the same. */
 static void _cw_members_forward_updates(cw_members_t* m) {
     m->is_forward_due = false;
-    for (uint32_t k = 0; k < m->desc.indirect && m->count > 1; k++) {
+    for (uint32_t k = 0; k < m->desc.indirect_probe_count && m->count > 1; k++) {
         uint32_t i = 1 + (uint32_t)(_cw_members_random(m) % (m->count - 1));
         if (m->members[i].info.state != CW_MEMBER_DEAD) {
-            _cw_members_fill_updates(m, _cw_members_send(m, m->members[i].info.peer, CW_GOSSIP_NEWS_ONLY, 0));
+            _cw_members_fill_updates(m, _cw_members_send(m, m->members[i].info.peer, CW_GOSSIP_UPDATE, 0));
         }
     }
 }
@@ -543,7 +543,7 @@
     uint32_t i = cw_map_get(&m->by_id, id);
     if (i != CW_MAP_NONE && i != 0 && m->members[i].info.state == CW_MEMBER_ALIVE) {
         _cw_members_set_state(m, now_ms, i, CW_MEMBER_SUSPECT);
-        m->members[i].refused = true;
+        m->members[i].connection_refused = true;
         _cw_members_forward_updates(m);
     }
 }
@@ -586,7 +586,7 @@
     }
 }
 
-void cw_members_doubt(cw_members_t* m, int64_t now_ms, uint64_t id) {
+void cw_members_probe_now(cw_members_t* m, int64_t now_ms, uint64_t id) {
     uint32_t i = cw_map_get(&m->by_id, id);
     if (i != CW_MAP_NONE && i != 0 && !m->probe_seq && m->members[i].info.state == CW_MEMBER_ALIVE) {
         _cw_members_probe(m, now_ms, i);
@@ -596,7 +596,8 @@
 
 static void _cw_members_request_indirect_probes(cw_members_t* m) {
     m->is_probe_indirect = true;
-    for (uint32_t k = 0, tries = 0; k < m->desc.indirect && tries < 4 * m->desc.indirect && m->count > 2; tries++) {
+    for (uint32_t k = 0, tries = 0;
+         k < m->desc.indirect_probe_count && tries < 4 * m->desc.indirect_probe_count && m->count > 2; tries++) {
         uint32_t i = 1 + (uint32_t)(_cw_members_random(m) % (m->count - 1));
         if (m->members[i].info.state == CW_MEMBER_ALIVE && m->members[i].info.id != m->probe_target) {
             cw_gossip_t* g = _cw_members_send(m, m->members[i].info.peer, CW_GOSSIP_PING_REQ, m->probe_seq);
@@ -628,8 +629,8 @@
 /* Pings a host with this host's record of it, so that it can refute the record. */
 static cw_gossip_t* _cw_members_ping_with_record(cw_members_t* m, const cw_member_info_t* info) {
     cw_gossip_t* g = _cw_members_send(m, info->peer, CW_GOSSIP_PING, ++m->seq);
-    g->news[0] = *info;
-    g->news_count = g->news_count ? g->news_count : 1;
+    g->updates[0] = *info;
+    g->update_count = g->update_count ? g->update_count : 1;
     return g;
 }
 
@@ -644,7 +645,7 @@
     m->next_sync_ms = now_ms + (is_growing ? _CW_MEMBERS_GROWTH_SYNC_INTERVAL_MS : _CW_MEMBERS_SYNC_INTERVAL_MS);
     m->is_view_different = false;
     cw_gossip_t* g = _cw_members_send(m, m->members[i].info.peer, CW_GOSSIP_PING, ++m->seq);
-    _cw_members_summarize(m, cw_summary_buckets(m->count), &g->summary);
+    _cw_members_summarize(m, cw_summary_bucket_count(m->count), &g->summary);
 }
 
 /* Pings some of the suspects, so that they can refute the suspicion. */
@@ -653,7 +654,7 @@
         return;
     }
     m->next_suspect_ping_ms = now_ms + _CW_MEMBERS_SUSPECT_PING_INTERVAL_MS;
-    uint32_t remaining = m->desc.indirect;
+    uint32_t remaining = m->desc.indirect_probe_count;
     uint32_t start = (uint32_t)(_cw_members_random(m) % m->count);
     for (uint32_t k = 0; k < m->count && remaining; k++) {
         const cw_member_info_t* info = &m->members[(start + k) % m->count].info;
@@ -667,10 +668,10 @@
 static void _cw_members_expire(cw_members_t* m, int64_t now_ms) {
     for (uint32_t i = m->count; i-- > 1;) {
         cw_member_t* member = &m->members[i];
-        int64_t age = now_ms - member->since_ms;
+        int64_t age = now_ms - member->info_changed_ms;
         if (member->info.state == CW_MEMBER_SUSPECT && age > _cw_members_suspect_ms(m)) {
             _cw_members_set_state(m, now_ms, i, CW_MEMBER_DEAD);
-        } else if (member->info.state == CW_MEMBER_DEAD && age > m->desc.forget_ms) {
+        } else if (member->info.state == CW_MEMBER_DEAD && age > m->desc.dead_retention_ms) {
             _cw_members_remove(m, i);
         }
     }
@@ -705,13 +706,13 @@
     }
 }
 
-void cw_members_contact(cw_members_t* m, const char* address) {
+void cw_members_add_seed(cw_members_t* m, const char* address) {
     for (uint32_t i = 0; i < m->seed_count; i++) {
         if (strcmp(m->seed_addresses[i].address, address) == 0) {
             return;
         }
     }
-    if (m->seed_count < m->desc.max_contacts && strcmp(address, m->members[0].info.peer) != 0) {
+    if (m->seed_count < m->desc.max_seeds && strcmp(address, m->members[0].info.peer) != 0) {
         cw_copy(m->seed_addresses[m->seed_count++].address, CW_MEMBER_ADDRESS_MAX, address);
         _cw_members_send(m, address, CW_GOSSIP_PING, ++m->seq)->join = true;
     }
@@ -724,7 +725,7 @@
     m->next_probe_ms = now_ms;
     for (uint32_t i = 1; i < m->count; i++) {
         if (m->members[i].info.state == CW_MEMBER_SUSPECT) {
-            m->members[i].since_ms += gap_ms;
+            m->members[i].info_changed_ms += gap_ms;
         }
     }
 }
@@ -789,21 +790,22 @@
 
 void cw_members_receive(cw_members_t* m, int64_t now_ms, const cw_gossip_t* g) {
     _cw_members_apply_update(m, now_ms, &g->from);
-    for (uint32_t i = 0; i < g->news_count; i++) {
-        _cw_members_apply_update(m, now_ms, &g->news[i]);
+    for (uint32_t i = 0; i < g->update_count; i++) {
+        _cw_members_apply_update(m, now_ms, &g->updates[i]);
     }
     uint32_t i = cw_map_get(&m->by_id, g->from.id);
     if (i != CW_MAP_NONE && i != 0) {
-        m->members[i].heard_ms = now_ms;
+        m->members[i].last_received_ms = now_ms;
         m->members[i].revision = g->revision;
-        m->members[i].room = g->room;
+        m->members[i].free_capacity = g->free_capacity;
     }
     bool has_view_hash = g->kind == CW_GOSSIP_PING || g->kind == CW_GOSSIP_ACK;
-    m->is_view_different = m->is_view_different || (has_view_hash && g->view != _cw_members_view_hash(m));
+    m->is_view_different = m->is_view_different || (has_view_hash && g->view_hash != _cw_members_view_hash(m));
     if (g->kind == CW_GOSSIP_PING) {
         cw_gossip_t* ack = _cw_members_send(m, g->from.peer, CW_GOSSIP_ACK, g->seq);
-        if (i != CW_MAP_NONE && m->members[i].info.state != CW_MEMBER_ALIVE && ack->news_count < CW_GOSSIP_NEWS) {
-            ack->news[ack->news_count++] = m->members[i].info; /* the sender is alive and can refute this */
+        if (i != CW_MAP_NONE && m->members[i].info.state != CW_MEMBER_ALIVE &&
+            ack->update_count < CW_GOSSIP_MAX_UPDATES) {
+            ack->updates[ack->update_count++] = m->members[i].info; /* the sender is alive and can refute this */
         }
         if (g->join || g->summary.buckets) {
             _cw_members_send_differences(m, now_ms, g->from.peer, &g->summary);
--- a/chalkway_packed.h
+++ b/chalkway_packed.h
@@ -16,8 +16,9 @@
 
     HOW TO USE IT
             size_t size = 0;
-            char* bytes = cw_packed_write(&list, &changes, &size);    // free it with free()
-            if (cw_packed_is(bytes, size) && cw_packed_read(&list, &changes, bytes, size, &err) == CW_OK) { ... }
+            char* bytes = cw_packed_encode(&list, &changes, &size);    // free it with free()
+            if (cw_packed_has_magic(bytes, size) && cw_packed_decode(&list, &changes, bytes, size, &err) == CW_OK) { ...
+   }
 
     WHAT IT DOES NOT DO
         It does not encode deltas: they are short and are sent as JSON, see
@@ -29,12 +30,13 @@
 #include "chalkway_changes.h"
 
 /* Encodes the list and the removals; the caller frees the result with free(). */
-char* cw_packed_write(const cw_servers_t* list, const cw_changes_t* changes, size_t* size);
+char* cw_packed_encode(const cw_servers_t* list, const cw_changes_t* changes, size_t* size);
 /* Whether the bytes begin with the magic string of the encoding. */
-bool cw_packed_is(const char* bytes, size_t size);
+bool cw_packed_has_magic(const char* bytes, size_t size);
 /* Decodes a list and its removals; one invalid value makes it refuse the whole list. The list and the changes must be
    empty. */
-cw_status_t cw_packed_read(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size, cw_error_t* err);
+cw_status_t cw_packed_decode(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size,
+                             cw_error_t* err);
 
 #endif /* CHALKWAY_PACKED_H */
 
@@ -103,7 +105,7 @@
     }
 }
 
-static void _cw_packed_put_closed_halls(msgpack_packer* p, const cw_closed_t* closed) {
+static void _cw_packed_put_closed_halls(msgpack_packer* p, const cw_closed_halls_t* closed) {
     msgpack_pack_int64(p, closed->at);
     msgpack_pack_uint32(p, closed->count);
     for (uint32_t i = 0; i < closed->count; i++) {
@@ -115,8 +117,8 @@
     msgpack_pack_int64(p, changes->since);
     msgpack_pack_uint32(p, changes->count);
     for (uint32_t i = 0; i < changes->count; i++) {
-        _cw_packed_put_string(p, changes->gone[i].id);
-        msgpack_pack_int64(p, changes->gone[i].revision);
+        _cw_packed_put_string(p, changes->removed[i].id);
+        msgpack_pack_int64(p, changes->removed[i].revision);
     }
 }
 
@@ -133,7 +135,7 @@
     msgpack_pack_int64(p, s->revision - base->revision);
 }
 
-char* cw_packed_write(const cw_servers_t* list, const cw_changes_t* changes, size_t* size) {
+char* cw_packed_encode(const cw_servers_t* list, const cw_changes_t* changes, size_t* size) {
     static const cw_server_t none = {.slots = 0};
     const cw_server_t* base = list->count ? &list->items[0] : &none;
     _cw_packed_names_t pools = {0};
@@ -218,13 +220,13 @@
     }
 }
 
-static void _cw_packed_get_closed_halls(_cw_packed_input_t* in, cw_closed_t* closed) {
+static void _cw_packed_get_closed_halls(_cw_packed_input_t* in, cw_closed_halls_t* closed) {
     char name[CW_NAME_MAX];
     closed->at = _cw_packed_get_integer(in, 0, INT64_MAX);
     int64_t count = _cw_packed_get_integer(in, 0, CW_CLOSED_MAX);
     for (int64_t i = 0; i < count && !in->is_invalid; i++) {
         _cw_packed_get_name(in, name);
-        in->is_invalid = in->is_invalid || !cw_closed_add(closed, name);
+        in->is_invalid = in->is_invalid || !cw_closed_halls_add(closed, name);
     }
 }
 
@@ -264,19 +266,20 @@
         _cw_packed_get_name(in, id);
         last = _cw_packed_get_integer(in, last, INT64_MAX);
         if (!in->is_invalid) {
-            cw_changes_add_gone(changes, id, last);
+            cw_changes_add_removed(changes, id, last);
         }
     }
 }
 
-bool cw_packed_is(const char* bytes, size_t size) {
+bool cw_packed_has_magic(const char* bytes, size_t size) {
     size_t length = sizeof(_CW_PACKED_MAGIC) - 1;
     return size > length && (uint8_t)bytes[0] == (0xa0U | length) && memcmp(bytes + 1, _CW_PACKED_MAGIC, length) == 0;
 }
 
-cw_status_t cw_packed_read(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size, cw_error_t* err) {
+cw_status_t cw_packed_decode(cw_servers_t* list, cw_changes_t* changes, const char* bytes, size_t size,
+                             cw_error_t* err) {
     _cw_packed_input_t in = {
-        .bytes = bytes, .size = size, .at = sizeof(_CW_PACKED_MAGIC), .is_invalid = !cw_packed_is(bytes, size)};
+        .bytes = bytes, .size = size, .at = sizeof(_CW_PACKED_MAGIC), .is_invalid = !cw_packed_has_magic(bytes, size)};
     _cw_packed_names_t pools = {0};
     _cw_packed_names_t halls = {0};
     cw_server_t base = {.slots = 0};
--- a/chalkway_pause.h
+++ b/chalkway_pause.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_PAUSE_H
-#define CHALKWAY_PAUSE_H
+#ifndef CHALKWAY_STALL_H
+#define CHALKWAY_STALL_H
 /*
     chalkway_pause.h -- stalls of streams while prompts are prefilled
 
@@ -11,9 +11,9 @@
         quantile estimator is available for other values, too.
 
     HOW TO USE IT
-            cw_pauses_t p = {0};
-            cw_pauses_learn(&p, tokens, pause_ms);
-            double risk = cw_pauses_harm(&p, tokens, gap_ms, prefill_ms_per_token, prefill_left_ms);
+            cw_stalls_t p = {0};
+            cw_stalls_learn(&p, tokens, stall_ms);
+            double risk = cw_stalls_violation_risk(&p, tokens, gap_ms, prefill_ms_per_token, prefill_left_ms);
 
     WHAT IT DOES NOT DO
         It has no knowledge of servers and streams.
@@ -23,34 +23,34 @@
 */
 #include "chalkway_core.h"
 
-#define CW_PAUSE_DEPTHS 20 /* number of length classes of prompts, two for each power of two */
+#define CW_STALL_LENGTHS 20 /* number of length classes of prompts, two for each power of two */
 
 /* Updates an estimate of a quantile of a changing value with a sample: the estimate moves towards a larger sample by
    the share up of the distance, towards a smaller one by the share down. Returns the new estimate. */
-double cw_quantile_learn(double estimate, double sample, double up, double down);
+double cw_quantile_update(double estimate, double sample, double up, double down);
 
 /* All zero: no samples. */
-typedef struct cw_pauses_t {
-    double pause_ms[CW_PAUSE_DEPTHS]; /* 0: no samples */
-    uint32_t samples[CW_PAUSE_DEPTHS];
-} cw_pauses_t;
+typedef struct cw_stalls_t {
+    double stall_ms[CW_STALL_LENGTHS]; /* 0: no samples */
+    uint32_t samples[CW_STALL_LENGTHS];
+} cw_stalls_t;
 
-/* Records a gap of pause_ms between events of a stream while a prompt of so many tokens was prefilled. */
-void cw_pauses_learn(cw_pauses_t* p, uint32_t tokens, double pause_ms);
+/* Records a gap of stall_ms between events of a stream while a prompt of so many tokens was prefilled. */
+void cw_stalls_learn(cw_stalls_t* p, uint32_t tokens, double stall_ms);
 /* Expected gap, ms. It is no shorter than that of any shorter prompt with samples; for a length with few samples it is
    at least the whole prefill time of the prompt. */
-double cw_pauses_expected(const cw_pauses_t* p, uint32_t tokens, double prefill_ms_per_token);
+double cw_stalls_expected_ms(const cw_stalls_t* p, uint32_t tokens, double prefill_ms_per_token);
 /* Probability, 0..1, that a prompt of so many tokens stalls a stream beyond its gap limit of gap_ms (0: no limit),
    while the prompts there take prefill_left_ms to prefill: no stall is longer than that. */
-double cw_pauses_harm(const cw_pauses_t* p, uint32_t tokens, uint32_t gap_ms, double prefill_ms_per_token,
-                      double prefill_left_ms);
+double cw_stalls_violation_risk(const cw_stalls_t* p, uint32_t tokens, uint32_t gap_ms, double prefill_ms_per_token,
+                                double prefill_left_ms);
 
-#endif /* CHALKWAY_PAUSE_H */
+#endif /* CHALKWAY_STALL_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_PAUSE_IMPL_INCLUDED
-#define CHALKWAY_PAUSE_IMPL_INCLUDED
+#ifndef CHALKWAY_STALL_IMPL_INCLUDED
+#define CHALKWAY_STALL_IMPL_INCLUDED
 
 #include <math.h>
 
@@ -60,41 +60,41 @@
 #define _CW_STALL_RISK_FROM 0.7  /* gap, as a share of the limit, where the probability rises from 0; it is 1 at 1.3 */
 #define _CW_STALL_SAMPLES_MIN 10 /* with fewer samples the estimate of a class is not used alone */
 
-double cw_quantile_learn(double estimate, double sample, double up, double down) {
+double cw_quantile_update(double estimate, double sample, double up, double down) {
     return estimate + (sample > estimate ? up : down) * (sample - estimate);
 }
 
 static uint32_t _cw_stalls_length_class(uint32_t tokens) {
     double halves = tokens > _CW_STALL_LENGTH_MIN ? 2 * log2(tokens / _CW_STALL_LENGTH_MIN) : 0;
-    return halves < CW_PAUSE_DEPTHS - 1 ? (uint32_t)halves : CW_PAUSE_DEPTHS - 1;
+    return halves < CW_STALL_LENGTHS - 1 ? (uint32_t)halves : CW_STALL_LENGTHS - 1;
 }
 
-void cw_pauses_learn(cw_pauses_t* p, uint32_t tokens, double pause_ms) {
+void cw_stalls_learn(cw_stalls_t* p, uint32_t tokens, double stall_ms) {
     uint32_t length = _cw_stalls_length_class(tokens);
     p->samples[length]++;
-    p->pause_ms[length] = cw_quantile_learn(p->pause_ms[length], pause_ms, _CW_STALL_UP, _CW_STALL_DOWN);
+    p->stall_ms[length] = cw_quantile_update(p->stall_ms[length], stall_ms, _CW_STALL_UP, _CW_STALL_DOWN);
 }
 
-double cw_pauses_expected(const cw_pauses_t* p, uint32_t tokens, double prefill_ms_per_token) {
-    double pause_ms = 0;
+double cw_stalls_expected_ms(const cw_stalls_t* p, uint32_t tokens, double prefill_ms_per_token) {
+    double stall_ms = 0;
     uint32_t length = _cw_stalls_length_class(tokens);
     for (uint32_t i = 0; i <= length; i++) {
-        pause_ms = p->pause_ms[i] > pause_ms ? p->pause_ms[i] : pause_ms;
+        stall_ms = p->stall_ms[i] > stall_ms ? p->stall_ms[i] : stall_ms;
     }
     double prefill_ms = prefill_ms_per_token * tokens;
-    return p->samples[length] < _CW_STALL_SAMPLES_MIN && prefill_ms > pause_ms ? prefill_ms : pause_ms;
+    return p->samples[length] < _CW_STALL_SAMPLES_MIN && prefill_ms > stall_ms ? prefill_ms : stall_ms;
 }
 
-double cw_pauses_harm(const cw_pauses_t* p, uint32_t tokens, uint32_t gap_ms, double prefill_ms_per_token,
-                      double prefill_left_ms) {
+double cw_stalls_violation_risk(const cw_stalls_t* p, uint32_t tokens, uint32_t gap_ms, double prefill_ms_per_token,
+                                double prefill_left_ms) {
     if (!gap_ms) {
         return 0;
     }
-    double pause_ms = cw_pauses_expected(p, tokens, prefill_ms_per_token);
-    double ratio = (pause_ms < prefill_left_ms ? pause_ms : prefill_left_ms) / gap_ms;
+    double stall_ms = cw_stalls_expected_ms(p, tokens, prefill_ms_per_token);
+    double ratio = (stall_ms < prefill_left_ms ? stall_ms : prefill_left_ms) / gap_ms;
     double risk = (ratio - _CW_STALL_RISK_FROM) / (2 * (1 - _CW_STALL_RISK_FROM));
     return risk < 0 ? 0 : risk > 1 ? 1 : risk;
 }
 
-#endif /* CHALKWAY_PAUSE_IMPL_INCLUDED */
+#endif /* CHALKWAY_STALL_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -94,7 +94,7 @@
 cw_pick_upstream_t cw_pick_at(const cw_pick_t* pick, uint32_t index);
 uint32_t cw_pick_find(const cw_pick_t* pick, uint64_t id);
 /* Sets the share (0..1] of every limit that this table may use: less than 1 during a partition or a take-over. */
-void cw_pick_scale(cw_pick_t* pick, double scale);
+void cw_pick_set_share(cw_pick_t* pick, double scale);
 /* Index of the best upstream with a free slot, or CW_PICK_NONE. */
 uint32_t cw_pick_choose(const cw_pick_t* pick, int64_t now_ms, const cw_pick_query_t* query);
 void cw_pick_begin(cw_pick_t* pick, uint32_t index);
@@ -194,7 +194,7 @@
     return pick->ups[index];
 }
 
-void cw_pick_scale(cw_pick_t* pick, double scale) {
+void cw_pick_set_share(cw_pick_t* pick, double scale) {
     pick->scale = scale;
 }
 
--- a/chalkway_place.h
+++ b/chalkway_place.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_PLACE_H
-#define CHALKWAY_PLACE_H
+#ifndef CHALKWAY_RENDEZVOUS_H
+#define CHALKWAY_RENDEZVOUS_H
 /*
     chalkway_place.h -- assignments by rendezvous hashing
 
@@ -10,9 +10,9 @@
         leaves, only its own assignments change.
 
     HOW TO USE IT
-            uint32_t shards = cw_place_shard_count(upstreams, 24);
-            uint64_t shard = cw_place_shard(pool_id, upstream_id, upstream_ids, upstreams, shards);
-            uint64_t host = cw_place_owner(shard, hosts, host_count);
+            uint32_t shards = cw_rendezvous_shard_count(upstreams, 24);
+            uint64_t shard = cw_rendezvous_shard(pool_id, upstream_id, upstream_ids, upstreams, shards);
+            uint64_t host = cw_rendezvous_owner(shard, hosts, host_count);
 
     WHAT IT DOES NOT DO
         It does not detect which hosts are live; they are passed in.
@@ -23,35 +23,36 @@
 #include "chalkway_core.h"
 
 /* Number of shards of a pool with this number of upstreams. */
-uint32_t cw_place_shard_count(uint32_t upstreams, uint32_t shard_size);
+uint32_t cw_rendezvous_shard_count(uint32_t upstreams, uint32_t shard_size);
 /* Id of the pool's shard with this index. */
-uint64_t cw_place_shard_id(uint64_t pool, uint32_t index);
+uint64_t cw_rendezvous_shard_id(uint64_t pool, uint32_t index);
 /* Id of the upstream's shard. upstreams: the ids of all upstreams of the pool, this one among them. The sizes of shards
    differ by at most one. An upstream that joins moves at most one other upstream across each border of shards. */
-uint64_t cw_place_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count, uint32_t shards);
+uint64_t cw_rendezvous_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count,
+                             uint32_t shards);
 /* Owner of the key: the host with the highest score; 0 when there are no hosts. */
-uint64_t cw_place_owner(uint64_t key, const uint64_t* hosts, uint32_t count);
+uint64_t cw_rendezvous_owner(uint64_t key, const uint64_t* hosts, uint32_t count);
 /* Rank of the host for the key among all hosts: 0 for the owner, count when the host is not among them. */
-uint32_t cw_place_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count);
+uint32_t cw_rendezvous_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count);
 
-#endif /* CHALKWAY_PLACE_H */
+#endif /* CHALKWAY_RENDEZVOUS_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_PLACE_IMPL_INCLUDED
-#define CHALKWAY_PLACE_IMPL_INCLUDED
+#ifndef CHALKWAY_RENDEZVOUS_IMPL_INCLUDED
+#define CHALKWAY_RENDEZVOUS_IMPL_INCLUDED
 
-uint32_t cw_place_shard_count(uint32_t upstreams, uint32_t shard_size) {
+uint32_t cw_rendezvous_shard_count(uint32_t upstreams, uint32_t shard_size) {
     uint32_t size = shard_size ? shard_size : 1;
     uint32_t shards = (upstreams + size - 1) / size;
     return shards ? shards : 1;
 }
 
-uint64_t cw_place_shard_id(uint64_t pool, uint32_t index) {
+uint64_t cw_rendezvous_shard_id(uint64_t pool, uint32_t index) {
     return cw_mix(pool, index);
 }
 
-uint64_t cw_place_owner(uint64_t key, const uint64_t* hosts, uint32_t count) {
+uint64_t cw_rendezvous_owner(uint64_t key, const uint64_t* hosts, uint32_t count) {
     uint64_t best = 0;
     uint64_t best_score = 0;
     for (uint32_t i = 0; i < count; i++) {
@@ -64,7 +65,7 @@
     return best;
 }
 
-uint32_t cw_place_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count) {
+uint32_t cw_rendezvous_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count) {
     uint64_t own = cw_mix(key, host);
     uint32_t rank = 0;
     bool found = false;
@@ -75,10 +76,11 @@
     return found ? rank : count;
 }
 
-uint64_t cw_place_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count, uint32_t shards) {
-    uint32_t rank = cw_place_rank(pool, upstream, upstreams, count);
-    return cw_place_shard_id(pool, (uint32_t)((uint64_t)rank * shards / (count ? count : 1)));
+uint64_t cw_rendezvous_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count,
+                             uint32_t shards) {
+    uint32_t rank = cw_rendezvous_rank(pool, upstream, upstreams, count);
+    return cw_rendezvous_shard_id(pool, (uint32_t)((uint64_t)rank * shards / (count ? count : 1)));
 }
 
-#endif /* CHALKWAY_PLACE_IMPL_INCLUDED */
+#endif /* CHALKWAY_RENDEZVOUS_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -14,12 +14,12 @@
         takes over its parts.
 
     HOW TO USE IT
-            cw_prefix_t p = cw_prefix_new(parts, count);
+            cw_prefix_t p = cw_prefix_init(parts, count);
             for (each server that may be chosen) {
-                uint32_t cached = cw_prefix_kept(cache, &capacity, parts, count);
-                cw_prefix_see(&p, server, cached, may_own);
+                uint32_t cached = cw_prefix_cached_tokens(cache, &capacity, parts, count);
+                cw_prefix_add_server(&p, server, cached, may_own);
             }
-            if (cw_prefix_owns(&p, server)) { ... }
+            if (cw_prefix_is_owner(&p, server)) { ... }
 
     WHAT IT DOES NOT DO
         It does not weigh cached parts against load (chalkway_balance.h).
@@ -32,36 +32,36 @@
 #define CW_PREFIX_OWNERS 2 /* more than one, since one may be busy or gone */
 
 /* A part of a prompt: the id of its name, and its length. */
-typedef struct cw_work_part_t {
+typedef struct cw_prompt_part_t {
     uint64_t id;
     uint32_t tokens;
-} cw_work_part_t;
+} cw_prompt_part_t;
 
 /* A server's prefix cache. */
-typedef struct cw_prefix_memory_t {
+typedef struct cw_prefix_capacity_t {
     uint64_t server;
-    uint64_t read_tokens; /* all tokens prefilled there, as far as known */
-    double room_tokens;   /* capacity for parts that no running request uses */
-} cw_prefix_memory_t;
+    uint64_t prefilled_tokens; /* all tokens prefilled there, as far as known */
+    double capacity_tokens;    /* capacity for parts that no running request uses */
+} cw_prefix_capacity_t;
 
 /* Cached and shared parts of one prompt. */
 typedef struct cw_prefix_t {
-    uint64_t holder;                  /* the server with most of the prompt cached, 0: none has any */
-    uint32_t held;                    /* tokens cached there */
-    uint32_t shared;                  /* tokens before the last part, which is the request's own */
-    uint64_t part;                    /* the last shared part */
-    uint64_t owner[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
+    uint64_t best_server;                    /* the server with most of the prompt cached, 0: none has any */
+    uint32_t best_tokens;                    /* tokens cached there */
+    uint32_t shared_tokens;                  /* tokens before the last part, which is the request's own */
+    uint64_t part;                           /* the last shared part */
+    uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
 } cw_prefix_t;
 
 /* Tokens at the start of the prompt that the server has cached. */
-uint32_t cw_prefix_kept(const cw_kept_t* cache, const cw_prefix_memory_t* capacity, const cw_work_part_t* parts,
-                        uint32_t count);
-cw_prefix_t cw_prefix_new(const cw_work_part_t* parts, uint32_t count);
+uint32_t cw_prefix_cached_tokens(const cw_prefix_cache_t* cache, const cw_prefix_capacity_t* capacity,
+                                 const cw_prompt_part_t* parts, uint32_t count);
+cw_prefix_t cw_prefix_init(const cw_prompt_part_t* parts, uint32_t count);
 /* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: it is
    neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
-void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own);
+void cw_prefix_add_server(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own);
 /* Whether the server, which was added with may_own, owns the last shared part. */
-bool cw_prefix_owns(const cw_prefix_t* p, uint64_t server);
+bool cw_prefix_is_owner(const cw_prefix_t* p, uint64_t server);
 
 #endif /* CHALKWAY_PREFIX_H */
 
@@ -70,11 +70,12 @@
 #ifndef CHALKWAY_PREFIX_IMPL_INCLUDED
 #define CHALKWAY_PREFIX_IMPL_INCLUDED
 
-uint32_t cw_prefix_kept(const cw_kept_t* cache, const cw_prefix_memory_t* capacity, const cw_work_part_t* parts,
-                        uint32_t count) {
+uint32_t cw_prefix_cached_tokens(const cw_prefix_cache_t* cache, const cw_prefix_capacity_t* capacity,
+                                 const cw_prompt_part_t* parts, uint32_t count) {
     uint32_t tokens = 0;
     for (uint32_t i = 0; i < count; i++) {
-        if (!cw_kept_has(cache, capacity->server, parts[i].id, capacity->read_tokens, capacity->room_tokens)) {
+        if (!cw_prefix_cache_has(cache, capacity->server, parts[i].id, capacity->prefilled_tokens,
+                                 capacity->capacity_tokens)) {
             break;
         }
         tokens += parts[i].tokens;
@@ -82,10 +83,10 @@
     return tokens;
 }
 
-cw_prefix_t cw_prefix_new(const cw_work_part_t* parts, uint32_t count) {
+cw_prefix_t cw_prefix_init(const cw_prompt_part_t* parts, uint32_t count) {
     cw_prefix_t p = {0};
     for (uint32_t i = 0; i + 1 < count; i++) {
-        p.shared += parts[i].tokens;
+        p.shared_tokens += parts[i].tokens;
         p.part = parts[i].id;
     }
     return p;
@@ -95,23 +96,23 @@
     return cw_mix(p->part, server);
 }
 
-void cw_prefix_see(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own) {
-    if (cached_tokens > p->held) {
-        p->holder = server;
-        p->held = cached_tokens;
+void cw_prefix_add_server(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own) {
+    if (cached_tokens > p->best_tokens) {
+        p->best_server = server;
+        p->best_tokens = cached_tokens;
     }
-    uint64_t score = p->shared && may_own ? _cw_prefix_score(p, server) : 0;
+    uint64_t score = p->shared_tokens && may_own ? _cw_prefix_score(p, server) : 0;
     for (uint32_t i = 0; i < CW_PREFIX_OWNERS; i++) {
-        if (score > p->owner[i]) {
-            uint64_t lower = p->owner[i];
-            p->owner[i] = score;
+        if (score > p->owner_scores[i]) {
+            uint64_t lower = p->owner_scores[i];
+            p->owner_scores[i] = score;
             score = lower;
         }
     }
 }
 
-bool cw_prefix_owns(const cw_prefix_t* p, uint64_t server) {
-    return p->shared && _cw_prefix_score(p, server) >= p->owner[CW_PREFIX_OWNERS - 1];
+bool cw_prefix_is_owner(const cw_prefix_t* p, uint64_t server) {
+    return p->shared_tokens && _cw_prefix_score(p, server) >= p->owner_scores[CW_PREFIX_OWNERS - 1];
 }
 
 #endif /* CHALKWAY_PREFIX_IMPL_INCLUDED */
--- a/chalkway_pushback.h
+++ b/chalkway_pushback.h
@@ -10,7 +10,7 @@
 
     HOW TO USE IT
             double per_s;
-            if (cw_pushback_limit(text, &per_s)) { ... }
+            if (cw_pushback_parse_rate(text, &per_s)) { ... }
 
     WHAT IT DOES NOT DO
         It keeps no state. The caller decides to which server a response
@@ -26,10 +26,10 @@
 /* Parses a backoff in seconds, a decimal number of 0 or more, into *ms, rounded up and at most max_ms. A date is not
    accepted: the clocks of two machines may differ by more than a backoff lasts. Returns false and leaves *ms unchanged
    when the text is invalid. */
-bool cw_pushback_rest(const char* text, uint32_t max_ms, uint32_t* ms);
+bool cw_pushback_parse_retry_after(const char* text, uint32_t max_ms, uint32_t* ms);
 /* Parses a rate limit in requests per second, a decimal number of 0 or more. Returns false and leaves *per_s unchanged
    when the text is invalid. */
-bool cw_pushback_limit(const char* text, double* per_s);
+bool cw_pushback_parse_rate(const char* text, double* per_s);
 
 #endif /* CHALKWAY_PUSHBACK_H */
 
@@ -59,7 +59,7 @@
     return true;
 }
 
-bool cw_pushback_limit(const char* text, double* per_s) {
+bool cw_pushback_parse_rate(const char* text, double* per_s) {
     double value = 0;
     if (!text || !_cw_pushback_parse_decimal(text, &value)) {
         return false;
@@ -68,7 +68,7 @@
     return true;
 }
 
-bool cw_pushback_rest(const char* text, uint32_t max_ms, uint32_t* ms) {
+bool cw_pushback_parse_retry_after(const char* text, uint32_t max_ms, uint32_t* ms) {
     double seconds = 0;
     if (!text || !_cw_pushback_parse_decimal(text, &seconds)) {
         return false;
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -41,9 +41,9 @@
 
     HOW TO USE IT
             cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){0});
-            cw_verdict_t v = cw_quarantine_ask(q, now_ms, &fingerprint);
-            if (v.kind == CW_VERDICT_HELD) { refuse it with a retry delay of v.retry_ms }
-            if (cw_quarantine_take(q, now_ms, &observation)) { it was new: send it to the other hosts }
+            cw_verdict_t v = cw_quarantine_evaluate(q, now_ms, &fingerprint);
+            if (v.kind == CW_VERDICT_QUARANTINED) { refuse it with a retry delay of v.retry_ms }
+            if (cw_quarantine_observe(q, now_ms, &observation)) { it was new: send it to the other hosts }
 
     WHAT IT DOES NOT DO
         It watches no connections and sends nothing. The owner decides
@@ -54,38 +54,38 @@
 */
 #include "chalkway_fingerprint.h"
 
-#define CW_QUARANTINE_ENDS 6 /* kept per request: enough for the quarantine even at half weight */
+#define CW_QUARANTINE_MAX_CRASHES 6 /* kept per request: enough for the quarantine even at half weight */
 
-typedef enum cw_mark_kind_t {
-    CW_MARK_ENDED = 0, /* the server incarnation crashed while the request ran on it */
-    CW_MARK_TRIED,     /* the request is being sent to the server on trial */
-    CW_MARK_CLEARED,   /* the request was answered completely, or an operator released it */
-    CW_MARK_ALIVE,     /* the server incarnation is alive, so it did not crash earlier */
-    CW_MARK_KINDS
-} cw_mark_kind_t;
+typedef enum cw_quarantine_observation_kind_t {
+    CW_OBSERVED_CRASH = 0, /* the server incarnation crashed while the request ran on it */
+    CW_OBSERVED_TRIAL,     /* the request is being sent to the server on trial */
+    CW_OBSERVED_CLEARED,   /* the request was answered completely, or an operator released it */
+    CW_OBSERVED_ALIVE,     /* the server incarnation is alive, so it did not crash earlier */
+    CW_OBSERVED_COUNT
+} cw_quarantine_observation_kind_t;
 
 /* Observation that hosts exchange. */
-typedef struct cw_mark_t {
-    cw_mark_kind_t kind;
-    cw_fingerprint_t request; /* all zero for CW_MARK_ALIVE, and for a crash reported only for its time */
-    uint64_t life;            /* key of the server incarnation, 0 for CW_MARK_CLEARED */
+typedef struct cw_quarantine_observation_t {
+    cw_quarantine_observation_kind_t kind;
+    cw_fingerprint_t request; /* all zero for CW_OBSERVED_ALIVE, and for a crash reported only for its time */
+    uint64_t incarnation;     /* key of the server incarnation, 0 for CW_OBSERVED_CLEARED */
     uint32_t age_ms;          /* since the observed event */
-} cw_mark_t;
+} cw_quarantine_observation_t;
 
 typedef enum cw_verdict_kind_t {
-    CW_VERDICT_FREE = 0,
-    CW_VERDICT_APART, /* route it by its fingerprint */
-    CW_VERDICT_TRIAL, /* route it by its fingerprint, and announce the trial before sending it */
-    CW_VERDICT_WAIT,  /* a crash is too recent to decide: evaluate again after retry_ms */
-    CW_VERDICT_HELD   /* do not send it to any server */
+    CW_VERDICT_ALLOWED = 0,
+    CW_VERDICT_ISOLATED,   /* route it by its fingerprint */
+    CW_VERDICT_TRIAL,      /* route it by its fingerprint, and announce the trial before sending it */
+    CW_VERDICT_PENDING,    /* a crash is too recent to decide: evaluate again after retry_ms */
+    CW_VERDICT_QUARANTINED /* do not send it to any server */
 } cw_verdict_kind_t;
 
 typedef struct cw_verdict_t {
     cw_verdict_kind_t kind;
-    uint32_t ends;                      /* servers that crashed under the request, trials not counted */
-    uint32_t ruled_out;                 /* number of excluded incarnations, listed below */
-    uint64_t lives[CW_QUARANTINE_ENDS]; /* crashed under the request or have it on trial */
-    uint32_t retry_ms;                  /* quarantined: time until it may be sent; pending: time until the decision */
+    uint32_t crashes;                                 /* servers that crashed under the request, trials not counted */
+    uint32_t excluded_count;                          /* number of excluded incarnations, listed below */
+    uint64_t incarnations[CW_QUARANTINE_MAX_CRASHES]; /* crashed under the request or have it on trial */
+    uint32_t retry_ms; /* quarantined: time until it may be sent; pending: time until the decision */
 } cw_verdict_t;
 
 typedef struct cw_quarantine_desc_t {
@@ -98,13 +98,13 @@
 typedef struct cw_quarantine_entry_t {
     cw_fingerprint_t request;
     cw_verdict_t verdict;
-    uint32_t age_ms[CW_QUARANTINE_ENDS]; /* of the crash or trial of each of the verdict's incarnations */
-    bool tried[CW_QUARANTINE_ENDS];      /* whether it is a trial */
+    uint32_t age_ms[CW_QUARANTINE_MAX_CRASHES]; /* of the crash or trial of each of the verdict's incarnations */
+    bool is_trial[CW_QUARANTINE_MAX_CRASHES];   /* whether it is a trial */
 } cw_quarantine_entry_t;
 
 typedef struct cw_quarantine_stats_t {
-    uint32_t entries, held; /* held: quarantined requests that cw_quarantine_newly_held has returned */
-    uint64_t pushed_out;    /* entries evicted in favour of others */
+    uint32_t entries, held; /* held: quarantined requests that cw_quarantine_next_newly_quarantined has returned */
+    uint64_t evicted;       /* entries evicted in favour of others */
 } cw_quarantine_stats_t;
 
 typedef struct cw_quarantine_t cw_quarantine_t;
@@ -112,18 +112,19 @@
 cw_quarantine_t* cw_quarantine_setup(const cw_quarantine_desc_t* desc);
 void cw_quarantine_shutdown(cw_quarantine_t* q);
 /* Applies an observation, received or made by this host itself. Returns whether it was new. */
-bool cw_quarantine_take(cw_quarantine_t* q, int64_t now_ms, const cw_mark_t* observation);
+bool cw_quarantine_observe(cw_quarantine_t* q, int64_t now_ms, const cw_quarantine_observation_t* observation);
 /* Current verdict for the request. */
-cw_verdict_t cw_quarantine_ask(cw_quarantine_t* q, int64_t now_ms, const cw_fingerprint_t* request);
+cw_verdict_t cw_quarantine_evaluate(cw_quarantine_t* q, int64_t now_ms, const cw_fingerprint_t* request);
 /* Whether the request has crashes or trials: only then does a response to it need to be observed. */
-bool cw_quarantine_knows(const cw_quarantine_t* q, const cw_fingerprint_t* request);
+bool cw_quarantine_has_crashes(const cw_quarantine_t* q, const cw_fingerprint_t* request);
 /* Returns each newly quarantined request once; false when there is no other. */
-bool cw_quarantine_newly_held(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out);
+bool cw_quarantine_next_newly_quarantined(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out);
 /* Exports the observations of all requests that are not allowed without restriction. Starts at index *at and advances
    it; *at is 0 after the last request. Returns the number of observations written to out, at most max. */
-uint32_t cw_quarantine_marks(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_mark_t* out, uint32_t max);
+uint32_t cw_quarantine_export(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_observation_t* out,
+                              uint32_t max);
 /* Iterates over the same requests, for operators: the next from index *at on; false when there is no other. */
-bool cw_quarantine_next(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out);
+bool cw_quarantine_next_entry(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out);
 cw_quarantine_stats_t cw_quarantine_stats(cw_quarantine_t* q, int64_t now_ms);
 
 #endif /* CHALKWAY_QUARANTINE_H */
@@ -159,9 +160,9 @@
 #define _CW_QUARANTINE_INCARNATIONS 256           /* server crashes remembered; as many signs of life */
 
 typedef struct _cw_crash_t {
-    uint64_t life;
+    uint64_t incarnation;
     int64_t at_ms;
-    bool tried;
+    bool is_trial;
 } _cw_crash_t;
 
 typedef struct _cw_tracked_request_t {
@@ -170,14 +171,14 @@
     int64_t cleared_at_ms; /* crashes up to this time do not count */
     int64_t updated_at_ms; /* time of the latest new observation */
     uint32_t count;        /* crashes and trials kept below */
-    _cw_crash_t ends[CW_QUARANTINE_ENDS];
+    _cw_crash_t crashes[CW_QUARANTINE_MAX_CRASHES];
     uint64_t weight_version; /* version for which weight was computed */
     uint32_t weight;         /* in halves */
-    bool is_announced;       /* cw_quarantine_newly_held has returned it */
+    bool is_announced;       /* cw_quarantine_next_newly_quarantined has returned it */
 } _cw_tracked_request_t;
 
 typedef struct _cw_incarnation_event_t {
-    uint64_t life;
+    uint64_t incarnation;
     int64_t at_ms;
 } _cw_incarnation_event_t;
 
@@ -195,7 +196,7 @@
     uint64_t version;      /* incremented by each new observation */
     int64_t scan_until_ms; /* an entry may become quarantined until then */
     _cw_incarnation_events_t crashed, alive;
-    uint64_t pushed_out;
+    uint64_t evicted;
 };
 
 static cw_quarantine_desc_t _cw_quarantine_desc_defaults(const cw_quarantine_desc_t* desc) {
@@ -223,52 +224,53 @@
 
 /* -- server incarnations -------------------------------------------------- */
 
-static _cw_incarnation_event_t* _cw_incarnation_events_find(_cw_incarnation_events_t* lives, uint64_t life) {
+static _cw_incarnation_event_t* _cw_incarnation_events_find(_cw_incarnation_events_t* incarnations,
+                                                            uint64_t incarnation) {
     for (uint32_t i = 0; i < _CW_QUARANTINE_INCARNATIONS; i++) {
-        if (lives->items[i].life == life) {
-            return &lives->items[i];
+        if (incarnations->items[i].incarnation == incarnation) {
+            return &incarnations->items[i];
         }
     }
     return NULL;
 }
 
-static void _cw_incarnation_events_put(_cw_incarnation_events_t* lives, uint64_t life, int64_t at_ms) {
-    _cw_incarnation_event_t* event = _cw_incarnation_events_find(lives, life);
-    event = event ? event : &lives->items[lives->next++ % _CW_QUARANTINE_INCARNATIONS];
-    *event = (_cw_incarnation_event_t){.life = life, .at_ms = at_ms};
+static void _cw_incarnation_events_put(_cw_incarnation_events_t* incarnations, uint64_t incarnation, int64_t at_ms) {
+    _cw_incarnation_event_t* event = _cw_incarnation_events_find(incarnations, incarnation);
+    event = event ? event : &incarnations->items[incarnations->next++ % _CW_QUARANTINE_INCARNATIONS];
+    *event = (_cw_incarnation_event_t){.incarnation = incarnation, .at_ms = at_ms};
 }
 
 /* Records a crash of the incarnation at its earliest reported time; returns whether it is another crash than the one
    recorded before. */
-static bool _cw_quarantine_record_crash(cw_quarantine_t* q, uint64_t life, int64_t at_ms) {
-    const _cw_incarnation_event_t* known = _cw_incarnation_events_find(&q->crashed, life);
+static bool _cw_quarantine_record_crash(cw_quarantine_t* q, uint64_t incarnation, int64_t at_ms) {
+    const _cw_incarnation_event_t* known = _cw_incarnation_events_find(&q->crashed, incarnation);
     bool is_other_crash = !known || at_ms >= known->at_ms + _CW_QUARANTINE_DISTINCT_CRASH_MS;
     if (is_other_crash || at_ms < known->at_ms) {
-        _cw_incarnation_events_put(&q->crashed, life, at_ms);
+        _cw_incarnation_events_put(&q->crashed, incarnation, at_ms);
     }
     return is_other_crash;
 }
 
 /* Records the latest sign of life; returns false when a later one is known. */
-static bool _cw_quarantine_record_alive(cw_quarantine_t* q, uint64_t life, int64_t at_ms) {
-    const _cw_incarnation_event_t* known = _cw_incarnation_events_find(&q->alive, life);
+static bool _cw_quarantine_record_alive(cw_quarantine_t* q, uint64_t incarnation, int64_t at_ms) {
+    const _cw_incarnation_event_t* known = _cw_incarnation_events_find(&q->alive, incarnation);
     if (known && at_ms <= known->at_ms) {
         return false;
     }
-    _cw_incarnation_events_put(&q->alive, life, at_ms);
+    _cw_incarnation_events_put(&q->alive, incarnation, at_ms);
     return true;
 }
 
 /* Whether the incarnation showed a sign of life after at_ms. */
-static bool _cw_quarantine_was_alive_after(cw_quarantine_t* q, uint64_t life, int64_t at_ms) {
-    const _cw_incarnation_event_t* alive = _cw_incarnation_events_find(&q->alive, life);
+static bool _cw_quarantine_was_alive_after(cw_quarantine_t* q, uint64_t incarnation, int64_t at_ms) {
+    const _cw_incarnation_event_t* alive = _cw_incarnation_events_find(&q->alive, incarnation);
     return alive && alive->at_ms > at_ms;
 }
 
 /* -- entries -------------------------------------------------------------- */
 
 static uint64_t _cw_quarantine_key(const cw_fingerprint_t* request) {
-    return cw_mix(request->workspace, request->content);
+    return cw_mix(request->workspace, request->content_hash);
 }
 
 static _cw_tracked_request_t* _cw_quarantine_find(const cw_quarantine_t* q, const cw_fingerprint_t* request) {
@@ -285,10 +287,10 @@
 static void _cw_quarantine_prune(cw_quarantine_t* q, _cw_tracked_request_t* entry, int64_t now_ms) {
     uint32_t kept_count = 0;
     for (uint32_t i = 0; i < entry->count; i++) {
-        const _cw_crash_t* crash = &entry->ends[i];
+        const _cw_crash_t* crash = &entry->crashes[i];
         bool is_expired = crash->at_ms <= entry->cleared_at_ms || now_ms - crash->at_ms >= (int64_t)q->desc.keep_ms;
-        if (!is_expired && (crash->tried || !_cw_quarantine_was_alive_after(q, crash->life, crash->at_ms))) {
-            entry->ends[kept_count++] = *crash;
+        if (!is_expired && (crash->is_trial || !_cw_quarantine_was_alive_after(q, crash->incarnation, crash->at_ms))) {
+            entry->crashes[kept_count++] = *crash;
         }
     }
     if (kept_count != entry->count) {
@@ -333,7 +335,7 @@
     }
     _cw_tracked_request_t* victim = has_used_share && own_weakest ? own_weakest : weakest;
     _cw_quarantine_remove(q, victim);
-    q->pushed_out++;
+    q->evicted++;
     return victim;
 }
 
@@ -349,15 +351,15 @@
 
 /* -- weight --------------------------------------------------------------- */
 
-static bool _cw_quarantine_is_same_crash(const _cw_crash_t* crash, uint64_t life, int64_t at_ms) {
+static bool _cw_quarantine_is_same_crash(const _cw_crash_t* crash, uint64_t incarnation, int64_t at_ms) {
     int64_t distance_ms = crash->at_ms > at_ms ? crash->at_ms - at_ms : at_ms - crash->at_ms;
-    return crash->life == life && distance_ms < _CW_QUARANTINE_DISTINCT_CRASH_MS;
+    return crash->incarnation == incarnation && distance_ms < _CW_QUARANTINE_DISTINCT_CRASH_MS;
 }
 
 /* Whether the incarnation crashed at that time while the request ran on it. */
-static bool _cw_quarantine_has_crash(const _cw_tracked_request_t* entry, uint64_t life, int64_t at_ms) {
+static bool _cw_quarantine_has_crash(const _cw_tracked_request_t* entry, uint64_t incarnation, int64_t at_ms) {
     for (uint32_t i = 0; i < entry->count; i++) {
-        if (!entry->ends[i].tried && _cw_quarantine_is_same_crash(&entry->ends[i], life, at_ms)) {
+        if (!entry->crashes[i].is_trial && _cw_quarantine_is_same_crash(&entry->crashes[i], incarnation, at_ms)) {
             return true;
         }
     }
@@ -365,20 +367,21 @@
 }
 
 /* Trial of the request on the incarnation; NULL when there is none. */
-static _cw_crash_t* _cw_quarantine_find_trial(_cw_tracked_request_t* entry, uint64_t life) {
+static _cw_crash_t* _cw_quarantine_find_trial(_cw_tracked_request_t* entry, uint64_t incarnation) {
     for (uint32_t i = 0; i < entry->count; i++) {
-        if (entry->ends[i].tried && entry->ends[i].life == life) {
-            return &entry->ends[i];
+        if (entry->crashes[i].is_trial && entry->crashes[i].incarnation == incarnation) {
+            return &entry->crashes[i];
         }
     }
     return NULL;
 }
 
 /* Number of the request's other crashes, without trials. */
-static uint32_t _cw_quarantine_count_other_crashes(const _cw_tracked_request_t* entry, uint64_t life, int64_t at_ms) {
+static uint32_t _cw_quarantine_count_other_crashes(const _cw_tracked_request_t* entry, uint64_t incarnation,
+                                                   int64_t at_ms) {
     uint32_t others = 0;
     for (uint32_t i = 0; i < entry->count; i++) {
-        others += !entry->ends[i].tried && !_cw_quarantine_is_same_crash(&entry->ends[i], life, at_ms);
+        others += !entry->crashes[i].is_trial && !_cw_quarantine_is_same_crash(&entry->crashes[i], incarnation, at_ms);
     }
     return others;
 }
@@ -391,8 +394,8 @@
     for (uint32_t i = 0; i < _CW_QUARANTINE_INCARNATIONS; i++) {
         const _cw_incarnation_event_t* other = &q->crashed.items[i];
         int64_t distance_ms = other->at_ms > crash->at_ms ? other->at_ms - crash->at_ms : crash->at_ms - other->at_ms;
-        bool is_coincident = other->life && distance_ms <= _CW_QUARANTINE_COINCIDENCE_MS;
-        if (is_coincident && !_cw_quarantine_has_crash(entry, other->life, other->at_ms)) {
+        bool is_coincident = other->incarnation && distance_ms <= _CW_QUARANTINE_COINCIDENCE_MS;
+        if (is_coincident && !_cw_quarantine_has_crash(entry, other->incarnation, other->at_ms)) {
             return other;
         }
     }
@@ -404,8 +407,9 @@
                                              const _cw_crash_t* crash) {
     for (uint32_t i = 0; i < q->used_count; i++) {
         const _cw_tracked_request_t* other = &q->entries[i];
-        if (other->is_used && other != entry && _cw_quarantine_has_crash(other, crash->life, crash->at_ms) &&
-            _cw_quarantine_count_other_crashes(other, crash->life, crash->at_ms) >= _CW_QUARANTINE_ISOLATED_CRASHES) {
+        if (other->is_used && other != entry && _cw_quarantine_has_crash(other, crash->incarnation, crash->at_ms) &&
+            _cw_quarantine_count_other_crashes(other, crash->incarnation, crash->at_ms) >=
+                _CW_QUARANTINE_ISOLATED_CRASHES) {
             return true;
         }
     }
@@ -414,7 +418,7 @@
 
 static uint32_t _cw_quarantine_crash_weight(const cw_quarantine_t* q, const _cw_tracked_request_t* entry,
                                             const _cw_crash_t* crash) {
-    bool counts_half = crash->tried || _cw_quarantine_find_unrelated_crash(q, entry, crash) ||
+    bool counts_half = crash->is_trial || _cw_quarantine_find_unrelated_crash(q, entry, crash) ||
                        _cw_quarantine_has_other_suspect(q, entry, crash);
     return counts_half ? 1 : _CW_QUARANTINE_FULL_WEIGHT;
 }
@@ -425,7 +429,7 @@
     }
     entry->weight = 0;
     for (uint32_t i = 0; i < entry->count; i++) {
-        entry->weight += _cw_quarantine_crash_weight(q, entry, &entry->ends[i]);
+        entry->weight += _cw_quarantine_crash_weight(q, entry, &entry->crashes[i]);
     }
     entry->weight_version = q->version;
     return entry->weight;
@@ -439,7 +443,7 @@
     while (weight >= _CW_QUARANTINE_THRESHOLD_WEIGHT) {
         const _cw_crash_t* oldest = NULL;
         for (uint32_t i = 0; i < entry->count; i++) {
-            const _cw_crash_t* crash = &entry->ends[i];
+            const _cw_crash_t* crash = &entry->crashes[i];
             bool is_later = crash->at_ms > from_ms;
             oldest = is_later && (!oldest || crash->at_ms < oldest->at_ms) ? crash : oldest;
         }
@@ -449,7 +453,7 @@
         from_ms = oldest->at_ms;
         until_ms = oldest->at_ms + q->desc.keep_ms;
         for (uint32_t i = 0; i < entry->count; i++) {
-            const _cw_crash_t* crash = &entry->ends[i];
+            const _cw_crash_t* crash = &entry->crashes[i];
             weight -= crash->at_ms == from_ms ? _cw_quarantine_crash_weight(q, entry, crash) : 0;
         }
     }
@@ -463,7 +467,7 @@
     uint32_t min_weight = entry->weight;
     int64_t latest_ms = 0;
     for (uint32_t i = 0; i < entry->count; i++) {
-        const _cw_crash_t* crash = &entry->ends[i];
+        const _cw_crash_t* crash = &entry->crashes[i];
         if (now_ms - crash->at_ms < _CW_QUARANTINE_COINCIDENCE_MS) {
             min_weight -= _cw_quarantine_crash_weight(q, entry, crash) - 1;
             latest_ms = crash->at_ms > latest_ms ? crash->at_ms : latest_ms;
@@ -475,13 +479,13 @@
 }
 
 static cw_verdict_t _cw_quarantine_decide(const cw_quarantine_t* q, _cw_tracked_request_t* entry, int64_t now_ms) {
-    cw_verdict_t v = {.ruled_out = entry->count};
+    cw_verdict_t v = {.excluded_count = entry->count};
     for (uint32_t i = 0; i < entry->count; i++) {
-        v.lives[i] = entry->ends[i].life;
-        v.ends += !entry->ends[i].tried;
+        v.incarnations[i] = entry->crashes[i].incarnation;
+        v.crashes += !entry->crashes[i].is_trial;
     }
     if (entry->count < _CW_QUARANTINE_TRIAL_CRASHES) { /* too few for the quarantine: skips the scan of all entries */
-        v.kind = entry->count < _CW_QUARANTINE_ISOLATED_CRASHES ? CW_VERDICT_FREE : CW_VERDICT_APART;
+        v.kind = entry->count < _CW_QUARANTINE_ISOLATED_CRASHES ? CW_VERDICT_ALLOWED : CW_VERDICT_ISOLATED;
         return v;
     }
     if (_cw_quarantine_weight(q, entry) < _CW_QUARANTINE_THRESHOLD_WEIGHT) {
@@ -489,7 +493,7 @@
         return v;
     }
     v.retry_ms = _cw_quarantine_pending_ms(q, entry, now_ms);
-    v.kind = v.retry_ms ? CW_VERDICT_WAIT : CW_VERDICT_HELD;
+    v.kind = v.retry_ms ? CW_VERDICT_PENDING : CW_VERDICT_QUARANTINED;
     v.retry_ms = v.retry_ms ? v.retry_ms : _cw_quarantine_remaining_ms(q, entry, now_ms);
     return v;
 }
@@ -510,14 +514,15 @@
     return entry->count != before;
 }
 
-static bool _cw_quarantine_add_crash(cw_quarantine_t* q, const cw_mark_t* observation, int64_t at_ms, int64_t now_ms) {
-    bool tried = observation->kind == CW_MARK_TRIED;
+static bool _cw_quarantine_add_crash(cw_quarantine_t* q, const cw_quarantine_observation_t* observation, int64_t at_ms,
+                                     int64_t now_ms) {
+    bool is_trial = observation->kind == CW_OBSERVED_TRIAL;
     if (now_ms - at_ms >= (int64_t)q->desc.keep_ms ||
-        (!tried && _cw_quarantine_was_alive_after(q, observation->life, at_ms))) {
+        (!is_trial && _cw_quarantine_was_alive_after(q, observation->incarnation, at_ms))) {
         return false;
     }
-    bool is_distinct = !tried && _cw_quarantine_record_crash(q, observation->life, at_ms);
-    if (!observation->request.content) {
+    bool is_distinct = !is_trial && _cw_quarantine_record_crash(q, observation->incarnation, at_ms);
+    if (!observation->request.content_hash) {
         return is_distinct;
     }
     _cw_tracked_request_t* entry = _cw_quarantine_find_or_add(q, &observation->request);
@@ -525,36 +530,36 @@
     if (!entry->is_used) { /* removed above, since it had no crashes left */
         entry = _cw_quarantine_find_or_add(q, &observation->request);
     }
-    _cw_crash_t* trial = _cw_quarantine_find_trial(entry, observation->life);
-    if (at_ms <= entry->cleared_at_ms || _cw_quarantine_has_crash(entry, observation->life, at_ms) ||
-        (tried && trial)) {
+    _cw_crash_t* trial = _cw_quarantine_find_trial(entry, observation->incarnation);
+    if (at_ms <= entry->cleared_at_ms || _cw_quarantine_has_crash(entry, observation->incarnation, at_ms) ||
+        (is_trial && trial)) {
         return false;
     }
-    if (!trial && entry->count == CW_QUARANTINE_ENDS) {
+    if (!trial && entry->count == CW_QUARANTINE_MAX_CRASHES) {
         return false;
     }
-    trial = trial ? trial : &entry->ends[entry->count++]; /* a crash replaces the trial on the same server */
-    *trial = (_cw_crash_t){.life = observation->life, .at_ms = at_ms, .tried = tried};
+    trial = trial ? trial : &entry->crashes[entry->count++]; /* a crash replaces the trial on the same server */
+    *trial = (_cw_crash_t){.incarnation = observation->incarnation, .at_ms = at_ms, .is_trial = is_trial};
     entry->updated_at_ms = now_ms;
     return true;
 }
 
-bool cw_quarantine_take(cw_quarantine_t* q, int64_t now_ms, const cw_mark_t* observation) {
+bool cw_quarantine_observe(cw_quarantine_t* q, int64_t now_ms, const cw_quarantine_observation_t* observation) {
     int64_t at_ms = now_ms - observation->age_ms;
     bool is_new = false;
     switch (observation->kind) {
-        case CW_MARK_ENDED:
-        case CW_MARK_TRIED:
-            is_new = observation->life && _cw_quarantine_add_crash(q, observation, at_ms, now_ms);
+        case CW_OBSERVED_CRASH:
+        case CW_OBSERVED_TRIAL:
+            is_new = observation->incarnation && _cw_quarantine_add_crash(q, observation, at_ms, now_ms);
             break;
-        case CW_MARK_CLEARED:
-            is_new =
-                observation->request.content && _cw_quarantine_add_clearance(q, &observation->request, at_ms, now_ms);
+        case CW_OBSERVED_CLEARED:
+            is_new = observation->request.content_hash &&
+                     _cw_quarantine_add_clearance(q, &observation->request, at_ms, now_ms);
             break;
-        case CW_MARK_ALIVE:
-            is_new = observation->life && _cw_quarantine_record_alive(q, observation->life, at_ms);
+        case CW_OBSERVED_ALIVE:
+            is_new = observation->incarnation && _cw_quarantine_record_alive(q, observation->incarnation, at_ms);
             break;
-        case CW_MARK_KINDS:
+        case CW_OBSERVED_COUNT:
             break;
     }
     if (is_new) {
@@ -564,7 +569,7 @@
     return is_new;
 }
 
-cw_verdict_t cw_quarantine_ask(cw_quarantine_t* q, int64_t now_ms, const cw_fingerprint_t* request) {
+cw_verdict_t cw_quarantine_evaluate(cw_quarantine_t* q, int64_t now_ms, const cw_fingerprint_t* request) {
     _cw_tracked_request_t* entry = _cw_quarantine_find(q, request);
     if (entry) {
         _cw_quarantine_prune(q, entry, now_ms);
@@ -572,7 +577,7 @@
     return entry && entry->is_used ? _cw_quarantine_decide(q, entry, now_ms) : (cw_verdict_t){0};
 }
 
-bool cw_quarantine_knows(const cw_quarantine_t* q, const cw_fingerprint_t* request) {
+bool cw_quarantine_has_crashes(const cw_quarantine_t* q, const cw_fingerprint_t* request) {
     const _cw_tracked_request_t* entry = _cw_quarantine_find(q, request);
     return entry && entry->count;
 }
@@ -587,13 +592,13 @@
                                                      int64_t now_ms) {
     cw_quarantine_entry_t out = {.request = entry->request, .verdict = *verdict};
     for (uint32_t i = 0; i < entry->count; i++) {
-        out.age_ms[i] = _cw_quarantine_age_ms(entry->ends[i].at_ms, now_ms);
-        out.tried[i] = entry->ends[i].tried;
+        out.age_ms[i] = _cw_quarantine_age_ms(entry->crashes[i].at_ms, now_ms);
+        out.is_trial[i] = entry->crashes[i].is_trial;
     }
     return out;
 }
 
-/* Next entry from index *at on whose verdict is not CW_VERDICT_FREE. */
+/* Next entry from index *at on whose verdict is not CW_VERDICT_ALLOWED. */
 static _cw_tracked_request_t* _cw_quarantine_next_restricted(cw_quarantine_t* q, int64_t now_ms, uint32_t* at,
                                                              cw_verdict_t* verdict) {
     while (*at < q->used_count) {
@@ -602,39 +607,42 @@
             _cw_quarantine_prune(q, entry, now_ms);
         }
         *verdict = entry->is_used ? _cw_quarantine_decide(q, entry, now_ms) : (cw_verdict_t){0};
-        if (verdict->kind != CW_VERDICT_FREE) {
+        if (verdict->kind != CW_VERDICT_ALLOWED) {
             return entry;
         }
     }
     return NULL;
 }
 
-uint32_t cw_quarantine_marks(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_mark_t* out, uint32_t max) {
+uint32_t cw_quarantine_export(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_observation_t* out,
+                              uint32_t max) {
     uint32_t count = 0;
     cw_verdict_t verdict;
-    while (count + 2 * CW_QUARANTINE_ENDS <= max) { /* each crash, and an unrelated one that halves its weight */
+    while (count + 2 * CW_QUARANTINE_MAX_CRASHES <= max) { /* each crash, and an unrelated one that halves its weight */
         const _cw_tracked_request_t* entry = _cw_quarantine_next_restricted(q, now_ms, at, &verdict);
         if (!entry) {
             *at = 0;
             break;
         }
         for (uint32_t i = 0; i < entry->count; i++) {
-            out[count++] = (cw_mark_t){.kind = entry->ends[i].tried ? CW_MARK_TRIED : CW_MARK_ENDED,
-                                       .request = entry->request,
-                                       .life = entry->ends[i].life,
-                                       .age_ms = _cw_quarantine_age_ms(entry->ends[i].at_ms, now_ms)};
-            const _cw_incarnation_event_t* unrelated = _cw_quarantine_find_unrelated_crash(q, entry, &entry->ends[i]);
+            out[count++] = (cw_quarantine_observation_t){
+                .kind = entry->crashes[i].is_trial ? CW_OBSERVED_TRIAL : CW_OBSERVED_CRASH,
+                .request = entry->request,
+                .incarnation = entry->crashes[i].incarnation,
+                .age_ms = _cw_quarantine_age_ms(entry->crashes[i].at_ms, now_ms)};
+            const _cw_incarnation_event_t* unrelated =
+                _cw_quarantine_find_unrelated_crash(q, entry, &entry->crashes[i]);
             if (unrelated) {
-                out[count++] = (cw_mark_t){.kind = CW_MARK_ENDED,
-                                           .life = unrelated->life,
-                                           .age_ms = _cw_quarantine_age_ms(unrelated->at_ms, now_ms)};
+                out[count++] = (cw_quarantine_observation_t){.kind = CW_OBSERVED_CRASH,
+                                                             .incarnation = unrelated->incarnation,
+                                                             .age_ms = _cw_quarantine_age_ms(unrelated->at_ms, now_ms)};
             }
         }
     }
     return count;
 }
 
-bool cw_quarantine_next(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out) {
+bool cw_quarantine_next_entry(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out) {
     cw_verdict_t verdict;
     const _cw_tracked_request_t* entry = _cw_quarantine_next_restricted(q, now_ms, at, &verdict);
     if (!entry) {
@@ -644,14 +652,14 @@
     return true;
 }
 
-bool cw_quarantine_newly_held(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out) {
+bool cw_quarantine_next_newly_quarantined(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out) {
     for (uint32_t i = 0; i < q->used_count && now_ms < q->scan_until_ms; i++) {
         _cw_tracked_request_t* entry = &q->entries[i];
         if (!entry->is_used || entry->is_announced || entry->count < _CW_QUARANTINE_TRIAL_CRASHES) {
             continue;
         }
         cw_verdict_t verdict = _cw_quarantine_decide(q, entry, now_ms);
-        if (verdict.kind == CW_VERDICT_HELD) {
+        if (verdict.kind == CW_VERDICT_QUARANTINED) {
             entry->is_announced = true;
             *out = _cw_quarantine_describe(entry, &verdict, now_ms);
             return true;
@@ -661,7 +669,7 @@
 }
 
 cw_quarantine_stats_t cw_quarantine_stats(cw_quarantine_t* q, int64_t now_ms) {
-    cw_quarantine_stats_t stats = {.pushed_out = q->pushed_out};
+    cw_quarantine_stats_t stats = {.evicted = q->evicted};
     for (uint32_t i = 0; i < q->used_count; i++) {
         _cw_tracked_request_t* entry = &q->entries[i];
         if (entry->is_used) {
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -20,23 +20,23 @@
         The rate is active while responses advertise it. Responses can
         overtake each other, so one counts as newer than another only if its
         request was sent after the other one had arrived, or if it arrived
-        more than CW_RATE_DELAY_MS later. A rate that no response has
-        confirmed or withdrawn for CW_RATE_FORGET_MS expires. Until then,
+        more than CW_RATE_RESPONSE_DELAY_MAX_MS later. A rate that no response has
+        confirmed or withdrawn for CW_RATE_EXPIRY_MS expires. Until then,
         owners send a request from time to time even with a rate of 0, so
         that they notice its withdrawal.
 
     HOW TO USE IT
             cw_rate_t rate = {0};                            // no rate is advertised
-            cw_rate_named(&rate, sent_ms, now_ms, 2.5);      // a response advertises one
+            cw_rate_on_advertised(&rate, sent_ms, now_ms, 2.5);      // a response advertises one
             cw_rate_set_hosts(&rate, now_ms, &hosts);        // after any change of the rate or the hosts
             if (!cw_rate_wait_ms(&rate, now_ms)) {
-                cw_rate_take(&rate, now_ms);                 // and send
+                cw_rate_on_send(&rate, now_ms);                 // and send
             }
-            cw_rate_lifted(&rate, sent_ms, now_ms);          // a response advertises none
+            cw_rate_on_withdrawn(&rate, sent_ms, now_ms);          // a response advertises none
 
     WHAT IT DOES NOT DO
         It does not communicate: observations of other hosts are passed in
-        with cw_rate_heard. Hosts whose lists of hosts differ for a moment
+        with cw_rate_on_peer. Hosts whose lists of hosts differ for a moment
         may both take themselves for owners; the sum of their shares is
         bounded by twice the rate.
 
@@ -46,25 +46,25 @@
 #include "chalkway_limit.h"
 #include "chalkway_place.h"
 
-#define CW_RATE_DELAY_MS 500    /* assumed longest transit time of a response's head */
-#define CW_RATE_FORGET_MS 30000 /* a rate expires when no response has mentioned it for so long */
+#define CW_RATE_RESPONSE_DELAY_MAX_MS 500 /* assumed longest transit time of a response's head */
+#define CW_RATE_EXPIRY_MS 30000           /* a rate expires when no response has mentioned it for so long */
 #define CW_RATE_NEVER UINT32_MAX
 
-typedef enum cw_rate_said_t {
+typedef enum cw_rate_state_t {
     CW_RATE_UNKNOWN = 0, /* no response has advertised a rate */
-    CW_RATE_NAMED,
-    CW_RATE_LIFTED, /* responses no longer advertise it */
-    CW_RATE_SAID_COUNT
-} cw_rate_said_t;
+    CW_RATE_ADVERTISED,
+    CW_RATE_WITHDRAWN, /* responses no longer advertise it */
+    CW_RATE_STATE_COUNT
+} cw_rate_state_t;
 
 /* State of a server's rate as observed in a response. */
-typedef struct cw_rate_word_t {
-    cw_rate_said_t said;
+typedef struct cw_rate_observation_t {
+    cw_rate_state_t state;
     double per_s; /* requests per second, of all hosts together */
     /* Time of the observation: the latest one at which the server can have advertised the rate, or the earliest one
        from which it certainly no longer did. */
     int64_t at_ms;
-} cw_rate_word_t;
+} cw_rate_observation_t;
 
 /* The hosts that share a server's rate. */
 typedef struct cw_rate_hosts_t {
@@ -77,30 +77,30 @@
 
 /* All zero: no rate is advertised. */
 typedef struct cw_rate_t {
-    cw_rate_word_t word; /* the active one, whichever host observed it */
-    cw_rate_word_t own;  /* the last one in this host's own responses */
-    int64_t named_ms, lifted_ms;
+    cw_rate_observation_t observation; /* the active one, whichever host observed it */
+    cw_rate_observation_t own;         /* the last one in this host's own responses */
+    int64_t advertised_ms, withdrawn_ms;
     uint32_t owners;
-    bool mine; /* this host is one of the owners */
-    cw_bucket_t part;
+    bool is_owner; /* this host is one of the owners */
+    cw_bucket_t share_bucket;
 } cw_rate_t;
 
 /* Records a response that has just arrived and advertises a rate, or none; its request was sent at sent_ms. True: the
    active rate changed. */
-bool cw_rate_named(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s);
-bool cw_rate_lifted(cw_rate_t* r, int64_t sent_ms, int64_t now_ms);
-/* Records the observation of another host; reach_ms: longest time that it was in transit. True: as above. */
-bool cw_rate_heard(cw_rate_t* r, const cw_rate_word_t* word, uint32_t reach_ms);
+bool cw_rate_on_advertised(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s);
+bool cw_rate_on_withdrawn(cw_rate_t* r, int64_t sent_ms, int64_t now_ms);
+/* Records the observation of another host; propagation_ms: longest time that it was in transit. True: as above. */
+bool cw_rate_on_peer(cw_rate_t* r, const cw_rate_observation_t* observation, uint32_t propagation_ms);
 /* Whether a rate is active. */
-bool cw_rate_holds(const cw_rate_t* r, int64_t now_ms);
+bool cw_rate_is_active(const cw_rate_t* r, int64_t now_ms);
 /* Observation that this host has to send to its peers; CW_RATE_UNKNOWN where theirs is newer or its own has expired. */
-cw_rate_word_t cw_rate_tell(const cw_rate_t* r, int64_t now_ms);
+cw_rate_observation_t cw_rate_to_send(const cw_rate_t* r, int64_t now_ms);
 /* Recomputes this host's share. */
 void cw_rate_set_hosts(cw_rate_t* r, int64_t now_ms, const cw_rate_hosts_t* hosts);
 /* Time until this host may send a request to the server; 0: now, CW_RATE_NEVER: not while other hosts own the rate. */
 uint32_t cw_rate_wait_ms(const cw_rate_t* r, int64_t now_ms);
 /* Records that a request is sent to the server. */
-void cw_rate_take(cw_rate_t* r, int64_t now_ms);
+void cw_rate_on_send(cw_rate_t* r, int64_t now_ms);
 
 #endif /* CHALKWAY_RATE_H */
 
@@ -118,99 +118,100 @@
 
 /* The earliest time at which the server can have written the head of a response that arrives now. */
 static int64_t _cw_rate_earliest_ms(int64_t sent_ms, int64_t now_ms) {
-    int64_t delayed_ms = now_ms - CW_RATE_DELAY_MS;
+    int64_t delayed_ms = now_ms - CW_RATE_RESPONSE_DELAY_MAX_MS;
     return sent_ms > delayed_ms ? sent_ms : delayed_ms;
 }
 
-bool cw_rate_holds(const cw_rate_t* r, int64_t now_ms) {
-    return r->word.said == CW_RATE_NAMED && now_ms - r->named_ms <= CW_RATE_FORGET_MS;
+bool cw_rate_is_active(const cw_rate_t* r, int64_t now_ms) {
+    return r->observation.state == CW_RATE_ADVERTISED && now_ms - r->advertised_ms <= CW_RATE_EXPIRY_MS;
 }
 
 /* Applies a rate that was advertised between from_ms and until_ms. If it is undecided whether this was after the active
    rate, the lower one of the two is used. */
 static bool _cw_rate_apply_advertised(cw_rate_t* r, int64_t from_ms, int64_t until_ms, double per_s) {
-    if (until_ms <= r->lifted_ms) {
+    if (until_ms <= r->withdrawn_ms) {
         return false;
     }
-    bool was_active = cw_rate_holds(r, until_ms);
-    bool is_newer = !was_active || from_ms > r->named_ms;
-    double value = is_newer || per_s < r->word.per_s ? per_s : r->word.per_s;
-    bool changed = !was_active || value != r->word.per_s;
-    r->named_ms = until_ms > r->named_ms ? until_ms : r->named_ms;
-    r->word = (cw_rate_word_t){.said = CW_RATE_NAMED, .per_s = value, .at_ms = r->named_ms};
+    bool was_active = cw_rate_is_active(r, until_ms);
+    bool is_newer = !was_active || from_ms > r->advertised_ms;
+    double value = is_newer || per_s < r->observation.per_s ? per_s : r->observation.per_s;
+    bool changed = !was_active || value != r->observation.per_s;
+    r->advertised_ms = until_ms > r->advertised_ms ? until_ms : r->advertised_ms;
+    r->observation = (cw_rate_observation_t){.state = CW_RATE_ADVERTISED, .per_s = value, .at_ms = r->advertised_ms};
     return changed;
 }
 
 static bool _cw_rate_apply_withdrawn(cw_rate_t* r, int64_t from_ms) {
-    if (from_ms <= r->named_ms || from_ms <= r->lifted_ms) {
+    if (from_ms <= r->advertised_ms || from_ms <= r->withdrawn_ms) {
         return false;
     }
-    bool changed = r->word.said == CW_RATE_NAMED;
-    r->lifted_ms = from_ms;
-    r->word = (cw_rate_word_t){.said = CW_RATE_LIFTED, .at_ms = from_ms};
+    bool changed = r->observation.state == CW_RATE_ADVERTISED;
+    r->withdrawn_ms = from_ms;
+    r->observation = (cw_rate_observation_t){.state = CW_RATE_WITHDRAWN, .at_ms = from_ms};
     return changed;
 }
 
-bool cw_rate_named(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s) {
+bool cw_rate_on_advertised(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s) {
     bool changed = _cw_rate_apply_advertised(r, _cw_rate_earliest_ms(sent_ms, now_ms), now_ms, per_s);
-    r->own = (cw_rate_word_t){.said = CW_RATE_NAMED, .per_s = r->word.per_s, .at_ms = now_ms};
+    r->own = (cw_rate_observation_t){.state = CW_RATE_ADVERTISED, .per_s = r->observation.per_s, .at_ms = now_ms};
     return changed;
 }
 
-bool cw_rate_lifted(cw_rate_t* r, int64_t sent_ms, int64_t now_ms) {
+bool cw_rate_on_withdrawn(cw_rate_t* r, int64_t sent_ms, int64_t now_ms) {
     int64_t from_ms = _cw_rate_earliest_ms(sent_ms, now_ms);
-    if (!r->named_ms) {
+    if (!r->advertised_ms) {
         return false;
     }
     bool changed = _cw_rate_apply_withdrawn(r, from_ms);
-    if (r->word.said == CW_RATE_LIFTED) {
-        r->own = r->word;
+    if (r->observation.state == CW_RATE_WITHDRAWN) {
+        r->own = r->observation;
     }
     return changed;
 }
 
-bool cw_rate_heard(cw_rate_t* r, const cw_rate_word_t* word, uint32_t reach_ms) {
-    if (word->said == CW_RATE_UNKNOWN) {
+bool cw_rate_on_peer(cw_rate_t* r, const cw_rate_observation_t* observation, uint32_t propagation_ms) {
+    if (observation->state == CW_RATE_UNKNOWN) {
         return false;
     }
-    return word->said == CW_RATE_NAMED
-               ? _cw_rate_apply_advertised(r, word->at_ms - CW_RATE_DELAY_MS, word->at_ms, word->per_s)
-               : _cw_rate_apply_withdrawn(r, word->at_ms - reach_ms);
+    return observation->state == CW_RATE_ADVERTISED
+               ? _cw_rate_apply_advertised(r, observation->at_ms - CW_RATE_RESPONSE_DELAY_MAX_MS, observation->at_ms,
+                                           observation->per_s)
+               : _cw_rate_apply_withdrawn(r, observation->at_ms - propagation_ms);
 }
 
-cw_rate_word_t cw_rate_tell(const cw_rate_t* r, int64_t now_ms) {
-    bool is_newest = r->own.at_ms + _CW_RATE_REDUNDANT_MS >= r->word.at_ms;
-    bool is_current = r->own.said != CW_RATE_UNKNOWN && is_newest && now_ms - r->own.at_ms <= CW_RATE_FORGET_MS;
-    return is_current ? r->own : (cw_rate_word_t){0};
+cw_rate_observation_t cw_rate_to_send(const cw_rate_t* r, int64_t now_ms) {
+    bool is_newest = r->own.at_ms + _CW_RATE_REDUNDANT_MS >= r->observation.at_ms;
+    bool is_current = r->own.state != CW_RATE_UNKNOWN && is_newest && now_ms - r->own.at_ms <= CW_RATE_EXPIRY_MS;
+    return is_current ? r->own : (cw_rate_observation_t){0};
 }
 
 void cw_rate_set_hosts(cw_rate_t* r, int64_t now_ms, const cw_rate_hosts_t* hosts) {
-    if (r->word.said != CW_RATE_NAMED) {
+    if (r->observation.state != CW_RATE_ADVERTISED) {
         return;
     }
-    double per_s = r->word.per_s > _CW_RATE_MIN_PER_S ? r->word.per_s : _CW_RATE_MIN_PER_S;
+    double per_s = r->observation.per_s > _CW_RATE_MIN_PER_S ? r->observation.per_s : _CW_RATE_MIN_PER_S;
     uint32_t count = hosts->count ? hosts->count : 1;
     double owners_needed = ceil(per_s / _CW_RATE_OWNER_PER_S);
-    bool was_owner = r->mine;
+    bool was_owner = r->is_owner;
     r->owners = owners_needed < count ? (uint32_t)owners_needed : count;
-    r->mine = !hosts->count || cw_place_rank(hosts->server, hosts->own, hosts->ids, count) < r->owners;
+    r->is_owner = !hosts->count || cw_rendezvous_rank(hosts->server, hosts->own, hosts->ids, count) < r->owners;
     if (!was_owner) {
-        r->part = (cw_bucket_t){.started = true, .at_ms = now_ms};
+        r->share_bucket = (cw_bucket_t){.started = true, .at_ms = now_ms};
     }
     double share = (double)count / (count + hosts->missing);
-    cw_bucket_set_rate(&r->part, now_ms, per_s * share / r->owners, _CW_RATE_BURST);
+    cw_bucket_set_rate(&r->share_bucket, now_ms, per_s * share / r->owners, _CW_RATE_BURST);
 }
 
 uint32_t cw_rate_wait_ms(const cw_rate_t* r, int64_t now_ms) {
-    if (!cw_rate_holds(r, now_ms)) {
+    if (!cw_rate_is_active(r, now_ms)) {
         return 0;
     }
-    return r->mine ? cw_bucket_wait_ms(&r->part, now_ms, 1) : CW_RATE_NEVER;
+    return r->is_owner ? cw_bucket_wait_ms(&r->share_bucket, now_ms, 1) : CW_RATE_NEVER;
 }
 
-void cw_rate_take(cw_rate_t* r, int64_t now_ms) {
-    if (cw_rate_holds(r, now_ms) && r->mine) {
-        cw_bucket_take(&r->part, now_ms, 1);
+void cw_rate_on_send(cw_rate_t* r, int64_t now_ms) {
+    if (cw_rate_is_active(r, now_ms) && r->is_owner) {
+        cw_bucket_take(&r->share_bucket, now_ms, 1);
     }
 }
 
--- a/chalkway_reader.h
+++ b/chalkway_reader.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_READER_H
-#define CHALKWAY_READER_H
+#ifndef CHALKWAY_POLL_H
+#define CHALKWAY_POLL_H
 /*
     chalkway_reader.h -- when a daemon polls a source that its fleet shares
 
@@ -17,9 +17,9 @@
         and the others get the state from them.
 
     HOW TO USE IT
-            cw_reader_t r = {.read_ms = 400, .rank = rank, .started_ms = now_ms, .seed = host};
-            if (cw_reader_due(&r, confirmed_ms, now_ms)) { poll }
-            failed: next_ms = now_ms + cw_reader_pause_ms(&r, failures, draw);
+            cw_poll_t r = {.poll_age_ms = 400, .rank = rank, .started_ms = now_ms, .seed = host};
+            if (cw_poll_is_due(&r, confirmed_ms, now_ms)) { poll }
+            failed: next_ms = now_ms + cw_poll_backoff_ms(&r, failures, draw);
 
     WHAT IT DOES NOT DO
         It does not poll and does not track membership.
@@ -29,33 +29,34 @@
 */
 #include "chalkway_core.h"
 
-#define CW_READER_NEVER INT64_MIN /* confirmed_ms before there is any state */
-
-typedef struct cw_reader_t {
-    uint32_t read_ms;   /* age of the state at which the daemon of the first rank polls again */
-    uint32_t rank;      /* 0: first */
-    uint32_t daemons;   /* number of live daemons, including this one; 0: no more than the first ranks */
-    uint32_t late_ms;   /* age at which the daemon of the last rank polls, 0: the same for all beyond the first ranks */
-    int64_t started_ms; /* start of this daemon */
-    bool nobody_calls;  /* first start of the whole system: without callers, a daemon can wait for others' polls */
-    uint64_t seed;      /* of this host, for jitter at the start */
-} cw_reader_t;
-
-/* Whether to poll now. true_ms: time at which the state was last confirmed by the source, by any daemon's poll;
-   CW_READER_NEVER: there is no state. */
-bool cw_reader_due(const cw_reader_t* r, int64_t true_ms, int64_t now_ms);
+#define CW_POLL_NEVER INT64_MIN /* confirmed_ms before there is any state */
+
+typedef struct cw_poll_t {
+    uint32_t poll_age_ms;           /* age of the state at which the daemon of the first rank polls again */
+    uint32_t rank;                  /* 0: first */
+    uint32_t daemons;               /* number of live daemons, including this one; 0: no more than the first ranks */
+    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank polls, 0: the same for all beyond the
+                                       first ranks */
+    int64_t started_ms;             /* start of this daemon */
+    bool is_first_start; /* first start of the whole system: without callers, a daemon can wait for others' polls */
+    uint64_t seed;       /* of this host, for jitter at the start */
+} cw_poll_t;
+
+/* Whether to poll now. confirmed_ms: time at which the state was last confirmed by the source, by any daemon's poll;
+   CW_POLL_NEVER: there is no state. */
+bool cw_poll_is_due(const cw_poll_t* r, int64_t confirmed_ms, int64_t now_ms);
 /* Backoff before the next poll, after a number of consecutive failures (1 or more). draw: a random number. */
-uint32_t cw_reader_pause_ms(const cw_reader_t* r, uint32_t failures, uint64_t draw);
+uint32_t cw_poll_backoff_ms(const cw_poll_t* r, uint32_t failures, uint64_t draw);
 
-#endif /* CHALKWAY_READER_H */
+#endif /* CHALKWAY_POLL_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_READER_IMPL_INCLUDED
-#define CHALKWAY_READER_IMPL_INCLUDED
+#ifndef CHALKWAY_POLL_IMPL_INCLUDED
+#define CHALKWAY_POLL_IMPL_INCLUDED
 
 #define _CW_POLL_STEPS 5               /* first ranks; each of them polls one step later than the one before */
-#define _CW_POLL_STEP_FRACTION 0.3     /* length of a step, as a fraction of read_ms */
+#define _CW_POLL_STEP_FRACTION 0.3     /* length of a step, as a fraction of poll_age_ms */
 #define _CW_POLL_START_STEP_MS 100     /* additional delay per first rank at the start */
 #define _CW_POLL_START_RANK_MS 20      /* additional delay per rank beyond the first ones at the start */
 #define _CW_POLL_START_JITTER_MS 200   /* ms of jitter: hosts that start together do not know their ranks yet */
@@ -65,15 +66,15 @@
 #define _CW_POLL_BACKOFF_MAX_MS 1000   /* longest backoff of the first rank */
 #define _CW_POLL_BACKOFF_RANKS_MAX 50  /* rank from which the backoff does not grow further */
 
-static uint32_t _cw_poll_steps(const cw_reader_t* r) {
+static uint32_t _cw_poll_steps(const cw_poll_t* r) {
     return r->rank < _CW_POLL_STEPS ? r->rank : _CW_POLL_STEPS;
 }
 
-static int64_t _cw_poll_start_delay_ms(const cw_reader_t* r) {
+static int64_t _cw_poll_start_delay_ms(const cw_poll_t* r) {
     int64_t delay_ms = (int64_t)_cw_poll_steps(r) * _CW_POLL_START_STEP_MS;
     delay_ms += (int64_t)(cw_mix(r->seed, 0) % _CW_POLL_START_JITTER_MS);
     delay_ms += r->daemons == 1 ? _CW_POLL_START_ALONE_MS : 0;
-    if (r->nobody_calls) {
+    if (r->is_first_start) {
         return delay_ms * _CW_POLL_FIRST_START_FACTOR;
     }
     int64_t ranks_beyond = (int64_t)r->rank - _cw_poll_steps(r);
@@ -81,24 +82,24 @@
 }
 
 /* Age of the state at which this rank polls. */
-static int64_t _cw_poll_age_ms(const cw_reader_t* r) {
-    double age_ms = r->read_ms * (1 + _cw_poll_steps(r) * _CW_POLL_STEP_FRACTION);
-    if (r->rank > _CW_POLL_STEPS && r->daemons > r->rank && r->late_ms > age_ms) {
-        age_ms += (r->late_ms - age_ms) * (r->rank - _CW_POLL_STEPS) / (r->daemons - _CW_POLL_STEPS);
+static int64_t _cw_poll_age_ms(const cw_poll_t* r) {
+    double age_ms = r->poll_age_ms * (1 + _cw_poll_steps(r) * _CW_POLL_STEP_FRACTION);
+    if (r->rank > _CW_POLL_STEPS && r->daemons > r->rank && r->last_rank_poll_age_ms > age_ms) {
+        age_ms += (r->last_rank_poll_age_ms - age_ms) * (r->rank - _CW_POLL_STEPS) / (r->daemons - _CW_POLL_STEPS);
     }
     return (int64_t)age_ms;
 }
 
-bool cw_reader_due(const cw_reader_t* r, int64_t true_ms, int64_t now_ms) {
-    if (true_ms == CW_READER_NEVER) {
+bool cw_poll_is_due(const cw_poll_t* r, int64_t confirmed_ms, int64_t now_ms) {
+    if (confirmed_ms == CW_POLL_NEVER) {
         return now_ms - r->started_ms >= _cw_poll_start_delay_ms(r);
     }
-    return now_ms - true_ms >= _cw_poll_age_ms(r);
+    return now_ms - confirmed_ms >= _cw_poll_age_ms(r);
 }
 
 /* The backoff doubles up to a limit. Later ranks have a longer initial backoff and a higher limit, so that a large
    fleet polls little more often than a few daemons would. */
-uint32_t cw_reader_pause_ms(const cw_reader_t* r, uint32_t failures, uint64_t draw) {
+uint32_t cw_poll_backoff_ms(const cw_poll_t* r, uint32_t failures, uint64_t draw) {
     uint32_t ranks = r->rank < _CW_POLL_BACKOFF_RANKS_MAX ? r->rank : _CW_POLL_BACKOFF_RANKS_MAX;
     uint32_t max_backoff_ms = _CW_POLL_BACKOFF_MAX_MS + ranks * _CW_POLL_BACKOFF_MS;
     uint32_t backoff_ms = _CW_POLL_BACKOFF_MS * (1 + ranks);
@@ -109,5 +110,5 @@
     return backoff_ms / 2 + (uint32_t)(draw % (backoff_ms / 2));
 }
 
-#endif /* CHALKWAY_READER_IMPL_INCLUDED */
+#endif /* CHALKWAY_POLL_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_reading.h
+++ b/chalkway_reading.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_READING_H
-#define CHALKWAY_READING_H
+#ifndef CHALKWAY_PREFILL_H
+#define CHALKWAY_PREFILL_H
 /*
     chalkway_reading.h -- learned prefill time of an engine
 
@@ -16,9 +16,9 @@
         below. A sample that may include a wait can only lower the estimate.
 
     HOW TO USE IT
-            cw_reading_t r = cw_reading_new();
-            double ms = cw_reading_ms(&r, tokens);
-            cw_reading_learn(&r, tokens, took_ms, is_unqueued);
+            cw_prefill_t r = cw_prefill_init();
+            double ms = cw_prefill_ms(&r, tokens);
+            cw_prefill_learn(&r, tokens, took_ms, is_unqueued);
 
     WHAT IT DOES NOT DO
         It does not distinguish servers; the slowdown of each server relative
@@ -29,25 +29,25 @@
 */
 #include "chalkway_core.h"
 
-typedef struct cw_reading_t {
-    double base_ms;  /* fixed part */
-    double token_ms; /* for each token */
-} cw_reading_t;
+typedef struct cw_prefill_t {
+    double base_ms;      /* fixed part */
+    double ms_per_token; /* for each token */
+} cw_prefill_t;
 
 /* The estimate before the first sample. */
-cw_reading_t cw_reading_new(void);
+cw_prefill_t cw_prefill_init(void);
 /* Predicted time to the first event for a prompt of so many tokens. */
-double cw_reading_ms(const cw_reading_t* r, uint32_t tokens);
+double cw_prefill_ms(const cw_prefill_t* r, uint32_t tokens);
 /* Records a time to the first event for a prompt of so many tokens. is_unqueued: nothing is known that the prompt may
    have waited for; otherwise only a sample below the prediction counts. */
-void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool is_unqueued);
+void cw_prefill_learn(cw_prefill_t* r, uint32_t tokens, double took_ms, bool is_unqueued);
 
-#endif /* CHALKWAY_READING_H */
+#endif /* CHALKWAY_PREFILL_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_READING_IMPL_INCLUDED
-#define CHALKWAY_READING_IMPL_INCLUDED
+#ifndef CHALKWAY_PREFILL_IMPL_INCLUDED
+#define CHALKWAY_PREFILL_IMPL_INCLUDED
 
 /* Initial estimate: the order of magnitude of a large model on eight accelerators, and one step of an engine. */
 #define _CW_PREFILL_INITIAL_MS_PER_TOKEN 0.02
@@ -59,29 +59,29 @@
 #define _CW_PREFILL_BASE_MIN_MS 1.0
 #define _CW_PREFILL_MIN_MS_PER_TOKEN 1e-4
 
-cw_reading_t cw_reading_new(void) {
-    return (cw_reading_t){.base_ms = _CW_PREFILL_INITIAL_BASE_MS, .token_ms = _CW_PREFILL_INITIAL_MS_PER_TOKEN};
+cw_prefill_t cw_prefill_init(void) {
+    return (cw_prefill_t){.base_ms = _CW_PREFILL_INITIAL_BASE_MS, .ms_per_token = _CW_PREFILL_INITIAL_MS_PER_TOKEN};
 }
 
-double cw_reading_ms(const cw_reading_t* r, uint32_t tokens) {
-    return r->base_ms + r->token_ms * tokens;
+double cw_prefill_ms(const cw_prefill_t* r, uint32_t tokens) {
+    return r->base_ms + r->ms_per_token * tokens;
 }
 
-void cw_reading_learn(cw_reading_t* r, uint32_t tokens, double took_ms, bool is_unqueued) {
-    double expected_ms = cw_reading_ms(r, tokens);
+void cw_prefill_learn(cw_prefill_t* r, uint32_t tokens, double took_ms, bool is_unqueued) {
+    double expected_ms = cw_prefill_ms(r, tokens);
     bool is_above = took_ms > expected_ms;
     if (is_above && !is_unqueued) {
         return;
     }
     /* Each part is corrected by its share of the prediction: short prompts mainly correct the fixed part, long ones the
        part for each token. */
-    double token_share = r->token_ms * tokens / expected_ms;
+    double token_share = r->ms_per_token * tokens / expected_ms;
     double step = is_above ? _CW_PREFILL_STEP_UP : -_CW_PREFILL_STEP_DOWN;
-    r->token_ms *= 1 + step * token_share;
+    r->ms_per_token *= 1 + step * token_share;
     r->base_ms *= 1 + step * (1 - token_share);
-    r->token_ms = r->token_ms > _CW_PREFILL_MIN_MS_PER_TOKEN ? r->token_ms : _CW_PREFILL_MIN_MS_PER_TOKEN;
+    r->ms_per_token = r->ms_per_token > _CW_PREFILL_MIN_MS_PER_TOKEN ? r->ms_per_token : _CW_PREFILL_MIN_MS_PER_TOKEN;
     r->base_ms = r->base_ms > _CW_PREFILL_BASE_MIN_MS ? r->base_ms : _CW_PREFILL_BASE_MIN_MS;
 }
 
-#endif /* CHALKWAY_READING_IMPL_INCLUDED */
+#endif /* CHALKWAY_PREFILL_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -24,7 +24,7 @@
 
     HOW TO USE IT
             cw_relay_plan_t plan = cw_relay_plan(live);
-            sort the hosts of a hall by cw_relay_before;
+            sort the hosts of a hall by cw_relay_ranks_before;
             uint32_t relays = cw_relay_count(&plan, links, count); // the first ones
             uint32_t i = cw_relay_choose(ids, relays, &plan, own_id, random); // relay to send to
 
@@ -39,17 +39,17 @@
 
 /* Parameters of forwarding. */
 typedef struct cw_relay_plan_t {
-    bool all;           /* every host is a relay: it sends its own updates itself */
-    uint32_t gather_ms; /* time for which a relay batches updates, 0: it forwards each at once */
-    uint32_t reach_ms;  /* time until an update has reached all hosts, without loss */
-    uint32_t direct_ms; /* the same for an update sent directly to each host */
-    uint32_t repeat_ms; /* interval at which unchanged state is sent again, since datagrams get lost */
+    bool is_full_mesh;              /* every host is a relay: it sends its own updates itself */
+    uint32_t batch_ms;              /* time for which a relay batches updates, 0: it forwards each at once */
+    uint32_t propagation_ms;        /* time until an update has reached all hosts, without loss */
+    uint32_t direct_propagation_ms; /* the same for an update sent directly to each host */
+    uint32_t resend_ms;             /* interval at which unchanged state is sent again, since datagrams get lost */
 } cw_relay_plan_t;
 
 /* Plan for a fleet with this number of live hosts. */
 cw_relay_plan_t cw_relay_plan(uint32_t live);
 /* Whether a ranks before b in the order common to all hosts. */
-bool cw_relay_before(const cw_member_info_t* a, const cw_member_info_t* b);
+bool cw_relay_ranks_before(const cw_member_info_t* a, const cw_member_info_t* b);
 /* Number of relays of a hall; they are the first of its hosts in that order. link_mbps has the links of its count hosts
    in that order. */
 uint32_t cw_relay_count(const cw_relay_plan_t* plan, const uint32_t* link_mbps, uint32_t count);
@@ -93,22 +93,22 @@
 
 cw_relay_plan_t cw_relay_plan(uint32_t live) {
     if (live <= _CW_RELAY_FULL_MESH_MAX) {
-        return (cw_relay_plan_t){.all = true,
-                                 .reach_ms = _CW_RELAY_DATAGRAM_MS,
-                                 .direct_ms = _CW_RELAY_DATAGRAM_MS,
-                                 .repeat_ms = _CW_RELAY_RESEND_MS};
+        return (cw_relay_plan_t){.is_full_mesh = true,
+                                 .propagation_ms = _CW_RELAY_DATAGRAM_MS,
+                                 .direct_propagation_ms = _CW_RELAY_DATAGRAM_MS,
+                                 .resend_ms = _CW_RELAY_RESEND_MS};
     }
-    uint32_t gather_ms =
+    uint32_t batch_ms =
         _cw_relay_clamp(live / _CW_RELAY_HOSTS_PER_BATCH_MS, _CW_RELAY_BATCH_MIN_MS, _CW_RELAY_BATCH_MAX_MS);
     return (cw_relay_plan_t){
-        .gather_ms = gather_ms,
-        .reach_ms =
-            2 * gather_ms + _CW_RELAY_DATAGRAM_MS, /* batched by a relay of the sender's hall and of the receiver's */
-        .direct_ms = 2 * _CW_RELAY_DATAGRAM_MS,    /* the sender briefly waits for further updates */
-        .repeat_ms = _cw_relay_clamp(_CW_RELAY_RESEND_MS + live, _CW_RELAY_RESEND_MS, _CW_RELAY_RESEND_MAX_MS)};
+        .batch_ms = batch_ms,
+        .propagation_ms =
+            2 * batch_ms + _CW_RELAY_DATAGRAM_MS, /* batched by a relay of the sender's hall and of the receiver's */
+        .direct_propagation_ms = 2 * _CW_RELAY_DATAGRAM_MS, /* the sender briefly waits for further updates */
+        .resend_ms = _cw_relay_clamp(_CW_RELAY_RESEND_MS + live, _CW_RELAY_RESEND_MS, _CW_RELAY_RESEND_MAX_MS)};
 }
 
-bool cw_relay_before(const cw_member_info_t* a, const cw_member_info_t* b) {
+bool cw_relay_ranks_before(const cw_member_info_t* a, const cw_member_info_t* b) {
     if (a->link_mbps != b->link_mbps) {
         return a->link_mbps > b->link_mbps;
     }
@@ -116,7 +116,7 @@
 }
 
 uint32_t cw_relay_count(const cw_relay_plan_t* plan, const uint32_t* link_mbps, uint32_t count) {
-    if (plan->all) {
+    if (plan->is_full_mesh) {
         return count;
     }
     uint64_t needed_mbps = (uint64_t)count * _CW_RELAY_MBPS_PER_HOST;
@@ -135,10 +135,10 @@
 uint32_t cw_relay_choose(const uint64_t* relays, uint32_t count, const cw_relay_plan_t* plan, uint64_t own,
                          uint64_t random) {
     assert(count);
-    if (!plan->gather_ms) {
+    if (!plan->batch_ms) {
         return (uint32_t)(random % count);
     }
-    uint64_t chosen = cw_place_owner(own, relays, count);
+    uint64_t chosen = cw_rendezvous_owner(own, relays, count);
     for (uint32_t i = 0; i < count; i++) {
         if (relays[i] == chosen) {
             return i;
--- a/chalkway_runonce.h
+++ b/chalkway_runonce.h
@@ -19,8 +19,8 @@
             cw_ticket_t ticket = cw_runonce_ticket(t, now_ms);   // for the lookup response
             cw_runonce_begin_t b = cw_runonce_begin(t, now_ms, workspace, key, body_hash);
             switch (b.verdict) { case CW_RUN_NEW: ... }
-            cw_runonce_keep(t, b.record, response, bytes);       // it ran: store the response
-            cw_runonce_release(t, b.record);                     // it provably did not run
+            cw_runonce_complete(t, b.record, response, bytes);       // it ran: store the response
+            cw_runonce_abort(t, b.record);                     // it provably did not run
 
     WHAT IT DOES NOT DO
         It stores responses as opaque pointers and does not send them. The
@@ -33,7 +33,7 @@
 #include "chalkway_map.h"
 
 #define CW_TICKET_MAX 128
-#define CW_CALL_NAME_MAX 192
+#define CW_IDEMPOTENCY_KEY_MAX 192
 #define CW_RUN_NONE UINT32_MAX
 
 typedef struct cw_ticket_t {
@@ -41,30 +41,30 @@
 } cw_ticket_t;
 
 typedef enum cw_run_verdict_t {
-    CW_RUN_NEW = 0,   /* run it, then call cw_runonce_keep or cw_runonce_release */
-    CW_RUN_JOIN,      /* the same call is running: wait for its response */
-    CW_RUN_KEPT,      /* it has run: replay the stored response */
-    CW_RUN_LOST,      /* it has run; the response is no longer stored */
-    CW_RUN_UNKNOWN,   /* another process's ticket or an expired one: never run it here */
-    CW_RUN_NO_TICKET, /* the key contains no ticket: refuse, not run */
-    CW_RUN_MISMATCH,  /* the key was used with another body: refuse, this call did not run */
-    CW_RUN_FULL       /* the table is full: refuse, not run */
+    CW_RUN_NEW = 0,       /* run it, then call cw_runonce_complete or cw_runonce_abort */
+    CW_RUN_JOIN,          /* the same call is running: wait for its response */
+    CW_RUN_REPLAY,        /* it has run: replay the stored response */
+    CW_RUN_RESPONSE_LOST, /* it has run; the response is no longer stored */
+    CW_RUN_UNKNOWN,       /* another process's ticket or an expired one: never run it here */
+    CW_RUN_NO_TICKET,     /* the key contains no ticket: refuse, not run */
+    CW_RUN_MISMATCH,      /* the key was used with another body: refuse, this call did not run */
+    CW_RUN_FULL           /* the table is full: refuse, not run */
 } cw_run_verdict_t;
 
 typedef struct cw_runonce_begin_t {
     cw_run_verdict_t verdict;
     uint32_t record; /* CW_RUN_NONE unless the verdict is one of the first four */
-    void* answer;    /* stored response, set for CW_RUN_KEPT */
+    void* response;  /* stored response, set for CW_RUN_REPLAY */
 } cw_runonce_begin_t;
 
 typedef struct cw_runonce_desc_t {
-    const char* host;                                   /* name, without '~' and '/' */
-    uint64_t incarnation;                               /* random at process start */
-    uint32_t ticket_ms;                                 /* lifetime of a ticket, default 60000 */
-    uint32_t longest_ms;                                /* longest deadline of any class, default 120000 */
-    uint32_t max_records;                               /* default 4096 */
-    size_t max_answer_bytes;                            /* of all stored responses together, default 8 MiB */
-    void (*free_answer)(void* answer, void* user_data); /* may be NULL */
+    const char* host;                                       /* name, without '~' and '/' */
+    uint64_t incarnation;                                   /* random at process start */
+    uint32_t ticket_ms;                                     /* lifetime of a ticket, default 60000 */
+    uint32_t max_deadline_ms;                               /* longest deadline of any class, default 120000 */
+    uint32_t max_records;                                   /* default 4096 */
+    size_t max_response_bytes;                              /* of all stored responses together, default 8 MiB */
+    void (*free_response)(void* response, void* user_data); /* may be NULL */
     void* user_data;
     cw_allocator_t allocator;
 } cw_runonce_desc_t;
@@ -77,10 +77,10 @@
 cw_runonce_begin_t cw_runonce_begin(cw_runonce_t* t, int64_t now_ms, uint64_t workspace, const char* key,
                                     uint64_t body_hash);
 /* The call ran or may have run: its key must not run again. Takes ownership of the response, which may be NULL; frees
-   the oldest responses when all together exceed max_answer_bytes. */
-void cw_runonce_keep(cw_runonce_t* t, uint32_t record, void* answer, size_t bytes);
+   the oldest responses when all together exceed max_response_bytes. */
+void cw_runonce_complete(cw_runonce_t* t, uint32_t record, void* response, size_t bytes);
 /* The call provably did not run: its key may be used again. */
-void cw_runonce_release(cw_runonce_t* t, uint32_t record);
+void cw_runonce_abort(cw_runonce_t* t, uint32_t record);
 uint32_t cw_runonce_count(const cw_runonce_t* t);
 /* Memory of the table itself, without the stored responses. */
 size_t cw_runonce_bytes(const cw_runonce_t* t);
@@ -106,10 +106,10 @@
     uint64_t hash; /* of workspace and key */
     uint64_t workspace;
     uint64_t body_hash;
-    void* answer;
+    void* response;
     size_t bytes;
     uint32_t next; /* in the free list, or in the list of records with a response, oldest first */
-    char key[CW_CALL_NAME_MAX];
+    char key[CW_IDEMPOTENCY_KEY_MAX];
 } _cw_run_record_t;
 
 struct cw_runonce_t {
@@ -126,9 +126,9 @@
 static cw_runonce_desc_t _cw_runonce_desc_defaults(const cw_runonce_desc_t* desc) {
     cw_runonce_desc_t d = *desc;
     d.ticket_ms = d.ticket_ms ? d.ticket_ms : 60000;
-    d.longest_ms = d.longest_ms ? d.longest_ms : 120000;
+    d.max_deadline_ms = d.max_deadline_ms ? d.max_deadline_ms : 120000;
     d.max_records = d.max_records ? d.max_records : 4096;
-    d.max_answer_bytes = d.max_answer_bytes ? d.max_answer_bytes : (size_t)8 << 20;
+    d.max_response_bytes = d.max_response_bytes ? d.max_response_bytes : (size_t)8 << 20;
     return d;
 }
 
@@ -149,11 +149,11 @@
 }
 
 static void _cw_run_free_response(cw_runonce_t* t, _cw_run_record_t* r) {
-    if (r->answer && t->desc.free_answer) {
-        t->desc.free_answer(r->answer, t->desc.user_data);
+    if (r->response && t->desc.free_response) {
+        t->desc.free_response(r->response, t->desc.user_data);
     }
     t->response_bytes -= r->bytes;
-    r->answer = NULL;
+    r->response = NULL;
     r->bytes = 0;
 }
 
@@ -185,7 +185,7 @@
     _cw_run_parsed_t p = {0};
     const char* host_end = strchr(key, '~');
     const char* slash = strchr(key, '/');
-    if (!host_end || !slash || slash < host_end || !slash[1] || strlen(key) >= CW_CALL_NAME_MAX) {
+    if (!host_end || !slash || slash < host_end || !slash[1] || strlen(key) >= CW_IDEMPOTENCY_KEY_MAX) {
         return p;
     }
     char* end = NULL;
@@ -249,10 +249,10 @@
     } else if (r->state == _CW_RUN_RUNNING) {
         b.verdict = CW_RUN_JOIN;
     } else if (r->state == _CW_RUN_STORED) {
-        b.verdict = CW_RUN_KEPT;
-        b.answer = r->answer;
+        b.verdict = CW_RUN_REPLAY;
+        b.response = r->response;
     } else {
-        b.verdict = CW_RUN_LOST;
+        b.verdict = CW_RUN_RESPONSE_LOST;
     }
     return b;
 }
@@ -287,17 +287,17 @@
     *r = (_cw_run_record_t){.state = _CW_RUN_RUNNING, .hash = hash, .workspace = workspace, .body_hash = body_hash};
     cw_copy(r->key, sizeof(r->key), key);
     cw_map_put(&t->by_key, hash, record);
-    cw_heap_set(&t->expiry, record, (double)(p.expiry_ms + t->desc.longest_ms));
+    cw_heap_set(&t->expiry, record, (double)(p.expiry_ms + t->desc.max_deadline_ms));
     return (cw_runonce_begin_t){.verdict = CW_RUN_NEW, .record = record};
 }
 
-void cw_runonce_keep(cw_runonce_t* t, uint32_t record, void* answer, size_t bytes) {
+void cw_runonce_complete(cw_runonce_t* t, uint32_t record, void* response, size_t bytes) {
     _cw_run_record_t* r = &t->records[record];
     assert(r->state == _CW_RUN_RUNNING);
-    r->answer = answer;
+    r->response = response;
     r->bytes = bytes;
     t->response_bytes += bytes;
-    if (!answer || bytes > t->desc.max_answer_bytes) {
+    if (!response || bytes > t->desc.max_response_bytes) {
         r->state = _CW_RUN_DROPPED;
         _cw_run_free_response(t, r);
         return;
@@ -310,14 +310,14 @@
         t->records[t->newest].next = record;
     }
     t->newest = record;
-    while (t->response_bytes > t->desc.max_answer_bytes) {
+    while (t->response_bytes > t->desc.max_response_bytes) {
         uint32_t old = t->oldest;
         _cw_run_drop_response(t, old);
         t->records[old].state = _CW_RUN_DROPPED;
     }
 }
 
-void cw_runonce_release(cw_runonce_t* t, uint32_t record) {
+void cw_runonce_abort(cw_runonce_t* t, uint32_t record) {
     assert(t->records[record].state == _CW_RUN_RUNNING);
     _cw_run_remove(t, record);
 }
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -13,12 +13,12 @@
 
         A server may restart under the same id and has then lost its caches
         and its requests. An incarnation is therefore identified by id and
-        start time (cw_server_life). leaving, cold_ms, started_ms and
+        start time (cw_server_incarnation_id). leaving, cold_ms, started_ms and
         revision are optional; a source without start times has to give each
         incarnation an id of its own.
 
         One table of fields validates the entries of all sources, which
-        differ in the names of the fields only: see cw_server_names_t and
+        differ in the names of the fields only: see cw_server_field_names_t and
         cw_server_parse. An invalid entry adds no server.
 
         A hall may be closed for a while: its servers stay on the list but
@@ -27,8 +27,8 @@
 
     HOW TO USE IT
             cw_servers_t list = {0};
-            if (cw_servers_read(&list, text, size, &err) == CW_OK) { ... }
-            char* text = cw_servers_text(&list);    // free it with free()
+            if (cw_servers_from_json(&list, text, size, &err) == CW_OK) { ... }
+            char* text = cw_servers_to_json(&list);    // free it with free()
             cw_servers_free(&list);
 
     WHAT IT DOES NOT DO
@@ -54,7 +54,7 @@
 } cw_server_t;
 
 /* Names that a source gives to the fields of an entry; NULL: the source does not have the field. */
-typedef struct cw_server_names_t {
+typedef struct cw_server_field_names_t {
     const char* address;
     const char* pool;
     const char* hall;
@@ -65,10 +65,10 @@
     const char* state;         /* a text with one of the next two values, for sources without leaving */
     const char* state_ready;   /* value of state */
     const char* state_leaving; /* value of state */
-    const char* other_text;    /* a text that is required but not used */
-    const char* other_count;   /* an integer that is required but not used */
+    const char* unused_text;   /* a text that is required but not used */
+    const char* unused_count;  /* an integer that is required but not used */
     bool strict;               /* leaving or state, and cold_ms, are required */
-} cw_server_names_t;
+} cw_server_field_names_t;
 
 /* Why an entry is invalid. */
 typedef struct cw_server_fault_t {
@@ -77,46 +77,46 @@
 } cw_server_fault_t;
 
 /* Invalid entries that were refused while the list was read; cw_servers_copy does not copy them. */
-typedef struct cw_refused_t {
+typedef struct cw_refused_entries_t {
     uint32_t count;
     char key[CW_NAME_MAX]; /* of the last refused entry, truncated */
     cw_server_fault_t fault;
-} cw_refused_t;
+} cw_refused_entries_t;
 
 #define CW_CLOSED_MAX 16 /* halls closed at the same time; more than any region has */
 
 /* Halls whose servers get no new requests. */
-typedef struct cw_closed_t {
+typedef struct cw_closed_halls_t {
     int64_t at; /* source revision of this set, 0: unknown */
     uint32_t count;
     char halls[CW_CLOSED_MAX][CW_NAME_MAX];
-} cw_closed_t;
+} cw_closed_halls_t;
 
 typedef struct cw_servers_t {
-    cw_closed_t closed;
+    cw_closed_halls_t closed;
     int64_t at;      /* source revision up to which the list includes every change */
     uint32_t age_ms; /* time since it was read from the source, when it was sent */
-    cw_refused_t refused;
+    cw_refused_entries_t refused;
     uint32_t count, capacity;
     cw_server_t* items;
 } cw_servers_t;
 
 /* Reads the JSON form; one invalid entry makes it refuse the whole list. The list must be empty. */
-cw_status_t cw_servers_read(cw_servers_t* list, const char* text, size_t size, cw_error_t* err);
+cw_status_t cw_servers_from_json(cw_servers_t* list, const char* text, size_t size, cw_error_t* err);
 /* Returns the JSON form, which the caller frees with free(). */
-char* cw_servers_text(const cw_servers_t* list);
+char* cw_servers_to_json(const cw_servers_t* list);
 struct json_t;
 /* Reads and validates one entry. Returns false and sets fault when it is invalid. */
-bool cw_server_parse(cw_server_t* server, const char* id, const struct json_t* entry, const cw_server_names_t* names,
-                     cw_server_fault_t* fault);
+bool cw_server_parse(cw_server_t* server, const char* id, const struct json_t* entry,
+                     const cw_server_field_names_t* names, cw_server_fault_t* fault);
 /* Counts an invalid entry and records its key and fault. */
 void cw_servers_refuse(cw_servers_t* list, const char* key, cw_server_fault_t fault);
 /* Refuses the entries without a start time if others have one: a source gives start times for all servers or none. */
-void cw_servers_drop_unstarted(cw_servers_t* list);
+void cw_servers_refuse_without_start(cw_servers_t* list);
 /* Id of this incarnation of the server: hash of its id and start time. */
-uint64_t cw_server_life(const cw_server_t* server);
+uint64_t cw_server_incarnation_id(const cw_server_t* server);
 /* Sets the servers and the closed halls as fields of a jansson object. */
-void cw_servers_json(const cw_servers_t* list, struct json_t* document);
+void cw_servers_add_to_json(const cw_servers_t* list, struct json_t* document);
 /* Appends the server without sorting the list. */
 void cw_servers_add(cw_servers_t* list, const cw_server_t* server);
 /* Sorts the list by id, as cw_servers_put and cw_servers_remove require. */
@@ -129,12 +129,12 @@
 void cw_servers_free(cw_servers_t* list);
 /* Hash of the servers' incarnations, addresses and states and of the closed halls, independent of the order and age of
    the list; never 0. */
-uint64_t cw_servers_id(const cw_servers_t* list);
+uint64_t cw_servers_hash(const cw_servers_t* list);
 /* Adds a hall unless it is already there. Returns false when the set is full. */
-bool cw_closed_add(cw_closed_t* closed, const char* hall);
-bool cw_closed_has(const cw_closed_t* closed, const char* hall);
+bool cw_closed_halls_add(cw_closed_halls_t* closed, const char* hall);
+bool cw_closed_halls_contains(const cw_closed_halls_t* closed, const char* hall);
 /* Whether both hold the same halls, in any order and at any revision. */
-bool cw_closed_equal(const cw_closed_t* a, const cw_closed_t* b);
+bool cw_closed_halls_equal(const cw_closed_halls_t* a, const cw_closed_halls_t* b);
 /* Whether all fields are equal, including cold_ms, but apart from revision. */
 bool cw_server_equal(const cw_server_t* a, const cw_server_t* b);
 /* Whether both hold equal servers in the same order, and the same closed halls. */
@@ -164,7 +164,7 @@
     list->items[list->count++] = *server;
 }
 
-bool cw_closed_has(const cw_closed_t* closed, const char* hall) {
+bool cw_closed_halls_contains(const cw_closed_halls_t* closed, const char* hall) {
     for (uint32_t i = 0; i < closed->count; i++) {
         if (strcmp(closed->halls[i], hall) == 0) {
             return true;
@@ -173,8 +173,8 @@
     return false;
 }
 
-bool cw_closed_add(cw_closed_t* closed, const char* hall) {
-    if (cw_closed_has(closed, hall)) {
+bool cw_closed_halls_add(cw_closed_halls_t* closed, const char* hall) {
+    if (cw_closed_halls_contains(closed, hall)) {
         return true;
     }
     if (closed->count == CW_CLOSED_MAX) {
@@ -184,9 +184,9 @@
     return true;
 }
 
-bool cw_closed_equal(const cw_closed_t* a, const cw_closed_t* b) {
+bool cw_closed_halls_equal(const cw_closed_halls_t* a, const cw_closed_halls_t* b) {
     for (uint32_t i = 0; i < a->count; i++) {
-        if (!cw_closed_has(b, a->halls[i])) {
+        if (!cw_closed_halls_contains(b, a->halls[i])) {
             return false;
         }
     }
@@ -251,7 +251,7 @@
     *list = (cw_servers_t){0};
 }
 
-uint64_t cw_server_life(const cw_server_t* server) {
+uint64_t cw_server_incarnation_id(const cw_server_t* server) {
     uint64_t id = cw_name_id(server->id);
     return server->started_ms ? cw_mix(id, (uint64_t)server->started_ms) : id;
 }
@@ -265,7 +265,7 @@
     }
 }
 
-void cw_servers_drop_unstarted(cw_servers_t* list) {
+void cw_servers_refuse_without_start(cw_servers_t* list) {
     uint32_t kept = 0;
     for (uint32_t i = 0; i < list->count; i++) {
         kept += list->items[i].started_ms != 0;
@@ -285,12 +285,12 @@
     list->count = kept;
 }
 
-uint64_t cw_servers_id(const cw_servers_t* list) {
+uint64_t cw_servers_hash(const cw_servers_t* list) {
     uint64_t id = 0;
     for (uint32_t i = 0; i < list->count; i++) {
         const cw_server_t* s = &list->items[i];
         uint64_t state = (uint64_t)s->leaving + 1 + 2 * (uint64_t)(s->cold_ms > 0);
-        id += cw_mix(cw_server_life(s), cw_mix(cw_name_id(s->address), state));
+        id += cw_mix(cw_server_incarnation_id(s), cw_mix(cw_name_id(s->address), state));
     }
     for (uint32_t i = 0; i < list->closed.count; i++) {
         id += cw_mix(cw_name_id(list->closed.halls[i]), list->closed.count);
@@ -305,7 +305,7 @@
 }
 
 bool cw_servers_equal(const cw_servers_t* a, const cw_servers_t* b) {
-    if (a->count != b->count || !cw_closed_equal(&a->closed, &b->closed)) {
+    if (a->count != b->count || !cw_closed_halls_equal(&a->closed, &b->closed)) {
         return false;
     }
     for (uint32_t i = 0; i < a->count; i++) {
@@ -399,7 +399,7 @@
     return NULL;
 }
 
-static const char* _cw_field_read_state(const _cw_field_t* f, const char* word, const cw_server_names_t* names) {
+static const char* _cw_field_read_state(const _cw_field_t* f, const char* word, const cw_server_field_names_t* names) {
     bool leaving = strcmp(word, names->state_leaving) == 0;
     if (!leaving && strcmp(word, names->state_ready) != 0) {
         return "unknown state";
@@ -409,7 +409,7 @@
 }
 
 /* Reads one field; returns the reason why it is invalid, or NULL. */
-static const char* _cw_field_read(const _cw_field_t* f, const json_t* entry, const cw_server_names_t* names) {
+static const char* _cw_field_read(const _cw_field_t* f, const json_t* entry, const cw_server_field_names_t* names) {
     const json_t* value = f->name ? json_object_get(entry, f->name) : NULL;
     if (!value) {
         return f->name && f->required ? "missing" : NULL;
@@ -435,7 +435,7 @@
     return NULL;
 }
 
-bool cw_server_parse(cw_server_t* server, const char* id, const json_t* entry, const cw_server_names_t* names,
+bool cw_server_parse(cw_server_t* server, const char* id, const json_t* entry, const cw_server_field_names_t* names,
                      cw_server_fault_t* fault) {
     const _cw_field_t fields[] = {
         {names->pool, _CW_FIELD_NAME, true, 0, 0, server->pool, sizeof(server->pool)},
@@ -446,8 +446,8 @@
         {names->state, _CW_FIELD_STATE, names->strict, 0, 0, &server->leaving, 0},
         {names->cold_ms, _CW_FIELD_DURATION_MS, names->strict, 0, UINT32_MAX, &server->cold_ms, 0},
         {names->started_ms, _CW_FIELD_TIMESTAMP_MS, false, 1, INT64_MAX, &server->started_ms, 0},
-        {names->other_text, _CW_FIELD_NAME, true, 0, 0, NULL, SIZE_MAX},
-        {names->other_count, _CW_FIELD_COUNT, true, 0, INT64_MAX, NULL, 0},
+        {names->unused_text, _CW_FIELD_NAME, true, 0, 0, NULL, SIZE_MAX},
+        {names->unused_count, _CW_FIELD_COUNT, true, 0, INT64_MAX, NULL, 0},
     };
     const _cw_field_t id_field = {"id", _CW_FIELD_NAME, true, 0, 0, server->id, sizeof(server->id)};
     *server = (cw_server_t){0};
@@ -463,20 +463,20 @@
 
 /* -- JSON form ------------------------------------------------------------ */
 
-static const cw_server_names_t _cw_servers_names = {.address = "address",
-                                                    .pool = "pool",
-                                                    .hall = "hall",
-                                                    .slots = "slots",
-                                                    .cold_ms = "cold_ms",
-                                                    .started_ms = "started_ms",
-                                                    .leaving = "leaving"};
+static const cw_server_field_names_t _cw_servers_names = {.address = "address",
+                                                          .pool = "pool",
+                                                          .hall = "hall",
+                                                          .slots = "slots",
+                                                          .cold_ms = "cold_ms",
+                                                          .started_ms = "started_ms",
+                                                          .leaving = "leaving"};
 
-static cw_status_t _cw_closed_halls_from_json(cw_closed_t* closed, const json_t* document, cw_error_t* err) {
+static cw_status_t _cw_closed_halls_from_json(cw_closed_halls_t* closed, const json_t* document, cw_error_t* err) {
     const json_t* halls = json_object_get(document, "closed");
     closed->at = json_integer_value(json_object_get(document, "closed_at"));
     for (size_t i = 0; i < json_array_size(halls); i++) {
         const char* hall = json_string_value(json_array_get(halls, i));
-        if (!hall || !cw_closed_add(closed, hall)) {
+        if (!hall || !cw_closed_halls_add(closed, hall)) {
             return cw_fail(err, CW_ERR_INVALID, "servers", NULL,
                            "closed hall %zu is not a string or exceeds the limit of 16 halls", i);
         }
@@ -484,7 +484,7 @@
     return CW_OK;
 }
 
-cw_status_t cw_servers_read(cw_servers_t* list, const char* text, size_t size, cw_error_t* err) {
+cw_status_t cw_servers_from_json(cw_servers_t* list, const char* text, size_t size, cw_error_t* err) {
     json_error_t problem;
     json_t* document = json_loadb(text, size, 0, &problem);
     const json_t* items = json_object_get(document, "servers");
@@ -515,7 +515,7 @@
     return status;
 }
 
-void cw_servers_json(const cw_servers_t* list, json_t* document) {
+void cw_servers_add_to_json(const cw_servers_t* list, json_t* document) {
     json_t* items = json_array();
     json_t* closed = json_array();
     for (uint32_t i = 0; i < list->count; i++) {
@@ -539,9 +539,9 @@
     json_object_set_new(document, "closed_at", json_integer(list->closed.at));
 }
 
-char* cw_servers_text(const cw_servers_t* list) {
+char* cw_servers_to_json(const cw_servers_t* list) {
     json_t* document = json_pack("{s:I,s:i}", "at", (json_int_t)list->at, "age_ms", (int)list->age_ms);
-    cw_servers_json(list, document);
+    cw_servers_add_to_json(list, document);
     char* text = json_dumps(document, JSON_COMPACT);
     json_decref(document);
     return text;
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -38,22 +38,22 @@
     char seeds[CW_SETTINGS_TEXT_MAX]; /* peer addresses, separated by commas */
     /* [platform] */
     char platform[CW_SETTINGS_TEXT_MAX]; /* URL */
-    uint32_t watch_ms;                   /* duration of a long poll */
+    uint32_t watch_timeout_ms;           /* duration of a long poll */
     uint32_t readers;                    /* hosts per hall that poll the platform */
     uint32_t hosts_ms;                   /* interval between polls of the list of hosts */
-    double platform_rate;                /* limit of this host's calls per second */
+    double platform_calls_per_s;         /* limit of this host's calls per second */
     /* [entry] */
-    uint32_t max_requests;        /* concurrent requests */
-    uint32_t max_body;            /* bytes of a request body */
-    uint32_t max_connections;     /* connections of callers */
-    uint32_t lookup_ms;           /* how long callers may cache a lookup response */
-    uint32_t ticket_ms;           /* lifetime of a ticket */
-    uint32_t silent_ms;           /* timeout for an allocator's response; then the entry uses direct mode */
-    uint32_t silent_protected_ms; /* the same for requests of protected classes */
-    uint32_t first_token_ms;      /* timeout for a resumable stream's first token; then another upstream is tried */
-    uint32_t stall_ms;            /* the same for each further token */
-    uint32_t max_answer;          /* bytes of a response that is buffered as a whole */
-    double retry_share;           /* retries allowed per first attempt */
+    uint32_t max_requests;           /* concurrent requests */
+    uint32_t max_body_bytes;         /* bytes of a request body */
+    uint32_t max_connections;        /* connections of callers */
+    uint32_t lookup_ttl_ms;          /* how long callers may cache a lookup response */
+    uint32_t ticket_ms;              /* lifetime of a ticket */
+    uint32_t silent_ms;              /* timeout for an allocator's response; then the entry uses direct mode */
+    uint32_t silent_protected_ms;    /* the same for requests of protected classes */
+    uint32_t first_token_timeout_ms; /* timeout for a resumable stream's first token; then another upstream is tried */
+    uint32_t stall_ms;               /* the same for each further token */
+    uint32_t max_answer;             /* bytes of a response that is buffered as a whole */
+    double retry_ratio;              /* retries allowed per first attempt */
     /* [allocator] */
     char policy[CW_NAME_MAX]; /* shared, solo, lease or round-robin */
     uint32_t grant_ms;        /* time within which a grant must be used */
@@ -78,21 +78,21 @@
 
 typedef enum cw_setting_kind_t {
     CW_SETTING_TEXT = 0,
-    CW_SETTING_NAME,       /* letters, digits, '-', '.', '_' */
-    CW_SETTING_ADDRESS,    /* IP:PORT */
-    CW_SETTING_MS,         /* a duration with its unit: 500ms, 5s, 2m */
-    CW_SETTING_BYTES,      /* a size in bytes: 1000, 64k, 8m */
-    CW_SETTING_COUNT_KIND, /* an integer */
-    CW_SETTING_NUMBER      /* a real number */
+    CW_SETTING_NAME,    /* letters, digits, '-', '.', '_' */
+    CW_SETTING_ADDRESS, /* IP:PORT */
+    CW_SETTING_MS,      /* a duration with its unit: 500ms, 5s, 2m */
+    CW_SETTING_BYTES,   /* a size in bytes: 1000, 64k, 8m */
+    CW_SETTING_INTEGER, /* an integer */
+    CW_SETTING_NUMBER   /* a real number */
 } cw_setting_kind_t;
 
 typedef struct cw_setting_info_t {
     const char* section;
     const char* key;
     cw_setting_kind_t kind;
-    size_t offset;       /* of the field in the struct of settings */
-    const char* initial; /* default, written as in the file; NULL: the setting is required */
-    double min, max;     /* in ms, in bytes or in the setting's own unit */
+    size_t offset;             /* of the field in the struct of settings */
+    const char* default_value; /* default, written as in the file; NULL: the setting is required */
+    double min, max;           /* in ms, in bytes or in the setting's own unit */
     const char* help;
 } cw_setting_info_t;
 
@@ -103,10 +103,10 @@
 cw_status_t cw_settings_read(const char* path, const cw_setting_info_t* table, uint32_t count, void* settings,
                              cw_settings_errors_t* errors);
 /* Adds an error unless value is one of the choices, a list in which every word has a space before and after it. */
-void cw_settings_choice(const char* path, const char* section, const char* key, const char* value, const char* choices,
-                        cw_settings_errors_t* errors);
+void cw_settings_check_choice(const char* path, const char* section, const char* key, const char* value,
+                              const char* choices, cw_settings_errors_t* errors);
 /* Returns the table of all settings of chalkwayd. */
-const cw_setting_info_t* cw_settings_info(uint32_t* count);
+const cw_setting_info_t* cw_settings_table(uint32_t* count);
 
 #endif /* CHALKWAY_SETTINGS_H */
 
@@ -141,21 +141,21 @@
      "peer addresses to join, separated by commas"},
     {"platform", "url", CW_SETTING_TEXT, _CW_SETTINGS_OFFSET(platform), "", 0, 0,
      "base URL of the configuration service"},
-    {"platform", "watch", CW_SETTING_MS, _CW_SETTINGS_OFFSET(watch_ms), "20s", 100, 300000,
+    {"platform", "watch", CW_SETTING_MS, _CW_SETTINGS_OFFSET(watch_timeout_ms), "20s", 100, 300000,
      "duration of one long poll"},
-    {"platform", "readers", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(readers), "1", 1, 100,
+    {"platform", "readers", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(readers), "1", 1, 100,
      "hosts per hall that poll the platform"},
     {"platform", "hosts", CW_SETTING_MS, _CW_SETTINGS_OFFSET(hosts_ms), "15s", 100, 600000,
      "interval between polls of the list of hosts"},
-    {"platform", "rate", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(platform_rate), "2", 0.1, 1000,
+    {"platform", "rate", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(platform_calls_per_s), "2", 0.1, 1000,
      "limit of this host's calls per second"},
-    {"entry", "max_requests", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_requests), "4096", 16, 65536,
+    {"entry", "max_requests", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(max_requests), "4096", 16, 65536,
      "concurrent requests"},
-    {"entry", "max_body", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_body), "1m", 1024, 67108864,
+    {"entry", "max_body", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_body_bytes), "1m", 1024, 67108864,
      "largest request body"},
-    {"entry", "max_connections", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_connections), "4000", 16, 60000,
+    {"entry", "max_connections", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(max_connections), "4000", 16, 60000,
      "connections of callers"},
-    {"entry", "lookup_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(lookup_ms), "5s", 100, 600000,
+    {"entry", "lookup_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(lookup_ttl_ms), "5s", 100, 600000,
      "how long callers may cache a lookup response"},
     {"entry", "ticket_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(ticket_ms), "60s", 1000, 3600000,
      "lifetime of a ticket"},
@@ -163,13 +163,13 @@
      "timeout for an allocator's response; then the entry uses direct mode"},
     {"entry", "silent_protected", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_protected_ms), "40ms", 5, 10000,
      "the same for requests of protected classes"},
-    {"entry", "first_token", CW_SETTING_MS, _CW_SETTINGS_OFFSET(first_token_ms), "3s", 50, 600000,
+    {"entry", "first_token", CW_SETTING_MS, _CW_SETTINGS_OFFSET(first_token_timeout_ms), "3s", 50, 600000,
      "timeout for a resumable stream's first token; then another upstream is tried"},
     {"entry", "stall", CW_SETTING_MS, _CW_SETTINGS_OFFSET(stall_ms), "1500ms", 20, 600000,
      "the same for each further token"},
     {"entry", "max_answer", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_answer), "4m", 1024, 67108864,
      "largest response that is buffered as a whole"},
-    {"entry", "retry_share", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(retry_share), "0.1", 0, 1,
+    {"entry", "retry_share", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(retry_ratio), "0.1", 0, 1,
      "retries allowed per first attempt"},
     {"allocator", "policy", CW_SETTING_NAME, _CW_SETTINGS_OFFSET(policy), "shared", 0, 0,
      "shared; solo, lease and round-robin are baselines for comparison"},
@@ -177,7 +177,7 @@
      "time within which a grant must be used"},
     {"allocator", "lease", CW_SETTING_MS, _CW_SETTINGS_OFFSET(lease_ms), "60s", 1000, 600000,
      "time after which the grants of an entry that sends nothing are reclaimed"},
-    {"allocator", "max_waiting", CW_SETTING_COUNT_KIND, _CW_SETTINGS_OFFSET(max_waiting), "4096", 16, 200000,
+    {"allocator", "max_waiting", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(max_waiting), "4096", 16, 200000,
      "slot requests queued at one shard"},
     {"allocator", "report", CW_SETTING_MS, _CW_SETTINGS_OFFSET(report_ms), "1s", 100, 60000,
      "interval between polls of an upstream's load"},
@@ -192,7 +192,7 @@
 
 #define _CW_SETTINGS_COUNT (sizeof(_cw_settings) / sizeof(_cw_settings[0]))
 
-const cw_setting_info_t* cw_settings_info(uint32_t* count) {
+const cw_setting_info_t* cw_settings_table(uint32_t* count) {
     *count = (uint32_t)_CW_SETTINGS_COUNT;
     return _cw_settings;
 }
@@ -364,8 +364,8 @@
     }
 }
 
-void cw_settings_choice(const char* path, const char* section, const char* key, const char* value, const char* choices,
-                        cw_settings_errors_t* errors) {
+void cw_settings_check_choice(const char* path, const char* section, const char* key, const char* value,
+                              const char* choices, cw_settings_errors_t* errors) {
     char quoted[CW_NAME_MAX + 2];
     snprintf(quoted, sizeof(quoted), " %s ", value);
     if (!strstr(choices, quoted)) {
@@ -379,8 +379,8 @@
         if (load->line_of[i]) {
             continue;
         }
-        if (load->table[i].initial) {
-            _cw_settings_set(load, &load->table[i], 0, load->table[i].initial);
+        if (load->table[i].default_value) {
+            _cw_settings_set(load, &load->table[i], 0, load->table[i].default_value);
         } else {
             _cw_settings_add_error(load, 0, load->table[i].section, load->table[i].key, "is missing");
         }
@@ -413,9 +413,9 @@
     }
     _cw_settings_loader_t load = {.path = path, .errors = errors};
     _cw_settings_check_addresses(&load, settings);
-    cw_settings_choice(path, "allocator", "policy", settings->policy, " shared solo lease round-robin ", errors);
-    cw_settings_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
-    cw_settings_choice(path, "log", "format", settings->log_format, " text json ", errors);
+    cw_settings_check_choice(path, "allocator", "policy", settings->policy, " shared solo lease round-robin ", errors);
+    cw_settings_check_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
+    cw_settings_check_choice(path, "log", "format", settings->log_format, " text json ", errors);
     return errors->count ? CW_ERR_INVALID : CW_OK;
 }
 
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -34,13 +34,13 @@
         has no socket and no clock:
 
             cw_shard_t* shard = cw_shard_setup(&(cw_shard_desc_t){.epoch = random});
-            cw_shard_upstreams(shard, specs, count);
-            cw_shard_want(shard, now_ms, &want);
+            cw_shard_set_upstreams(shard, specs, count);
+            cw_shard_request_slot(shard, now_ms, &want);
             cw_shard_action_t action;
-            while (cw_shard_next(shard, now_ms, &action)) {
+            while (cw_shard_next_action(shard, now_ms, &action)) {
                 send(&action);              // grant, refuse, preempt or resync
             }
-            cw_shard_done(shard, now_ms, &done);
+            cw_shard_release_grant(shard, now_ms, &done);
 
     WHAT IT DOES NOT DO
         It does not deliver messages, and does not decide which host runs
@@ -56,30 +56,30 @@
 #define CW_TIERS 4
 
 enum {
-    CW_WANT_PROTECTED = 1,  /* never refused or preempted in favour of a lower tier */
-    CW_WANT_PREEMPTIBLE = 2 /* may be cancelled while it runs */
+    CW_SLOT_REQUEST_PROTECTED = 1,  /* never refused or preempted in favour of a lower tier */
+    CW_SLOT_REQUEST_PREEMPTIBLE = 2 /* may be cancelled while it runs */
 };
 
 /* Request of an entry for one slot. Times are relative, so that the hosts' clocks need not agree. */
-typedef struct cw_want_t {
-    uint64_t entry;     /* host that accepted the caller's request */
-    uint32_t seq;       /* sequence number assigned by the entry, not 0 */
-    uint8_t tier;       /* 0 is the highest */
-    uint8_t flags;      /* CW_WANT_PROTECTED, CW_WANT_PREEMPTIBLE */
-    uint32_t weight;    /* of the workspace, 0 counts as 1 */
-    uint64_t workspace; /* id */
-    uint32_t cost;      /* estimated, in cost units (tokens) */
-    uint32_t est_ms;    /* estimated mean run time */
-    uint32_t need_ms;   /* run time that covers most requests of its kind, 0: est_ms */
-    uint32_t queue_ms;  /* longest wait that the class allows */
-    uint32_t left_ms;   /* until the whole response is due */
-    uint64_t prefix;    /* hash of the prompt's prefix, 0: none */
-    uint64_t exclude;   /* upstream to avoid, 0: none */
-    uint64_t hall;      /* of the entry */
+typedef struct cw_slot_request_t {
+    uint64_t entry;        /* host that accepted the caller's request */
+    uint32_t seq;          /* sequence number assigned by the entry, not 0 */
+    uint8_t tier;          /* 0 is the highest */
+    uint8_t flags;         /* CW_SLOT_REQUEST_PROTECTED, CW_SLOT_REQUEST_PREEMPTIBLE */
+    uint32_t weight;       /* of the workspace, 0 counts as 1 */
+    uint64_t workspace;    /* id */
+    uint32_t cost;         /* estimated, in cost units (tokens) */
+    uint32_t est_ms;       /* estimated mean run time */
+    uint32_t high_est_ms;  /* run time that covers most requests of its kind, 0: est_ms */
+    uint32_t queue_ms;     /* longest wait that the class allows */
+    uint32_t remaining_ms; /* until the whole response is due */
+    uint64_t prefix;       /* hash of the prompt's prefix, 0: none */
+    uint64_t exclude;      /* upstream to avoid, 0: none */
+    uint64_t hall;         /* of the entry */
     /* Hard limits of the workspace at this shard, set by the allocator's host from its configuration. */
     uint32_t max_running; /* grants held at once, 0: no limit */
     double max_rate;      /* slot requests per second, 0: no limit */
-} cw_want_t;
+} cw_slot_request_t;
 
 typedef enum cw_refusal_t {
     CW_REFUSED_NONE = 0,
@@ -92,36 +92,36 @@
     CW_REFUSED_COUNT
 } cw_refusal_t;
 
-typedef enum cw_shard_kind_t {
+typedef enum cw_shard_action_kind_t {
     CW_SHARD_GRANT = 1,
     CW_SHARD_REFUSE,
     CW_SHARD_PREEMPT, /* cancel a running request; its slot is freed when the entry releases the grant */
     CW_SHARD_RESYNC,  /* the entry must send the list of its grants */
-    CW_SHARD_QUEUED   /* the request is queued; the allocator's host sends this as a keep-alive, see cw_shard_waits */
-} cw_shard_kind_t;
+    CW_SHARD_QUEUED /* the request is queued; the allocator's host sends this as a keep-alive, see cw_shard_is_queued */
+} cw_shard_action_kind_t;
 
 typedef struct cw_shard_action_t {
-    cw_shard_kind_t kind;
+    cw_shard_action_kind_t kind;
     uint64_t entry;
     uint32_t seq;            /* of the slot request */
     uint64_t grant;          /* id; grant, preempt */
     uint64_t upstream;       /* grant */
-    uint32_t held_ms;        /* grant: time the request was queued here */
-    uint32_t ttl_ms;         /* grant: must be used within held_ms + ttl_ms after the request was sent */
+    uint32_t queued_ms;      /* grant: time the request was queued here */
+    uint32_t ttl_ms;         /* grant: must be used within queued_ms + ttl_ms after the request was sent */
     cw_refusal_t refusal;    /* refuse */
     uint32_t retry_after_ms; /* refuse; 0: a retry cannot meet this deadline either */
 } cw_shard_action_t;
 
 /* Release of a grant by its entry. */
-typedef struct cw_done_t {
+typedef struct cw_grant_release_t {
     uint64_t grant;
     cw_pick_result_t result;
     uint32_t took_ms; /* run time */
     uint32_t cost;    /* actual, in cost units */
-} cw_done_t;
+} cw_grant_release_t;
 
 /* A grant that an entry holds, as listed for the allocator. */
-typedef struct cw_held_t {
+typedef struct cw_held_grant_t {
     uint64_t grant;
     uint64_t upstream;
     uint64_t workspace;
@@ -129,15 +129,15 @@
     uint32_t cost;
     uint8_t tier;
     uint8_t flags;
-} cw_held_t;
+} cw_held_grant_t;
 
 /* Digest of all grants that an entry holds from one allocator. */
-typedef struct cw_digest_t {
+typedef struct cw_grant_digest_t {
     uint64_t entry;
-    uint64_t last;  /* latest grant received from this allocator, 0: none */
-    uint64_t xored; /* xor of the ids of the grants held */
+    uint64_t last;    /* latest grant received from this allocator, 0: none */
+    uint64_t ids_xor; /* xor of the ids of the grants held */
     uint32_t count;
-} cw_digest_t;
+} cw_grant_digest_t;
 
 typedef struct cw_shard_desc_t {
     uint32_t epoch;          /* random number of this allocator instance, part of every grant id */
@@ -166,36 +166,37 @@
 cw_shard_t* cw_shard_setup(const cw_shard_desc_t* desc);
 void cw_shard_shutdown(cw_shard_t* shard);
 /* Replaces the upstreams. Grants on an upstream that was removed stay valid until released. */
-cw_status_t cw_shard_upstreams(cw_shard_t* shard, const cw_pick_spec_t* specs, uint32_t count);
+cw_status_t cw_shard_set_upstreams(cw_shard_t* shard, const cw_pick_spec_t* specs, uint32_t count);
 /* During a network partition, limits the slots to the share of published entries on this side: seen / published. */
-void cw_shard_visible(cw_shard_t* shard, uint32_t seen, uint32_t published);
+void cw_shard_set_visible_entries(cw_shard_t* shard, uint32_t seen, uint32_t published);
 /* Starts the takeover of a shard: until until_ms, or until all expected entries have reported the grants they hold,
    limits the slots to the share of expected entries that have. */
-void cw_shard_cautious(cw_shard_t* shard, int64_t until_ms, uint32_t expected_entries);
+void cw_shard_begin_takeover(cw_shard_t* shard, int64_t until_ms, uint32_t expected_entries);
 /* Requests the entry's list of grants (CW_SHARD_RESYNC). */
-void cw_shard_ask(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
-/* Queues or refuses the request; cw_shard_next returns the result. Idempotent: a retransmitted request (same entry and
-   seq) that was granted gets the same grant again. CW_ERR_FULL: the caller must refuse it. */
-cw_status_t cw_shard_want(cw_shard_t* shard, int64_t now_ms, const cw_want_t* want);
+void cw_shard_request_resync(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
+/* Queues or refuses the request; cw_shard_next_action returns the result. Idempotent: a retransmitted request (same
+   entry and seq) that was granted gets the same grant again. CW_ERR_FULL: the caller must refuse it. */
+cw_status_t cw_shard_request_slot(cw_shard_t* shard, int64_t now_ms, const cw_slot_request_t* slot_request);
 /* Removes the request from the queue; does nothing when it is not queued. */
-void cw_shard_cancel(cw_shard_t* shard, uint64_t entry, uint32_t seq);
+void cw_shard_cancel_request(cw_shard_t* shard, uint64_t entry, uint32_t seq);
 /* Whether the request is in the queue. */
-bool cw_shard_waits(const cw_shard_t* shard, uint64_t entry, uint32_t seq);
+bool cw_shard_is_queued(const cw_shard_t* shard, uint64_t entry, uint32_t seq);
 uint32_t cw_shard_upstream_count(const cw_shard_t* shard);
 /* Whether the upstream belongs to the shard. */
-bool cw_shard_serves(const cw_shard_t* shard, uint64_t upstream);
+bool cw_shard_has_upstream(const cw_shard_t* shard, uint64_t upstream);
 /* Returns CW_ERR_NOT_FOUND for a grant that has already ended. */
-cw_status_t cw_shard_done(cw_shard_t* shard, int64_t now_ms, const cw_done_t* release);
+cw_status_t cw_shard_release_grant(cw_shard_t* shard, int64_t now_ms, const cw_grant_release_t* release);
 /* Renews the entry's lease and compares its digest with the allocator's; a difference leads to CW_SHARD_RESYNC. */
-void cw_shard_digest(cw_shard_t* shard, int64_t now_ms, const cw_digest_t* digest);
+void cw_shard_check_digest(cw_shard_t* shard, int64_t now_ms, const cw_grant_digest_t* digest);
 /* Applies the entry's full list of grants: adopts unknown grants and reclaims those not listed. */
-void cw_shard_list(cw_shard_t* shard, int64_t now_ms, const cw_digest_t* digest, const cw_held_t* held, uint32_t count);
+void cw_shard_sync_grants(cw_shard_t* shard, int64_t now_ms, const cw_grant_digest_t* digest,
+                          const cw_held_grant_t* held, uint32_t count);
 /* The entry is known to be dead: cancels its queued requests and reclaims its grants after one ttl. */
-void cw_shard_entry_gone(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
+void cw_shard_entry_failed(cw_shard_t* shard, int64_t now_ms, uint64_t entry);
 /* Load report of an upstream. */
-void cw_shard_report(cw_shard_t* shard, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining);
+void cw_shard_report_load(cw_shard_t* shard, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining);
 /* Next action to send; false when there is none now. */
-bool cw_shard_next(cw_shard_t* shard, int64_t now_ms, cw_shard_action_t* action);
+bool cw_shard_next_action(cw_shard_t* shard, int64_t now_ms, cw_shard_action_t* action);
 cw_shard_stats_t cw_shard_stats(const cw_shard_t* shard, int64_t now_ms);
 const char* cw_refusal_name(cw_refusal_t refusal);
 
@@ -214,7 +215,7 @@
 #define _CW_SHARD_DEFAULT_MS 50.0 /* run time of a request before any has been measured */
 
 typedef struct _cw_shard_item_t {
-    cw_want_t want;
+    cw_slot_request_t slot_request;
     int64_t arrived_ms;
     uint32_t retry_ms;    /* refused for its rate: retry delay */
     cw_refusal_t refusal; /* set: in the list of refusals to send */
@@ -231,7 +232,7 @@
     int64_t reclaim_at_ms; /* when to reclaim a dead entry's grant, 0: not set */
     uint32_t seq, cost, est_ms, weight;
     uint32_t prev, next; /* in the list of the entry's grants; next also in the free list */
-    uint32_t held_ms;
+    uint32_t queued_ms;
     uint8_t tier, flags;
     bool preempted;
 } _cw_shard_grant_t;
@@ -395,19 +396,19 @@
         double share = (double)reported / s->expected_entries;
         scale = share < scale ? share : scale;
     }
-    cw_pick_scale(s->pick, scale);
+    cw_pick_set_share(s->pick, scale);
 }
 
-void cw_shard_visible(cw_shard_t* s, uint32_t seen, uint32_t published) {
+void cw_shard_set_visible_entries(cw_shard_t* s, uint32_t seen, uint32_t published) {
     s->visible_share = (published && seen < published) ? (double)seen / published : 1.0;
 }
 
-void cw_shard_cautious(cw_shard_t* s, int64_t until_ms, uint32_t expected_entries) {
+void cw_shard_begin_takeover(cw_shard_t* s, int64_t until_ms, uint32_t expected_entries) {
     s->takeover_until_ms = until_ms;
     s->expected_entries = expected_entries;
 }
 
-void cw_shard_ask(cw_shard_t* s, int64_t now_ms, uint64_t entry) {
+void cw_shard_request_resync(cw_shard_t* s, int64_t now_ms, uint64_t entry) {
     _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, entry);
     if (e) {
         e->needs_resync = true;
@@ -440,25 +441,25 @@
 static void _cw_shard_limit_update_blocked(cw_shard_t* s, const _cw_shard_limit_t* l) {
     bool is_blocked = l->max_running && l->running >= l->max_running;
     for (uint32_t t = 0; t < CW_TIERS; t++) {
-        cw_fair_hold(s->tiers[t], l->workspace, is_blocked);
+        cw_fair_set_blocked(s->tiers[t], l->workspace, is_blocked);
     }
 }
 
 /* Charges one request to the workspace's rate limit; returns 0, or the retry delay when the rate is exceeded. */
-static uint32_t _cw_shard_limit_take_rate(cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
-    _cw_shard_limit_t* l = want->max_rate > 0 ? _cw_shard_get_limit(s, want->workspace) : NULL;
+static uint32_t _cw_shard_limit_take_rate(cw_shard_t* s, int64_t now_ms, const cw_slot_request_t* slot_request) {
+    _cw_shard_limit_t* l = slot_request->max_rate > 0 ? _cw_shard_get_limit(s, slot_request->workspace) : NULL;
     if (!l) {
         return 0;
     }
-    l->bucket.rate = want->max_rate;
+    l->bucket.rate = slot_request->max_rate;
     return cw_bucket_take(&l->bucket, now_ms, 1) ? 0 : cw_bucket_wait_ms(&l->bucket, now_ms, 1);
 }
 
 /* Applies the limit that a request just queued carries: its workspace may already be at that limit. */
-static void _cw_shard_limit_set_max(cw_shard_t* s, const cw_want_t* want) {
-    _cw_shard_limit_t* l = want->max_running ? _cw_shard_get_limit(s, want->workspace) : NULL;
+static void _cw_shard_limit_set_max(cw_shard_t* s, const cw_slot_request_t* slot_request) {
+    _cw_shard_limit_t* l = slot_request->max_running ? _cw_shard_get_limit(s, slot_request->workspace) : NULL;
     if (l) {
-        l->max_running = want->max_running;
+        l->max_running = slot_request->max_running;
         _cw_shard_limit_update_blocked(s, l);
     }
 }
@@ -482,17 +483,17 @@
 /* -- waiting items -------------------------------------------------------- */
 
 static void _cw_shard_free_item(cw_shard_t* s, uint32_t i) {
-    s->items[i].want.seq = 0;
+    s->items[i].slot_request.seq = 0;
     s->items[i].next = s->free_item;
     s->free_item = i;
 }
 
 /* Removes an item that has just left its fair queue from the expiry heap, the counters and the index. */
 static void _cw_shard_untrack_item(cw_shard_t* s, uint32_t i) {
-    const cw_want_t* w = &s->items[i].want;
+    const cw_slot_request_t* w = &s->items[i].slot_request;
     cw_heap_remove(&s->expiry, i);
     s->queued_run_ms[w->tier] -= w->est_ms;
-    s->protected_waiting -= (w->flags & CW_WANT_PROTECTED) ? 1 : 0;
+    s->protected_waiting -= (w->flags & CW_SLOT_REQUEST_PROTECTED) ? 1 : 0;
     if (!cw_fair_count(s->tiers[w->tier])) {
         s->floor_credit[w->tier] = 0;
         s->queued_run_ms[w->tier] = 0;
@@ -502,11 +503,11 @@
 
 /* Removes a waiting item from its queue; the caller must refuse or free it. */
 static void _cw_shard_dequeue(cw_shard_t* s, uint32_t i) {
-    cw_fair_remove(s->tiers[s->items[i].want.tier], i);
+    cw_fair_remove(s->tiers[s->items[i].slot_request.tier], i);
     _cw_shard_untrack_item(s, i);
 }
 
-/* Appends an item that is in no queue to the refusals that cw_shard_next sends. */
+/* Appends an item that is in no queue to the refusals that cw_shard_next_action sends. */
 static void _cw_shard_refuse(cw_shard_t* s, uint32_t i, cw_refusal_t refusal) {
     s->items[i].refusal = refusal;
     s->items[i].next = _CW_SHARD_NONE;
@@ -542,8 +543,8 @@
    false when there is none that may be evicted. */
 static bool _cw_shard_evict_below(cw_shard_t* s, uint32_t tier) {
     for (uint32_t t = CW_TIERS - 1; t > tier; t--) {
-        uint32_t i = cw_fair_last(s->tiers[t]);
-        if (i != CW_FAIR_NONE && !(s->items[i].want.flags & CW_WANT_PROTECTED)) {
+        uint32_t i = cw_fair_peek_last(s->tiers[t]);
+        if (i != CW_FAIR_NONE && !(s->items[i].slot_request.flags & CW_SLOT_REQUEST_PROTECTED)) {
             _cw_shard_dequeue(s, i);
             _cw_shard_refuse(s, i, CW_REFUSED_EVICTED);
             s->stats.evictions++;
@@ -554,36 +555,38 @@
 }
 
 /* Longest wait after which the request most likely still meets its deadline. An engine's work on a response that is cut
-   off at its deadline is lost, so the wait leaves need_ms to run. A request with too little time left for that may
+   off at its deadline is lost, so the wait leaves high_est_ms to run. A request with too little time left for that may
    still wait for a tenth of it. */
-static uint32_t _cw_shard_max_wait_ms(const cw_want_t* want) {
-    uint32_t need_ms = want->need_ms ? want->need_ms : want->est_ms;
-    uint32_t slack = want->left_ms > need_ms ? want->left_ms - need_ms : 0;
-    uint32_t least = want->left_ms / 10;
+static uint32_t _cw_shard_max_wait_ms(const cw_slot_request_t* slot_request) {
+    uint32_t high_est_ms = slot_request->high_est_ms ? slot_request->high_est_ms : slot_request->est_ms;
+    uint32_t slack = slot_request->remaining_ms > high_est_ms ? slot_request->remaining_ms - high_est_ms : 0;
+    uint32_t least = slot_request->remaining_ms / 10;
     slack = slack < least ? least : slack;
-    return slack < want->queue_ms ? slack : want->queue_ms;
+    return slack < slot_request->queue_ms ? slack : slot_request->queue_ms;
 }
 
 /* Admission check of a new request. */
-static cw_refusal_t _cw_shard_check_admission(const cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
-    if (want->est_ms > want->left_ms) {
+static cw_refusal_t _cw_shard_check_admission(const cw_shard_t* s, int64_t now_ms,
+                                              const cw_slot_request_t* slot_request) {
+    if (slot_request->est_ms > slot_request->remaining_ms) {
         return CW_REFUSED_LATE;
     }
     if (!cw_pick_count(s->pick)) {
         return CW_REFUSED_NO_UPSTREAM;
     }
-    bool must_admit = (want->flags & CW_WANT_PROTECTED) && _cw_shard_is_lower_tier_waiting(s, want->tier);
-    uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, want->tier);
-    if (!must_admit && wait_ms > _cw_shard_max_wait_ms(want)) {
+    bool must_admit =
+        (slot_request->flags & CW_SLOT_REQUEST_PROTECTED) && _cw_shard_is_lower_tier_waiting(s, slot_request->tier);
+    uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, slot_request->tier);
+    if (!must_admit && wait_ms > _cw_shard_max_wait_ms(slot_request)) {
         return CW_REFUSED_BUSY;
     }
     return CW_REFUSED_NONE;
 }
 
-cw_status_t cw_shard_want(cw_shard_t* s, int64_t now_ms, const cw_want_t* want) {
-    assert(want->seq && want->tier < CW_TIERS);
-    _cw_shard_touch_entry(s, now_ms, want->entry);
-    uint64_t key = cw_mix(want->entry, want->seq);
+cw_status_t cw_shard_request_slot(cw_shard_t* s, int64_t now_ms, const cw_slot_request_t* slot_request) {
+    assert(slot_request->seq && slot_request->tier < CW_TIERS);
+    _cw_shard_touch_entry(s, now_ms, slot_request->entry);
+    uint64_t key = cw_mix(slot_request->entry, slot_request->seq);
     uint32_t known = cw_map_get(&s->by_request, key);
     if (known != CW_MAP_NONE) {
         if (known & _CW_SHARD_GRANT_BIT) {
@@ -595,30 +598,30 @@
     if (s->free_item == _CW_SHARD_NONE) {
         return CW_ERR_FULL;
     }
-    uint32_t retry_ms = _cw_shard_limit_take_rate(s, now_ms, want);
-    cw_refusal_t refusal = retry_ms ? CW_REFUSED_RATE : _cw_shard_check_admission(s, now_ms, want);
-    if (s->items[s->free_item].next == _CW_SHARD_NONE && !refusal && !_cw_shard_evict_below(s, want->tier)) {
+    uint32_t retry_ms = _cw_shard_limit_take_rate(s, now_ms, slot_request);
+    cw_refusal_t refusal = retry_ms ? CW_REFUSED_RATE : _cw_shard_check_admission(s, now_ms, slot_request);
+    if (s->items[s->free_item].next == _CW_SHARD_NONE && !refusal && !_cw_shard_evict_below(s, slot_request->tier)) {
         refusal = CW_REFUSED_FULL; /* the last free item is reserved for refusals */
     }
     uint32_t i = s->free_item;
     s->free_item = s->items[i].next;
-    s->items[i] = (_cw_shard_item_t){.want = *want, .arrived_ms = now_ms, .retry_ms = retry_ms};
-    if (!refusal && cw_fair_push(s->tiers[want->tier], want->workspace, i) != CW_OK) {
+    s->items[i] = (_cw_shard_item_t){.slot_request = *slot_request, .arrived_ms = now_ms, .retry_ms = retry_ms};
+    if (!refusal && cw_fair_push(s->tiers[slot_request->tier], slot_request->workspace, i) != CW_OK) {
         refusal = CW_REFUSED_FULL;
     }
     if (refusal) {
         _cw_shard_refuse(s, i, refusal);
         return CW_OK;
     }
-    cw_heap_set(&s->expiry, i, (double)(now_ms + _cw_shard_max_wait_ms(want)));
-    s->queued_run_ms[want->tier] += want->est_ms;
-    s->protected_waiting += (want->flags & CW_WANT_PROTECTED) ? 1 : 0;
+    cw_heap_set(&s->expiry, i, (double)(now_ms + _cw_shard_max_wait_ms(slot_request)));
+    s->queued_run_ms[slot_request->tier] += slot_request->est_ms;
+    s->protected_waiting += (slot_request->flags & CW_SLOT_REQUEST_PROTECTED) ? 1 : 0;
     cw_map_put(&s->by_request, key, i);
-    _cw_shard_limit_set_max(s, want);
+    _cw_shard_limit_set_max(s, slot_request);
     return CW_OK;
 }
 
-void cw_shard_cancel(cw_shard_t* s, uint64_t entry, uint32_t seq) {
+void cw_shard_cancel_request(cw_shard_t* s, uint64_t entry, uint32_t seq) {
     uint32_t i = cw_map_get(&s->by_request, cw_mix(entry, seq));
     if (i != CW_MAP_NONE && !(i & _CW_SHARD_GRANT_BIT)) {
         _cw_shard_dequeue(s, i);
@@ -626,7 +629,7 @@
     }
 }
 
-bool cw_shard_waits(const cw_shard_t* s, uint64_t entry, uint32_t seq) {
+bool cw_shard_is_queued(const cw_shard_t* s, uint64_t entry, uint32_t seq) {
     uint32_t i = cw_map_get(&s->by_request, cw_mix(entry, seq));
     return i != CW_MAP_NONE && !(i & _CW_SHARD_GRANT_BIT);
 }
@@ -635,7 +638,7 @@
     return cw_pick_count(s->pick);
 }
 
-bool cw_shard_serves(const cw_shard_t* s, uint64_t upstream) {
+bool cw_shard_has_upstream(const cw_shard_t* s, uint64_t upstream) {
     return cw_pick_find(s->pick, upstream) != CW_PICK_NONE;
 }
 
@@ -697,7 +700,7 @@
     _cw_shard_free_grant(s, g);
 }
 
-cw_status_t cw_shard_done(cw_shard_t* s, int64_t now_ms, const cw_done_t* release) {
+cw_status_t cw_shard_release_grant(cw_shard_t* s, int64_t now_ms, const cw_grant_release_t* release) {
     uint32_t g = cw_map_get(&s->by_grant, release->grant);
     if (g == CW_MAP_NONE) {
         return CW_ERR_NOT_FOUND;
@@ -717,7 +720,7 @@
         }
         if (best == CW_TIERS) {
             best = t;
-        } else if (s->floor_credit[t] >= s->items[i].want.cost) {
+        } else if (s->floor_credit[t] >= s->items[i].slot_request.cost) {
             return t;
         }
     }
@@ -746,7 +749,7 @@
                                   .seq = grant->seq,
                                   .grant = grant->id,
                                   .upstream = grant->upstream,
-                                  .held_ms = grant->held_ms,
+                                  .queued_ms = grant->queued_ms,
                                   .ttl_ms = s->desc.ttl_ms};
 }
 
@@ -756,11 +759,11 @@
         return false;
     }
     uint32_t i = cw_fair_peek(s->tiers[tier]);
-    const cw_want_t w = s->items[i].want;
+    const cw_slot_request_t w = s->items[i].slot_request;
     const cw_pick_query_t query = {.prefix = w.prefix,
                                    .hall = w.hall,
                                    .exclude = w.exclude,
-                                   .keep = (w.flags & CW_WANT_PROTECTED) ? 0 : s->desc.reserve};
+                                   .keep = (w.flags & CW_SLOT_REQUEST_PROTECTED) ? 0 : s->desc.reserve};
     uint32_t up = cw_pick_choose(s->pick, now_ms, &query);
     if (up == CW_PICK_NONE) {
         return false;
@@ -783,7 +786,7 @@
     grant->weight = w.weight;
     grant->tier = w.tier;
     grant->flags = w.flags;
-    grant->held_ms = (uint32_t)(now_ms - s->items[i].arrived_ms);
+    grant->queued_ms = (uint32_t)(now_ms - s->items[i].arrived_ms);
     _cw_shard_index_grant(s, g);
     cw_pick_begin(s->pick, up);
     _cw_shard_limit_begin(s, w.workspace);
@@ -802,7 +805,7 @@
     for (uint32_t t = 0; t < CW_TIERS && head == _CW_SHARD_NONE; t++) {
         head = cw_fair_peek(s->tiers[t]);
     }
-    if (head == _CW_SHARD_NONE || !(s->items[head].want.flags & CW_WANT_PROTECTED) ||
+    if (head == _CW_SHARD_NONE || !(s->items[head].slot_request.flags & CW_SLOT_REQUEST_PROTECTED) ||
         now_ms - s->items[head].arrived_ms < s->desc.preempt_ms) {
         return false;
     }
@@ -814,8 +817,8 @@
             continue;
         }
         pending += grant->preempted;
-        bool is_candidate =
-            (grant->flags & CW_WANT_PREEMPTIBLE) && !grant->preempted && grant->tier > s->items[head].want.tier;
+        bool is_candidate = (grant->flags & CW_SLOT_REQUEST_PREEMPTIBLE) && !grant->preempted &&
+                            grant->tier > s->items[head].slot_request.tier;
         if (is_candidate &&
             (victim == _CW_SHARD_NONE || grant->tier > s->grants[victim].tier ||
              (grant->tier == s->grants[victim].tier && grant->granted_ms > s->grants[victim].granted_ms))) {
@@ -835,26 +838,26 @@
 /* -- leases --------------------------------------------------------------- */
 
 /* Digest of the entry's grants, without those that it may not have received yet. */
-static cw_digest_t _cw_shard_own_digest(const cw_shard_t* s, const _cw_shard_entry_t* e, uint64_t last) {
-    cw_digest_t own = {.entry = e->id};
+static cw_grant_digest_t _cw_shard_own_digest(const cw_shard_t* s, const _cw_shard_entry_t* e, uint64_t last) {
+    cw_grant_digest_t own = {.entry = e->id};
     for (uint32_t g = e->grants; g != _CW_SHARD_NONE; g = s->grants[g].next) {
         uint64_t id = s->grants[g].id;
         bool is_own_epoch = (id >> 32) == s->desc.epoch;
         if (!is_own_epoch || id <= last) {
-            own.xored ^= id;
+            own.ids_xor ^= id;
             own.count++;
         }
     }
     return own;
 }
 
-void cw_shard_digest(cw_shard_t* s, int64_t now_ms, const cw_digest_t* digest) {
+void cw_shard_check_digest(cw_shard_t* s, int64_t now_ms, const cw_grant_digest_t* digest) {
     _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, digest->entry);
     if (!e) {
         return;
     }
-    cw_digest_t own = _cw_shard_own_digest(s, e, digest->last);
-    if (own.count != digest->count || own.xored != digest->xored) {
+    cw_grant_digest_t own = _cw_shard_own_digest(s, e, digest->last);
+    if (own.count != digest->count || own.ids_xor != digest->ids_xor) {
         e->needs_resync = true;
         s->resync_due = true;
     } else {
@@ -862,7 +865,7 @@
     }
 }
 
-static void _cw_shard_adopt(cw_shard_t* s, int64_t now_ms, uint64_t entry, const cw_held_t* held) {
+static void _cw_shard_adopt(cw_shard_t* s, int64_t now_ms, uint64_t entry, const cw_held_grant_t* held) {
     uint32_t g = _cw_shard_alloc_grant(s, now_ms, entry);
     if (g == _CW_SHARD_NONE) {
         return;
@@ -878,7 +881,7 @@
     grant->weight = 1;
     grant->tier = held->tier < CW_TIERS ? held->tier : CW_TIERS - 1;
     grant->flags = held->flags;
-    cw_shard_cancel(s, entry, held->seq);
+    cw_shard_cancel_request(s, entry, held->seq);
     _cw_shard_index_grant(s, g);
     uint32_t up = cw_pick_find(s->pick, held->upstream);
     if (up != CW_PICK_NONE) {
@@ -890,7 +893,7 @@
     s->stats.adopted++;
 }
 
-static bool _cw_shard_is_listed(const cw_held_t* held, uint32_t count, uint64_t grant) {
+static bool _cw_shard_is_listed(const cw_held_grant_t* held, uint32_t count, uint64_t grant) {
     for (uint32_t i = 0; i < count; i++) {
         if (held[i].grant == grant) {
             return true;
@@ -899,7 +902,8 @@
     return false;
 }
 
-void cw_shard_list(cw_shard_t* s, int64_t now_ms, const cw_digest_t* digest, const cw_held_t* held, uint32_t count) {
+void cw_shard_sync_grants(cw_shard_t* s, int64_t now_ms, const cw_grant_digest_t* digest, const cw_held_grant_t* held,
+                          uint32_t count) {
     _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, digest->entry);
     if (!e) {
         return;
@@ -926,13 +930,13 @@
 
 static void _cw_shard_cancel_entry_requests(cw_shard_t* s, uint64_t entry) {
     for (uint32_t i = 0; i < s->desc.max_waiting; i++) {
-        if (s->items[i].want.seq && s->items[i].want.entry == entry && cw_heap_has(&s->expiry, i)) {
-            cw_shard_cancel(s, entry, s->items[i].want.seq);
+        if (s->items[i].slot_request.seq && s->items[i].slot_request.entry == entry && cw_heap_has(&s->expiry, i)) {
+            cw_shard_cancel_request(s, entry, s->items[i].slot_request.seq);
         }
     }
 }
 
-void cw_shard_entry_gone(cw_shard_t* s, int64_t now_ms, uint64_t entry) {
+void cw_shard_entry_failed(cw_shard_t* s, int64_t now_ms, uint64_t entry) {
     uint32_t index = cw_map_get(&s->by_entry, entry);
     if (index == CW_MAP_NONE) {
         return;
@@ -974,7 +978,7 @@
     if (s->refused_head == _CW_SHARD_NONE) {
         s->refused_tail = _CW_SHARD_NONE;
     }
-    const cw_want_t* w = &s->items[i].want;
+    const cw_slot_request_t* w = &s->items[i].slot_request;
     uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, w->tier);
     *action = (cw_shard_action_t){.kind = CW_SHARD_REFUSE,
                                   .entry = w->entry,
@@ -1012,7 +1016,7 @@
     }
 }
 
-bool cw_shard_next(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
+bool cw_shard_next_action(cw_shard_t* s, int64_t now_ms, cw_shard_action_t* action) {
     _cw_shard_reclaim_expired_leases(s, now_ms);
     _cw_shard_expire_requests(s, now_ms);
     _cw_shard_scale_limits(s, now_ms);
@@ -1025,11 +1029,11 @@
            _cw_shard_try_grant(s, now_ms, action) || _cw_shard_try_preempt(s, now_ms, action);
 }
 
-void cw_shard_report(cw_shard_t* s, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining) {
+void cw_shard_report_load(cw_shard_t* s, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining) {
     cw_pick_report(s->pick, now_ms, upstream, running, draining);
 }
 
-cw_status_t cw_shard_upstreams(cw_shard_t* s, const cw_pick_spec_t* specs, uint32_t count) {
+cw_status_t cw_shard_set_upstreams(cw_shard_t* s, const cw_pick_spec_t* specs, uint32_t count) {
     return cw_pick_set(s->pick, specs, count);
 }
 
--- a/chalkway_stop.h
+++ b/chalkway_stop.h
@@ -13,7 +13,7 @@
     HOW TO USE IT
             cw_stop_t stop = {0};                               // not stopping
             cw_stop_begin(&stop, now_ms, &(cw_stop_desc_t){...}); // on the order to stop
-            switch (cw_stop_step(&stop, now_ms, active)) { ... } // once per loop iteration
+            switch (cw_stop_update(&stop, now_ms, active)) { ... } // once per loop iteration
 
     WHAT IT DOES NOT DO
         It closes no connections and refuses no requests itself.
@@ -24,17 +24,17 @@
 #include "chalkway_core.h"
 
 typedef enum cw_stop_phase_t {
-    CW_STOP_NOT = 0,  /* not stopping */
-    CW_STOP_TAKING,   /* new requests are still accepted */
-    CW_STOP_REFUSING, /* new requests are refused, active ones continue */
-    CW_STOP_ENDED     /* the process must exit now */
+    CW_STOP_NONE = 0,  /* not stopping */
+    CW_STOP_ACCEPTING, /* new requests are still accepted */
+    CW_STOP_REFUSING,  /* new requests are refused, active ones continue */
+    CW_STOP_EXIT       /* the process must exit now */
 } cw_stop_phase_t;
 
 /* Times since the order to stop. */
 typedef struct cw_stop_desc_t {
-    uint32_t quiet_ms; /* shortest time to accept requests, since callers cache addresses */
-    uint32_t take_ms;  /* longest time to accept requests while others are active */
-    uint32_t end_ms;   /* forces the exit, even with active requests */
+    uint32_t min_accept_ms; /* shortest time to accept requests, since callers cache addresses */
+    uint32_t max_accept_ms; /* longest time to accept requests while others are active */
+    uint32_t force_exit_ms; /* forces the exit, even with active requests */
 } cw_stop_desc_t;
 
 typedef struct cw_stop_t {
@@ -46,7 +46,7 @@
 /* Starts the stop; has no effect when it has already started. */
 void cw_stop_begin(cw_stop_t* s, int64_t now_ms, const cw_stop_desc_t* desc);
 /* Advances the phase and returns it. Call it once per loop iteration with the number of unanswered requests. */
-cw_stop_phase_t cw_stop_step(cw_stop_t* s, int64_t now_ms, uint32_t active);
+cw_stop_phase_t cw_stop_update(cw_stop_t* s, int64_t now_ms, uint32_t active);
 
 #endif /* CHALKWAY_STOP_H */
 
@@ -56,20 +56,20 @@
 #define CHALKWAY_STOP_IMPL_INCLUDED
 
 void cw_stop_begin(cw_stop_t* s, int64_t now_ms, const cw_stop_desc_t* desc) {
-    if (s->phase == CW_STOP_NOT) {
-        *s = (cw_stop_t){.phase = CW_STOP_TAKING, .begun_ms = now_ms, .desc = *desc};
+    if (s->phase == CW_STOP_NONE) {
+        *s = (cw_stop_t){.phase = CW_STOP_ACCEPTING, .begun_ms = now_ms, .desc = *desc};
     }
 }
 
-cw_stop_phase_t cw_stop_step(cw_stop_t* s, int64_t now_ms, uint32_t active) {
-    if (s->phase == CW_STOP_NOT) {
+cw_stop_phase_t cw_stop_update(cw_stop_t* s, int64_t now_ms, uint32_t active) {
+    if (s->phase == CW_STOP_NONE) {
         return s->phase;
     }
     int64_t elapsed_ms = now_ms - s->begun_ms;
-    bool is_idle = !active && elapsed_ms >= s->desc.quiet_ms;
-    if (elapsed_ms > s->desc.end_ms || (s->phase == CW_STOP_REFUSING && is_idle)) {
-        s->phase = CW_STOP_ENDED;
-    } else if (is_idle || elapsed_ms > s->desc.take_ms) {
+    bool is_idle = !active && elapsed_ms >= s->desc.min_accept_ms;
+    if (elapsed_ms > s->desc.force_exit_ms || (s->phase == CW_STOP_REFUSING && is_idle)) {
+        s->phase = CW_STOP_EXIT;
+    } else if (is_idle || elapsed_ms > s->desc.max_accept_ms) {
         s->phase = CW_STOP_REFUSING;
     }
     return s->phase;
