--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -19,9 +19,9 @@
             cw_store_put(store, "pools/chat", 12, "{\"kind\":\"engine\"}");
             cw_store_put(store, "pools/old", 13, NULL);            // deletes it
             cw_store_commit(store, 13);                            // all changes up to revision 13 were put
-            cw_view_t* snapshot = cw_store_view(store);            // takes a reference
-            const cw_class_t* c = cw_view_class(snapshot, id);
-            cw_view_release(snapshot);
+            cw_snapshot_t* snapshot = cw_store_snapshot(store);            // takes a reference
+            const cw_class_t* c = cw_snapshot_class(snapshot, id);
+            cw_snapshot_release(snapshot);
 
     WHAT IT DOES NOT DO
         No input or output. Memory is allocated for each new key, for each
@@ -40,13 +40,13 @@
 #define CW_ADDRESS_MAX 48 /* bytes of an address, with its terminating zero */
 #define CW_REASON_MAX CW_MESSAGE_MAX
 
-typedef enum cw_kind_t {
-    CW_KIND_WORKSPACE = 0,
-    CW_KIND_CLASS,
-    CW_KIND_POOL,
-    CW_KIND_UPSTREAM,
-    CW_KIND_COUNT
-} cw_kind_t;
+typedef enum cw_resource_kind_t {
+    CW_RESOURCE_WORKSPACE = 0,
+    CW_RESOURCE_CLASS,
+    CW_RESOURCE_POOL,
+    CW_RESOURCE_UPSTREAM,
+    CW_RESOURCE_KIND_COUNT
+} cw_resource_kind_t;
 
 /* A customer. Its limits apply to all entry daemons together. */
 typedef struct cw_workspace_t {
@@ -80,11 +80,11 @@
 typedef struct cw_pool_t {
     char name[CW_NAME_MAX];
     uint64_t id;
-    bool engine; /* its upstreams are model engines, otherwise plain services */
+    bool is_engine; /* its upstreams are model engines, otherwise plain services */
     char model[CW_NAME_MAX];
     uint32_t shard_size;    /* upstreams in one shard, default 24 */
     uint32_t reserve;       /* slots of a shard reserved for protected classes */
-    bool resumes;           /* its engines can resume a stream at a token (header Chalkway-Resume-From) */
+    bool can_resume;        /* its engines can resume a stream at a token (header Chalkway-Resume-From) */
     double floor[CW_TIERS]; /* minimum share of the served cost for each tier that has waiting requests */
 } cw_pool_t;
 
@@ -96,13 +96,13 @@
     uint64_t pool_id;
     char address[CW_ADDRESS_MAX]; /* IP:PORT */
     char hall[CW_NAME_MAX];
-    uint32_t slots;     /* concurrent requests */
-    bool leaving;       /* gets no new requests */
-    bool drops_repeats; /* deduplicates calls by their name (header Idempotency-Key) */
+    uint32_t slots;          /* concurrent requests */
+    bool leaving;            /* gets no new requests */
+    bool deduplicates_calls; /* deduplicates calls by their name (header Idempotency-Key) */
 } cw_upstream_t;
 
 /* An immutable, reference-counted set of all active resources. */
-typedef struct cw_view_t {
+typedef struct cw_snapshot_t {
     uint32_t refs;
     int64_t revision;
     cw_workspace_t* workspaces;
@@ -112,18 +112,18 @@
     uint32_t workspace_count, class_count, pool_count, upstream_count;
     cw_map_t by_id;     /* cw_mix(kind + 1, id) -> index in the array of its kind */
     cw_map_t by_digest; /* first 8 bytes of a token digest -> workspace index */
-} cw_view_t;
+} cw_snapshot_t;
 
 /* The newest and the active version of one document. */
-typedef struct cw_item_t {
+typedef struct cw_store_item_t {
     char key[CW_KEY_MAX];
     int64_t revision;           /* of the newest version */
-    int64_t in_force;           /* of the active version, 0: none */
+    int64_t active_revision;    /* of the active version, 0: none */
     char* value;                /* text of the newest version, NULL: deleted */
-    char* valid;                /* text of the active version, NULL: none */
+    char* active_value;         /* text of the active version, NULL: none */
     char reason[CW_REASON_MAX]; /* why the newest version is not active, "" when it is */
-    cw_kind_t kind;
-} cw_item_t;
+    cw_resource_kind_t kind;
+} cw_store_item_t;
 
 typedef struct cw_store_desc_t {
     uint32_t max_items; /* default 16384 */
@@ -144,24 +144,24 @@
 /* Revision up to which the store holds all changes; 0 before the first commit. */
 int64_t cw_store_revision(const cw_store_t* store);
 /* Returns the current snapshot, never NULL, with a reference that the caller releases. */
-cw_view_t* cw_store_view(cw_store_t* store);
-void cw_view_release(cw_view_t* snapshot);
+cw_snapshot_t* cw_store_snapshot(cw_store_t* store);
+void cw_snapshot_release(cw_snapshot_t* snapshot);
 /* Adds a reference to the snapshot. */
-cw_view_t* cw_view_keep(cw_view_t* snapshot);
+cw_snapshot_t* cw_snapshot_retain(cw_snapshot_t* snapshot);
 uint32_t cw_store_count(const cw_store_t* store);
-const cw_item_t* cw_store_at(const cw_store_t* store, uint32_t index);
-const cw_item_t* cw_store_find(const cw_store_t* store, const char* key);
+const cw_store_item_t* cw_store_at(const cw_store_t* store, uint32_t index);
+const cw_store_item_t* cw_store_find(const cw_store_t* store, const char* key);
 /* Validates a document without storing it; err says why it is invalid. */
 cw_status_t cw_store_validate(const char* key, const char* value, cw_error_t* err);
 
-const cw_workspace_t* cw_view_workspace(const cw_view_t* snapshot, uint64_t id);
-const cw_class_t* cw_view_class(const cw_view_t* snapshot, uint64_t id);
-const cw_pool_t* cw_view_pool(const cw_view_t* snapshot, uint64_t id);
-const cw_upstream_t* cw_view_upstream(const cw_view_t* snapshot, uint64_t id);
+const cw_workspace_t* cw_snapshot_workspace(const cw_snapshot_t* snapshot, uint64_t id);
+const cw_class_t* cw_snapshot_class(const cw_snapshot_t* snapshot, uint64_t id);
+const cw_pool_t* cw_snapshot_pool(const cw_snapshot_t* snapshot, uint64_t id);
+const cw_upstream_t* cw_snapshot_upstream(const cw_snapshot_t* snapshot, uint64_t id);
 /* Returns the workspace of a bearer token's digest, compared in constant time; NULL when there is none. */
-const cw_workspace_t* cw_view_auth(const cw_view_t* snapshot, const uint8_t digest[CW_DIGEST_BYTES]);
+const cw_workspace_t* cw_snapshot_authenticate(const cw_snapshot_t* snapshot, const uint8_t digest[CW_DIGEST_BYTES]);
 /* Part of a key before the slash: "workspaces", "classes", "pools" or "upstreams". */
-const char* cw_kind_name(cw_kind_t kind);
+const char* cw_resource_kind_name(cw_resource_kind_t kind);
 
 #endif /* CHALKWAY_STORE_H */
 
@@ -180,17 +180,17 @@
 
 struct cw_store_t {
     cw_store_desc_t desc;
-    cw_item_t** items;
+    cw_store_item_t** items;
     uint32_t count;
     cw_map_t by_key;
     int64_t revision;
     bool dirty;
-    cw_view_t* snapshot;
+    cw_snapshot_t* snapshot;
 };
 
-const char* cw_kind_name(cw_kind_t kind) {
-    static const char* const names[CW_KIND_COUNT] = {"workspaces", "classes", "pools", "upstreams"};
-    return ((unsigned)kind < CW_KIND_COUNT) ? names[kind] : "?";
+const char* cw_resource_kind_name(cw_resource_kind_t kind) {
+    static const char* const names[CW_RESOURCE_KIND_COUNT] = {"workspaces", "classes", "pools", "upstreams"};
+    return ((unsigned)kind < CW_RESOURCE_KIND_COUNT) ? names[kind] : "?";
 }
 
 /* -- validation of documents ---------------------------------------------- */
@@ -366,14 +366,14 @@
 static void _cw_parse_pool(_cw_doc_t* doc, cw_pool_t* out) {
     char kind[CW_NAME_MAX];
     _cw_doc_string(doc, "kind", kind, sizeof(kind), true);
-    out->engine = strcmp(kind, "engine") == 0;
-    if (kind[0] && !out->engine && strcmp(kind, "service") != 0) {
+    out->is_engine = strcmp(kind, "engine") == 0;
+    if (kind[0] && !out->is_engine && strcmp(kind, "service") != 0) {
         _cw_doc_fail(doc, "kind", "must be \"engine\" or \"service\"");
     }
     _cw_doc_string(doc, "model", out->model, sizeof(out->model), false);
     out->shard_size = _cw_doc_integer(doc, "shard_size", 24, 1, CW_PICK_MAX / 2);
     out->reserve = _cw_doc_integer(doc, "reserve", 0, 0, 10000);
-    out->resumes = _cw_doc_bool(doc, "resumes", false);
+    out->can_resume = _cw_doc_bool(doc, "resumes", false);
     _cw_doc_floors(doc, out);
 }
 
@@ -400,7 +400,7 @@
     _cw_doc_string(doc, "hall", out->hall, sizeof(out->hall), true);
     out->slots = _cw_doc_integer(doc, "slots", 8, 1, 100000);
     out->leaving = _cw_doc_bool(doc, "leaving", false);
-    out->drops_repeats = _cw_doc_bool(doc, "drops_repeats", false);
+    out->deduplicates_calls = _cw_doc_bool(doc, "drops_repeats", false);
     out->pool_id = out->pool[0] ? cw_name_id(out->pool) : 0;
 }
 
@@ -411,23 +411,23 @@
     cw_upstream_t upstream;
 } _cw_parsed_t;
 
-/* Splits a key KIND/NAME; returns CW_KIND_COUNT when the key names no resource. */
-static cw_kind_t _cw_parse_key(const char* key, const char** name) {
-    for (int kind = 0; kind < CW_KIND_COUNT; kind++) {
-        const char* prefix = cw_kind_name((cw_kind_t)kind);
+/* Splits a key KIND/NAME; returns CW_RESOURCE_KIND_COUNT when the key names no resource. */
+static cw_resource_kind_t _cw_parse_key(const char* key, const char** name) {
+    for (int kind = 0; kind < CW_RESOURCE_KIND_COUNT; kind++) {
+        const char* prefix = cw_resource_kind_name((cw_resource_kind_t)kind);
         size_t len = strlen(prefix);
         if (strncmp(key, prefix, len) == 0 && key[len] == '/' && key[len + 1]) {
             *name = key + len + 1;
-            return strlen(*name) < CW_NAME_MAX ? (cw_kind_t)kind : CW_KIND_COUNT;
+            return strlen(*name) < CW_NAME_MAX ? (cw_resource_kind_t)kind : CW_RESOURCE_KIND_COUNT;
         }
     }
-    return CW_KIND_COUNT;
+    return CW_RESOURCE_KIND_COUNT;
 }
 
 static cw_status_t _cw_parse(const char* key, const char* value, _cw_parsed_t* out, cw_error_t* err) {
     const char* name = NULL;
-    cw_kind_t kind = _cw_parse_key(key, &name);
-    if (kind == CW_KIND_COUNT) {
+    cw_resource_kind_t kind = _cw_parse_key(key, &name);
+    if (kind == CW_RESOURCE_KIND_COUNT) {
         return cw_fail(err, CW_ERR_INVALID, "validate", NULL, "the key is not KIND/NAME of a known kind");
     }
     memset(out, 0, sizeof(*out));
@@ -439,13 +439,13 @@
     cw_copy(out->workspace.name, CW_NAME_MAX, name); /* all members of the union begin with name and id */
     out->workspace.id = cw_name_id(name);
     switch (kind) {
-        case CW_KIND_WORKSPACE:
+        case CW_RESOURCE_WORKSPACE:
             _cw_parse_workspace(&doc, &out->workspace);
             break;
-        case CW_KIND_CLASS:
+        case CW_RESOURCE_CLASS:
             _cw_parse_class(&doc, &out->class);
             break;
-        case CW_KIND_POOL:
+        case CW_RESOURCE_POOL:
             _cw_parse_pool(&doc, &out->pool);
             break;
         default:
@@ -462,19 +462,19 @@
 
 /* -- snapshots ------------------------------------------------------------ */
 
-static uint64_t _cw_snapshot_key(cw_kind_t kind, uint64_t id) {
+static uint64_t _cw_snapshot_key(cw_resource_kind_t kind, uint64_t id) {
     return cw_mix((uint64_t)kind + 1, id);
 }
 
-static cw_view_t* _cw_snapshot_new(const cw_allocator_t* a, uint32_t capacity) {
-    cw_view_t* v = cw_alloc(a, 1, sizeof(*v));
+static cw_snapshot_t* _cw_snapshot_new(const cw_allocator_t* a, uint32_t capacity) {
+    cw_snapshot_t* v = cw_alloc(a, 1, sizeof(*v));
     v->refs = 1;
     v->by_id = cw_map_setup(capacity + 1, a);
     v->by_digest = cw_map_setup(capacity * CW_WORKSPACE_DIGESTS + 1, a);
     return v;
 }
 
-void cw_view_release(cw_view_t* v) {
+void cw_snapshot_release(cw_snapshot_t* v) {
     assert(v->refs > 0);
     if (--v->refs) {
         return;
@@ -489,32 +489,32 @@
     cw_free(&a, v);
 }
 
-cw_view_t* cw_view_keep(cw_view_t* v) {
+cw_snapshot_t* cw_snapshot_retain(cw_snapshot_t* v) {
     v->refs++;
     return v;
 }
 
-static void _cw_snapshot_add_workspace(cw_view_t* v, const cw_workspace_t* w) {
+static void _cw_snapshot_add_workspace(cw_snapshot_t* v, const cw_workspace_t* w) {
     v->workspaces[v->workspace_count] = *w;
     for (uint32_t i = 0; i < w->digest_count; i++) {
         uint64_t first_bytes;
         memcpy(&first_bytes, w->digests[i], sizeof(first_bytes));
         cw_map_put(&v->by_digest, first_bytes ? first_bytes : 1, v->workspace_count);
     }
-    cw_map_put(&v->by_id, _cw_snapshot_key(CW_KIND_WORKSPACE, w->id), v->workspace_count++);
+    cw_map_put(&v->by_id, _cw_snapshot_key(CW_RESOURCE_WORKSPACE, w->id), v->workspace_count++);
 }
 
-static void _cw_snapshot_add(cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p) {
+static void _cw_snapshot_add(cw_snapshot_t* v, cw_resource_kind_t kind, const _cw_parsed_t* p) {
     uint64_t key = _cw_snapshot_key(kind, p->workspace.id);
     switch (kind) {
-        case CW_KIND_WORKSPACE:
+        case CW_RESOURCE_WORKSPACE:
             _cw_snapshot_add_workspace(v, &p->workspace);
             break;
-        case CW_KIND_CLASS:
+        case CW_RESOURCE_CLASS:
             cw_map_put(&v->by_id, key, v->class_count);
             v->classes[v->class_count++] = p->class;
             break;
-        case CW_KIND_POOL:
+        case CW_RESOURCE_POOL:
             cw_map_put(&v->by_id, key, v->pool_count);
             v->pools[v->pool_count++] = p->pool;
             break;
@@ -526,17 +526,18 @@
 }
 
 static int _cw_item_compare_keys(const void* a, const void* b) {
-    return strcmp((*(cw_item_t* const*)a)->key, (*(cw_item_t* const*)b)->key);
+    return strcmp((*(cw_store_item_t* const*)a)->key, (*(cw_store_item_t* const*)b)->key);
 }
 
 /* Whether every pool that an upstream or a class refers to is in the snapshot; sets reason if one is not. */
-static bool _cw_snapshot_has_pools_of(const cw_view_t* v, cw_kind_t kind, const _cw_parsed_t* p, char* reason) {
-    if (kind == CW_KIND_UPSTREAM && !cw_view_pool(v, p->upstream.pool_id)) {
+static bool _cw_snapshot_has_pools_of(const cw_snapshot_t* v, cw_resource_kind_t kind, const _cw_parsed_t* p,
+                                      char* reason) {
+    if (kind == CW_RESOURCE_UPSTREAM && !cw_snapshot_pool(v, p->upstream.pool_id)) {
         snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->upstream.pool);
         return false;
     }
-    for (uint32_t i = 0; kind == CW_KIND_CLASS && i < p->class.pool_count; i++) {
-        if (!cw_view_pool(v, cw_name_id(p->class.pools[i]))) {
+    for (uint32_t i = 0; kind == CW_RESOURCE_CLASS && i < p->class.pool_count; i++) {
+        if (!cw_snapshot_pool(v, cw_name_id(p->class.pools[i]))) {
             snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->class.pools[i]);
             return false;
         }
@@ -545,37 +546,37 @@
 }
 
 /* Adds the active documents to the snapshot, either all pools or everything else: other kinds refer to pools. */
-static void _cw_snapshot_fill(cw_store_t* s, cw_view_t* v, cw_item_t** sorted, bool pools) {
+static void _cw_snapshot_fill(cw_store_t* s, cw_snapshot_t* v, cw_store_item_t** sorted, bool pools) {
     for (uint32_t i = 0; i < s->count; i++) {
-        cw_item_t* item = sorted[i];
+        cw_store_item_t* item = sorted[i];
         _cw_parsed_t parsed;
-        if (!item->valid || (item->kind == CW_KIND_POOL) != pools ||
-            _cw_parse(item->key, item->valid, &parsed, NULL) != CW_OK) {
+        if (!item->active_value || (item->kind == CW_RESOURCE_POOL) != pools ||
+            _cw_parse(item->key, item->active_value, &parsed, NULL) != CW_OK) {
             continue;
         }
         char reason[CW_REASON_MAX] = "";
         if (_cw_snapshot_has_pools_of(v, item->kind, &parsed, reason)) {
             _cw_snapshot_add(v, item->kind, &parsed);
         }
-        if (item->in_force == item->revision) {
+        if (item->active_revision == item->revision) {
             cw_copy(item->reason, sizeof(item->reason), reason);
         }
     }
 }
 
-static cw_view_t* _cw_store_build_snapshot(cw_store_t* s) {
+static cw_snapshot_t* _cw_store_build_snapshot(cw_store_t* s) {
     const cw_allocator_t* a = &s->desc.allocator;
-    uint32_t kinds[CW_KIND_COUNT] = {0};
+    uint32_t kinds[CW_RESOURCE_KIND_COUNT] = {0};
     for (uint32_t i = 0; i < s->count; i++) {
-        kinds[s->items[i]->kind] += s->items[i]->valid ? 1 : 0;
+        kinds[s->items[i]->kind] += s->items[i]->active_value ? 1 : 0;
     }
-    cw_view_t* v = _cw_snapshot_new(a, s->count);
+    cw_snapshot_t* v = _cw_snapshot_new(a, s->count);
     v->revision = s->revision;
-    v->workspaces = cw_alloc(a, kinds[CW_KIND_WORKSPACE], sizeof(*v->workspaces));
-    v->classes = cw_alloc(a, kinds[CW_KIND_CLASS], sizeof(*v->classes));
-    v->pools = cw_alloc(a, kinds[CW_KIND_POOL], sizeof(*v->pools));
-    v->upstreams = cw_alloc(a, kinds[CW_KIND_UPSTREAM], sizeof(*v->upstreams));
-    cw_item_t** sorted = cw_alloc(a, s->count, sizeof(*sorted));
+    v->workspaces = cw_alloc(a, kinds[CW_RESOURCE_WORKSPACE], sizeof(*v->workspaces));
+    v->classes = cw_alloc(a, kinds[CW_RESOURCE_CLASS], sizeof(*v->classes));
+    v->pools = cw_alloc(a, kinds[CW_RESOURCE_POOL], sizeof(*v->pools));
+    v->upstreams = cw_alloc(a, kinds[CW_RESOURCE_UPSTREAM], sizeof(*v->upstreams));
+    cw_store_item_t** sorted = cw_alloc(a, s->count, sizeof(*sorted));
     memcpy(sorted, s->items, s->count * sizeof(*sorted));
     qsort(sorted, s->count, sizeof(*sorted), _cw_item_compare_keys);
     _cw_snapshot_fill(s, v, sorted, true);
@@ -584,31 +585,31 @@
     return v;
 }
 
-static uint32_t _cw_snapshot_index(const cw_view_t* v, cw_kind_t kind, uint64_t id) {
+static uint32_t _cw_snapshot_index(const cw_snapshot_t* v, cw_resource_kind_t kind, uint64_t id) {
     return id ? cw_map_get(&v->by_id, _cw_snapshot_key(kind, id)) : CW_MAP_NONE;
 }
 
-const cw_workspace_t* cw_view_workspace(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_KIND_WORKSPACE, id);
+const cw_workspace_t* cw_snapshot_workspace(const cw_snapshot_t* v, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_WORKSPACE, id);
     return i == CW_MAP_NONE ? NULL : &v->workspaces[i];
 }
 
-const cw_class_t* cw_view_class(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_KIND_CLASS, id);
+const cw_class_t* cw_snapshot_class(const cw_snapshot_t* v, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_CLASS, id);
     return i == CW_MAP_NONE ? NULL : &v->classes[i];
 }
 
-const cw_pool_t* cw_view_pool(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_KIND_POOL, id);
+const cw_pool_t* cw_snapshot_pool(const cw_snapshot_t* v, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_POOL, id);
     return i == CW_MAP_NONE ? NULL : &v->pools[i];
 }
 
-const cw_upstream_t* cw_view_upstream(const cw_view_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_KIND_UPSTREAM, id);
+const cw_upstream_t* cw_snapshot_upstream(const cw_snapshot_t* v, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_UPSTREAM, id);
     return i == CW_MAP_NONE ? NULL : &v->upstreams[i];
 }
 
-const cw_workspace_t* cw_view_auth(const cw_view_t* v, const uint8_t digest[CW_DIGEST_BYTES]) {
+const cw_workspace_t* cw_snapshot_authenticate(const cw_snapshot_t* v, const uint8_t digest[CW_DIGEST_BYTES]) {
     uint64_t first_bytes;
     memcpy(&first_bytes, digest, sizeof(first_bytes));
     uint32_t i = cw_map_get(&v->by_digest, first_bytes ? first_bytes : 1);
@@ -656,16 +657,16 @@
     cw_allocator_t a = s->desc.allocator;
     for (uint32_t i = 0; i < s->count; i++) {
         _cw_store_set_text(s, &s->items[i]->value, NULL);
-        _cw_store_set_text(s, &s->items[i]->valid, NULL);
+        _cw_store_set_text(s, &s->items[i]->active_value, NULL);
         cw_free(&a, s->items[i]);
     }
-    cw_view_release(s->snapshot);
+    cw_snapshot_release(s->snapshot);
     cw_map_shutdown(&s->by_key);
     cw_free(&a, s->items);
     cw_free(&a, s);
 }
 
-static cw_item_t* _cw_store_find_or_add(cw_store_t* s, const char* key, cw_kind_t kind) {
+static cw_store_item_t* _cw_store_find_or_add(cw_store_t* s, const char* key, cw_resource_kind_t kind) {
     uint64_t id = cw_name_id(key);
     uint32_t i = cw_map_get(&s->by_key, id);
     if (i != CW_MAP_NONE) {
@@ -674,7 +675,7 @@
     if (s->count == s->desc.max_items) {
         return NULL;
     }
-    cw_item_t* item = cw_alloc(&s->desc.allocator, 1, sizeof(*item));
+    cw_store_item_t* item = cw_alloc(&s->desc.allocator, 1, sizeof(*item));
     cw_copy(item->key, sizeof(item->key), key);
     item->kind = kind;
     cw_map_put(&s->by_key, id, s->count);
@@ -684,11 +685,11 @@
 
 cw_status_t cw_store_put(cw_store_t* s, const char* key, int64_t revision, const char* value) {
     const char* name = NULL;
-    cw_kind_t kind = _cw_parse_key(key, &name);
-    if (kind == CW_KIND_COUNT) {
+    cw_resource_kind_t kind = _cw_parse_key(key, &name);
+    if (kind == CW_RESOURCE_KIND_COUNT) {
         return CW_ERR_INVALID;
     }
-    cw_item_t* item = _cw_store_find_or_add(s, key, kind);
+    cw_store_item_t* item = _cw_store_find_or_add(s, key, kind);
     if (!item) {
         return CW_ERR_FULL;
     }
@@ -702,8 +703,8 @@
         cw_copy(item->reason, sizeof(item->reason), err.message);
         return CW_ERR_INVALID;
     }
-    _cw_store_set_text(s, &item->valid, value);
-    item->in_force = revision;
+    _cw_store_set_text(s, &item->active_value, value);
+    item->active_revision = revision;
     item->reason[0] = 0;
     s->dirty = true;
     return CW_OK;
@@ -714,10 +715,10 @@
         s->revision = revision;
     }
     if (s->dirty) {
-        cw_view_t* old = s->snapshot;
+        cw_snapshot_t* old = s->snapshot;
         s->snapshot = _cw_store_build_snapshot(s);
         s->dirty = false;
-        cw_view_release(old);
+        cw_snapshot_release(old);
     }
 }
 
@@ -725,20 +726,20 @@
     return s->revision;
 }
 
-cw_view_t* cw_store_view(cw_store_t* s) {
-    return cw_view_keep(s->snapshot);
+cw_snapshot_t* cw_store_snapshot(cw_store_t* s) {
+    return cw_snapshot_retain(s->snapshot);
 }
 
 uint32_t cw_store_count(const cw_store_t* s) {
     return s->count;
 }
 
-const cw_item_t* cw_store_at(const cw_store_t* s, uint32_t index) {
+const cw_store_item_t* cw_store_at(const cw_store_t* s, uint32_t index) {
     assert(index < s->count);
     return s->items[index];
 }
 
-const cw_item_t* cw_store_find(const cw_store_t* s, const char* key) {
+const cw_store_item_t* cw_store_find(const cw_store_t* s, const char* key) {
     uint32_t i = cw_map_get(&s->by_key, cw_name_id(key));
     return i == CW_MAP_NONE ? NULL : s->items[i];
 }
--- a/chalkway_stream.h
+++ b/chalkway_stream.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_STREAM_H
-#define CHALKWAY_STREAM_H
+#ifndef CHALKWAY_TOKEN_STREAM_H
+#define CHALKWAY_TOKEN_STREAM_H
 /*
     chalkway_stream.h -- position in an engine's event stream
 
@@ -14,9 +14,9 @@
     HOW TO USE IT
         Buffer the bytes that were not forwarded yet; for each block:
 
-            cw_stream_t stream = {0};
+            cw_token_stream_t stream = {0};
             append(pending, block);
-            size_t complete = cw_stream_take(&stream, pending, size);
+            size_t complete = cw_token_stream_take(&stream, pending, size);
             forward(pending, complete);
             remove(pending, complete);
 
@@ -33,27 +33,27 @@
 */
 #include "chalkway_core.h"
 
-typedef struct cw_stream_t {
+typedef struct cw_token_stream_t {
     uint32_t tokens; /* complete events so far, without the end event */
     bool ended;      /* the end event was received */
-} cw_stream_t;
+} cw_token_stream_t;
 
 /* Counts the complete events at the start of data and returns their size in bytes. data begins at the start of an
    event. */
-size_t cw_stream_take(cw_stream_t* stream, const char* data, size_t size);
+size_t cw_token_stream_take(cw_token_stream_t* stream, const char* data, size_t size);
 
-#endif /* CHALKWAY_STREAM_H */
+#endif /* CHALKWAY_TOKEN_STREAM_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_STREAM_IMPL_INCLUDED
-#define CHALKWAY_STREAM_IMPL_INCLUDED
+#ifndef CHALKWAY_TOKEN_STREAM_IMPL_INCLUDED
+#define CHALKWAY_TOKEN_STREAM_IMPL_INCLUDED
 
 #include <string.h>
 
 static const char _cw_token_stream_end_event[] = "data: [DONE]\n\n";
 
-size_t cw_stream_take(cw_stream_t* stream, const char* data, size_t size) {
+size_t cw_token_stream_take(cw_token_stream_t* stream, const char* data, size_t size) {
     size_t begin = 0;
     for (size_t i = 1; i < size; i++) {
         if (data[i] != '\n' || data[i - 1] != '\n') {
@@ -70,5 +70,5 @@
     return begin;
 }
 
-#endif /* CHALKWAY_STREAM_IMPL_INCLUDED */
+#endif /* CHALKWAY_TOKEN_STREAM_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_subset.h
+++ b/chalkway_subset.h
@@ -19,9 +19,9 @@
 
     HOW TO USE IT
             cw_subset_t subset = {.min_servers = 1000};
-            cw_subset_fit(&subset, now_ms, count);           // after each change of the list
+            cw_subset_resize(&subset, now_ms, count);           // after each change of the list
             for each server: if (cw_subset_has(&subset, id)) { use it }
-            if (no server has a free slot && cw_subset_widen(&subset, now_ms)) { apply the list again }
+            if (no server has a free slot && cw_subset_expand(&subset, now_ms)) { apply the list again }
 
     WHAT IT DOES NOT DO
         It has no list of servers and chooses none of them
@@ -33,16 +33,16 @@
 #include "chalkway_core.h"
 
 typedef struct cw_subset_t {
-    uint32_t least;     /* least number of servers, where the pool has as many */
-    uint32_t shift;     /* number of hash bits that are zero; 0: the whole pool */
-    int64_t widened_ms; /* time of the last doubling for lack of slots, 0: never */
+    uint32_t min_servers; /* least number of servers, where the pool has as many */
+    uint32_t shift;       /* number of hash bits that are zero; 0: the whole pool */
+    int64_t expanded_ms;  /* time of the last doubling for lack of slots, 0: never */
 } cw_subset_t;
 
 /* Adapts the subset to the size of the pool. Returns whether it has changed. */
-bool cw_subset_fit(cw_subset_t* subset, int64_t now_ms, uint32_t count);
+bool cw_subset_resize(cw_subset_t* subset, int64_t now_ms, uint32_t count);
 bool cw_subset_has(const cw_subset_t* subset, uint64_t id);
 /* Doubles the subset; false when it is the whole pool, or was doubled a moment ago. */
-bool cw_subset_widen(cw_subset_t* subset, int64_t now_ms);
+bool cw_subset_expand(cw_subset_t* subset, int64_t now_ms);
 
 #endif /* CHALKWAY_SUBSET_H */
 
@@ -64,13 +64,13 @@
     return (double)count / (double)(UINT64_C(1) << shift);
 }
 
-bool cw_subset_fit(cw_subset_t* subset, int64_t now_ms, uint32_t count) {
+bool cw_subset_resize(cw_subset_t* subset, int64_t now_ms, uint32_t count) {
     uint32_t old_shift = subset->shift;
-    bool is_expanded = subset->widened_ms && now_ms - subset->widened_ms < _CW_SUBSET_EXPANDED_MIN_MS;
-    while (subset->shift && _cw_subset_size(subset->shift, count) < _CW_SUBSET_DOUBLE_BELOW * subset->least) {
+    bool is_expanded = subset->expanded_ms && now_ms - subset->expanded_ms < _CW_SUBSET_EXPANDED_MIN_MS;
+    while (subset->shift && _cw_subset_size(subset->shift, count) < _CW_SUBSET_DOUBLE_BELOW * subset->min_servers) {
         subset->shift--;
     }
-    while (!is_expanded && _cw_subset_size(subset->shift, count) > _CW_SUBSET_HALVE_ABOVE * subset->least) {
+    while (!is_expanded && _cw_subset_size(subset->shift, count) > _CW_SUBSET_HALVE_ABOVE * subset->min_servers) {
         subset->shift++;
     }
     return subset->shift != old_shift;
@@ -80,13 +80,13 @@
     return !subset->shift || cw_mix(id, _CW_SUBSET_SALT) >> (64U - subset->shift) == 0;
 }
 
-bool cw_subset_widen(cw_subset_t* subset, int64_t now_ms) {
-    bool is_recent = subset->widened_ms && now_ms - subset->widened_ms < _CW_SUBSET_EXPAND_INTERVAL_MS;
+bool cw_subset_expand(cw_subset_t* subset, int64_t now_ms) {
+    bool is_recent = subset->expanded_ms && now_ms - subset->expanded_ms < _CW_SUBSET_EXPAND_INTERVAL_MS;
     if (!subset->shift || is_recent) {
         return false;
     }
     subset->shift--;
-    subset->widened_ms = now_ms;
+    subset->expanded_ms = now_ms;
     return true;
 }
 
--- a/chalkway_suspect.h
+++ b/chalkway_suspect.h
@@ -22,9 +22,9 @@
 
     HOW TO USE IT
             cw_suspect_t s = {0};
-            cw_suspect_failed(&s, host, at_ms); // observed here or reported by another host
-            cw_suspect_alive(&s, sent_ms);      // a request that was sent then is being answered
-            if (cw_suspect_holds(&s, now_ms) && !cw_suspect_may_try(&s, now_ms, host, server, hosts)) { ... }
+            cw_suspect_on_failure(&s, host, at_ms); // observed here or reported by another host
+            cw_suspect_on_response(&s, sent_ms);      // a request that was sent then is being answered
+            if (cw_suspect_is_active(&s, now_ms) && !cw_suspect_may_probe(&s, now_ms, host, server, hosts)) { ... }
 
     WHAT IT DOES NOT DO
         It sends no probes and no messages. The load and speed of a server
@@ -37,26 +37,26 @@
 
 /* Failures and responses of one server, over all hosts. All zero: none known. Times in ms, 0: never. */
 typedef struct cw_suspect_t {
-    int64_t failed_ms;    /* time of the latest known failure */
-    uint64_t failed_host; /* host that observed it */
-    uint32_t failures;    /* since alive_ms */
-    int64_t alive_ms;     /* latest sending time of a request that the server is known to have answered */
-    int64_t tried_ms;     /* latest failure that this host observed itself */
+    int64_t failed_ms;      /* time of the latest known failure */
+    uint64_t failed_host;   /* host that observed it */
+    uint32_t failures;      /* since answered_ms */
+    int64_t answered_ms;    /* latest sending time of a request that the server is known to have answered */
+    int64_t own_failure_ms; /* latest failure that this host observed itself */
 } cw_suspect_t;
 
 /* Records that a connection of the host to the server broke or could not be established. A failure that is reported
    repeatedly counts once. */
-void cw_suspect_failed(cw_suspect_t* s, uint64_t host, int64_t at_ms);
+void cw_suspect_on_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
 /* Does the same for a failure of this host's own request. */
-void cw_suspect_failed_here(cw_suspect_t* s, uint64_t host, int64_t at_ms);
+void cw_suspect_on_own_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
 /* Records that the server began to answer a request that was sent at sent_ms or later. True: it ends a suspicion. */
-bool cw_suspect_alive(cw_suspect_t* s, int64_t sent_ms);
+bool cw_suspect_on_response(cw_suspect_t* s, int64_t sent_ms);
 /* Whether the server is suspected now. */
-bool cw_suspect_holds(const cw_suspect_t* s, int64_t now_ms);
+bool cw_suspect_is_active(const cw_suspect_t* s, int64_t now_ms);
 /* Whether this host may probe the suspected server now; hosts: number of live hosts. */
-bool cw_suspect_may_try(const cw_suspect_t* s, int64_t now_ms, uint64_t host, uint64_t server, uint32_t hosts);
+bool cw_suspect_may_probe(const cw_suspect_t* s, int64_t now_ms, uint64_t host, uint64_t server, uint32_t hosts);
 /* Age of a time for a report to peers, ms: at least 1; 0: no time, or one too old to matter. */
-uint32_t cw_suspect_age(int64_t at_ms, int64_t now_ms);
+uint32_t cw_suspect_age_ms(int64_t at_ms, int64_t now_ms);
 
 #endif /* CHALKWAY_SUSPECT_H */
 
@@ -76,8 +76,8 @@
 /* Each further load report repeats a failure. Its time, computed from the reported age, varies by the transit time. */
 #define _CW_SUSPECT_REPORT_JITTER_MS 50
 
-void cw_suspect_failed(cw_suspect_t* s, uint64_t host, int64_t at_ms) {
-    if (at_ms <= s->alive_ms) {
+void cw_suspect_on_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms) {
+    if (at_ms <= s->answered_ms) {
         return;
     }
     bool is_repeated = s->failures && host == s->failed_host && at_ms < s->failed_ms + _CW_SUSPECT_REPORT_JITTER_MS;
@@ -88,34 +88,34 @@
     }
 }
 
-void cw_suspect_failed_here(cw_suspect_t* s, uint64_t host, int64_t at_ms) {
-    cw_suspect_failed(s, host, at_ms);
-    s->tried_ms = at_ms;
+void cw_suspect_on_own_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms) {
+    cw_suspect_on_failure(s, host, at_ms);
+    s->own_failure_ms = at_ms;
 }
 
-bool cw_suspect_alive(cw_suspect_t* s, int64_t sent_ms) {
+bool cw_suspect_on_response(cw_suspect_t* s, int64_t sent_ms) {
     bool was_suspected = s->failures >= _CW_SUSPECT_FAILURES_MIN;
-    s->alive_ms = sent_ms > s->alive_ms ? sent_ms : s->alive_ms;
-    if (s->alive_ms < s->failed_ms) {
+    s->answered_ms = sent_ms > s->answered_ms ? sent_ms : s->answered_ms;
+    if (s->answered_ms < s->failed_ms) {
         return false;
     }
     s->failures = 0;
     return was_suspected;
 }
 
-bool cw_suspect_holds(const cw_suspect_t* s, int64_t now_ms) {
+bool cw_suspect_is_active(const cw_suspect_t* s, int64_t now_ms) {
     return s->failures >= _CW_SUSPECT_FAILURES_MIN && now_ms - s->failed_ms < _CW_SUSPECT_EXPIRY_MS;
 }
 
-bool cw_suspect_may_try(const cw_suspect_t* s, int64_t now_ms, uint64_t host, uint64_t server, uint32_t hosts) {
-    if (s->tried_ms && now_ms - s->tried_ms < _CW_SUSPECT_SLICE_MS) {
+bool cw_suspect_may_probe(const cw_suspect_t* s, int64_t now_ms, uint64_t host, uint64_t server, uint32_t hosts) {
+    if (s->own_failure_ms && now_ms - s->own_failure_ms < _CW_SUSPECT_SLICE_MS) {
         return false;
     }
     uint64_t slice = (uint64_t)(now_ms / _CW_SUSPECT_SLICE_MS);
     return hosts <= 1 || cw_mix(cw_mix(host, server), slice) % hosts == 0;
 }
 
-uint32_t cw_suspect_age(int64_t at_ms, int64_t now_ms) {
+uint32_t cw_suspect_age_ms(int64_t at_ms, int64_t now_ms) {
     int64_t age_ms = now_ms - at_ms;
     if (!at_ms || age_ms >= _CW_SUSPECT_EXPIRY_MS) {
         return 0;
--- a/chalkway_turn.h
+++ b/chalkway_turn.h
@@ -1,5 +1,5 @@
-#ifndef CHALKWAY_TURN_H
-#define CHALKWAY_TURN_H
+#ifndef CHALKWAY_QUEUE_ORDER_H
+#define CHALKWAY_QUEUE_ORDER_H
 /*
     chalkway_turn.h -- order and time limits of requests that wait for a slot
 
@@ -21,9 +21,9 @@
         little.
 
     HOW TO USE IT
-            cw_turn_wait_t wait = cw_turn_wait(&desc); // when there is no free slot
-            cw_turn_t key = {.urgency = urgency, .is_light = is_light, .arrived_ms = arrived_ms};
-            if (cw_turn_before(&key, &other)) { ... }
+            cw_queue_wait_t wait = cw_queue_wait(&desc); // when there is no free slot
+            cw_queue_key_t key = {.urgency = urgency, .is_light = is_light, .arrived_ms = arrived_ms};
+            if (cw_queue_precedes(&key, &other)) { ... }
 
     WHAT IT DOES NOT DO
         It has no queue of its own and no knowledge of servers.
@@ -34,62 +34,63 @@
 #include "chalkway_core.h"
 
 /* What determines a waiting request's position in the queue. */
-typedef struct cw_turn_t {
+typedef struct cw_queue_key_t {
     uint32_t urgency; /* 0 is the most urgent */
-    bool light;
-    bool late;
+    bool is_light;
+    bool is_late;
     int64_t arrived_ms;
-} cw_turn_t;
+} cw_queue_key_t;
 
 /* What determines how long a request may wait. */
-typedef struct cw_turn_ask_t {
+typedef struct cw_queue_wait_desc_t {
     int64_t now_ms;
-    int64_t leaves_ms;         /* time at which its caller is assumed to be gone */
+    int64_t caller_gone_ms;    /* time at which its caller is assumed to be gone */
     uint32_t target_ms;        /* of the request, to the first byte */
     double shortest_target_ms; /* of the pool; 0: unknown */
-    bool patient;              /* it is delay-tolerant, so it is refused when late */
-} cw_turn_ask_t;
+    bool is_delay_tolerant;    /* it is delay-tolerant, so it is refused when late */
+} cw_queue_wait_desc_t;
 
-typedef struct cw_turn_wait_t {
-    int64_t late_ms;  /* time from which the request is late */
-    int64_t until_ms; /* time at which it is refused, at the earliest late_ms */
-} cw_turn_wait_t;
+typedef struct cw_queue_wait_t {
+    int64_t late_from_ms; /* time from which the request is late */
+    int64_t until_ms;     /* time at which it is refused, at the earliest late_from_ms */
+} cw_queue_wait_t;
 
 /* Whether x gets a slot before y. */
-bool cw_turn_before(const cw_turn_t* x, const cw_turn_t* y);
+bool cw_queue_precedes(const cw_queue_key_t* x, const cw_queue_key_t* y);
 /* Time limits of a request that finds no free slot now. */
-cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* desc);
+cw_queue_wait_t cw_queue_wait(const cw_queue_wait_desc_t* desc);
 
-#endif /* CHALKWAY_TURN_H */
+#endif /* CHALKWAY_QUEUE_ORDER_H */
 
 /*-- IMPLEMENTATION -----------------------------------------------------------*/
 #ifdef CHALKWAY_IMPL
-#ifndef CHALKWAY_TURN_IMPL_INCLUDED
-#define CHALKWAY_TURN_IMPL_INCLUDED
+#ifndef CHALKWAY_QUEUE_ORDER_IMPL_INCLUDED
+#define CHALKWAY_QUEUE_ORDER_IMPL_INCLUDED
 
 /* Share of the pool's shortest target after which a waiting request is late: it could hardly meet its target. */
 #define _CW_QUEUE_IN_TIME_SHARE 0.4
 #define _CW_QUEUE_IN_TIME_MIN_MS 20
 
-bool cw_turn_before(const cw_turn_t* x, const cw_turn_t* y) {
-    if (x->light != y->light) {
-        return x->light;
+bool cw_queue_precedes(const cw_queue_key_t* x, const cw_queue_key_t* y) {
+    if (x->is_light != y->is_light) {
+        return x->is_light;
     }
-    if (x->late != y->late) {
-        return y->late;
+    if (x->is_late != y->is_late) {
+        return y->is_late;
     }
     return x->urgency != y->urgency ? x->urgency < y->urgency : x->arrived_ms < y->arrived_ms;
 }
 
-cw_turn_wait_t cw_turn_wait(const cw_turn_ask_t* desc) {
+cw_queue_wait_t cw_queue_wait(const cw_queue_wait_desc_t* desc) {
     bool has_shorter = desc->shortest_target_ms > 0 && desc->shortest_target_ms < desc->target_ms;
     double in_time_ms = _CW_QUEUE_IN_TIME_SHARE * (has_shorter ? desc->shortest_target_ms : desc->target_ms);
-    int64_t late_ms =
+    int64_t late_from_ms =
         desc->now_ms + (int64_t)(in_time_ms > _CW_QUEUE_IN_TIME_MIN_MS ? in_time_ms : _CW_QUEUE_IN_TIME_MIN_MS);
     /* A request sent with less than its target left would run for a caller that is gone. */
-    int64_t last_ms = desc->leaves_ms - desc->target_ms;
-    return (cw_turn_wait_t){.late_ms = late_ms, .until_ms = !desc->patient && last_ms > late_ms ? last_ms : late_ms};
+    int64_t last_ms = desc->caller_gone_ms - desc->target_ms;
+    return (cw_queue_wait_t){.late_from_ms = late_from_ms,
+                             .until_ms = !desc->is_delay_tolerant && last_ms > late_from_ms ? last_ms : late_from_ms};
 }
 
-#endif /* CHALKWAY_TURN_IMPL_INCLUDED */
+#endif /* CHALKWAY_QUEUE_ORDER_IMPL_INCLUDED */
 #endif /* CHALKWAY_IMPL */
--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -14,7 +14,7 @@
 
     HOW TO USE IT
             cw_wire_t* wire = cw_wire_setup(NULL);
-            cw_bytes_t frame = cw_wire_frame(wire, &msg);     // valid until the next call
+            cw_bytes_t frame = cw_wire_encode_frame(wire, &msg);     // valid until the next call
             cw_status_t s = cw_wire_decode(wire, bytes, len, &msg, &err);
 
     WHAT IT DOES NOT DO
@@ -30,20 +30,20 @@
 #define CW_WIRE_VERSION 2
 #define CW_FRAME_MAX (2U << 20) /* bytes of one frame; has room for a document of 1 MiB with its key */
 #define CW_FRAME_HEADER 4       /* bytes of the length in front of a frame's body */
-#define CW_LIST_MAX 4096        /* grants in one grant list */
+#define CW_GRANT_LIST_MAX 4096  /* grants in one grant list */
 #define CW_CHUNK_MAX 256        /* documents in one chunk */
 
 typedef enum cw_msg_type_t {
     CW_MSG_NONE = 0,
-    CW_MSG_HELLO,  /* identifies the sender of a connection */
-    CW_MSG_WANT,   /* slot request */
-    CW_MSG_CANCEL, /* cancels a slot request */
-    CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
-    CW_MSG_DONE,   /* grant release */
-    CW_MSG_DIGEST, /* digest of the grants that an entry holds */
-    CW_MSG_LIST,   /* the grants that an entry holds, with their digest */
-    CW_MSG_PULL,   /* asks for all documents after a revision */
-    CW_MSG_CHUNK,  /* some of these documents */
+    CW_MSG_HELLO,          /* identifies the sender of a connection */
+    CW_MSG_SLOT_REQUEST,   /* slot request */
+    CW_MSG_CANCEL,         /* cancels a slot request */
+    CW_MSG_ACTION,         /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
+    CW_MSG_GRANT_RELEASE,  /* grant release */
+    CW_MSG_GRANT_DIGEST,   /* digest of the grants that an entry holds */
+    CW_MSG_GRANT_LIST,     /* the grants that an entry holds, with their digest */
+    CW_MSG_DOCUMENT_PULL,  /* asks for all documents after a revision */
+    CW_MSG_DOCUMENT_CHUNK, /* some of these documents */
     CW_MSG_TYPE_COUNT
 } cw_msg_type_t;
 
@@ -54,38 +54,38 @@
 } cw_hello_t;
 
 /* One document in a chunk; value NULL: it was deleted. */
-typedef struct cw_chunk_item_t {
+typedef struct cw_document_t {
     const char* key;
     const char* value;
     int64_t revision;
-} cw_chunk_item_t;
+} cw_document_t;
 
-typedef struct cw_chunk_t {
+typedef struct cw_document_chunk_t {
     int64_t revision; /* if last is set: revision up to which the sender's documents are complete */
     bool last;        /* no more chunks follow */
     uint32_t count;
-    cw_chunk_item_t items[CW_CHUNK_MAX];
-} cw_chunk_t;
+    cw_document_t items[CW_CHUNK_MAX];
+} cw_document_chunk_t;
 
 typedef struct cw_msg_t {
     cw_msg_type_t type;
     uint64_t shard; /* slot request, cancel, action, grant release, digest, grant list */
     union {
         cw_hello_t hello;
-        cw_want_t want;
+        cw_slot_request_t slot_request;
         uint32_t cancel_seq;
         struct {
             cw_shard_action_t action;
             uint32_t wait_ms; /* estimated wait at the shard, by which entries choose one */
         };
-        cw_done_t done;
+        cw_grant_release_t done;
         struct {
-            cw_digest_t digest;
-            uint32_t held_count; /* grant list */
-            cw_held_t* held;     /* grant list */
+            cw_grant_digest_t digest;
+            uint32_t held_count;   /* grant list */
+            cw_held_grant_t* held; /* grant list */
         };
         int64_t pull_since;
-        cw_chunk_t chunk;
+        cw_document_chunk_t chunk;
     };
 } cw_msg_t;
 
@@ -99,16 +99,16 @@
 cw_wire_t* cw_wire_setup(const cw_allocator_t* allocator);
 void cw_wire_shutdown(cw_wire_t* wire);
 /* Encodes a message as a frame with its length; valid until the next call. */
-cw_bytes_t cw_wire_frame(cw_wire_t* wire, const cw_msg_t* msg);
+cw_bytes_t cw_wire_encode_frame(cw_wire_t* wire, const cw_msg_t* msg);
 /* Decodes the body of a frame, without its length. Returns CW_ERR_PROTOCOL when it is not a valid message. */
 cw_status_t cw_wire_decode(cw_wire_t* wire, const uint8_t* body, size_t size, cw_msg_t* msg, cw_error_t* err);
 /* Length of a frame's body, read from the frame's first four bytes. */
 uint32_t cw_wire_body_size(const uint8_t header[CW_FRAME_HEADER]);
 /* Encodes a gossip message as a datagram; valid until the next call. */
-cw_bytes_t cw_wire_datagram(cw_wire_t* wire, const char* cluster, const cw_gossip_t* gossip);
+cw_bytes_t cw_wire_encode_datagram(cw_wire_t* wire, const char* cluster, const cw_gossip_t* gossip);
 /* Decodes a datagram. Returns CW_ERR_PROTOCOL when it is not a valid message or comes from another cluster. */
-cw_status_t cw_wire_gossip(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size, cw_gossip_t* gossip,
-                           cw_error_t* err);
+cw_status_t cw_wire_decode_datagram(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size,
+                                    cw_gossip_t* gossip, cw_error_t* err);
 
 #endif /* CHALKWAY_WIRE_H */
 
@@ -124,7 +124,7 @@
     cw_allocator_t allocator;
     msgpack_sbuffer buffer;
     msgpack_zone zone;
-    cw_held_t held[CW_LIST_MAX];
+    cw_held_grant_t held[CW_GRANT_LIST_MAX];
 };
 
 typedef enum _cw_io_mode_t { _CW_IO_COUNT, _CW_IO_PACK, _CW_IO_UNPACK } _cw_io_mode_t;
@@ -242,7 +242,7 @@
     io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && !h->host);
 }
 
-static void _cw_fields_slot_request(_cw_io_t* io, cw_want_t* w) {
+static void _cw_fields_slot_request(_cw_io_t* io, cw_slot_request_t* w) {
     _cw_io_u32(io, &w->seq);
     _cw_io_u8(io, &w->tier);
     _cw_io_u8(io, &w->flags);
@@ -251,39 +251,39 @@
     _cw_io_u32(io, &w->cost);
     _cw_io_u32(io, &w->est_ms);
     _cw_io_u32(io, &w->queue_ms);
-    _cw_io_u32(io, &w->left_ms);
+    _cw_io_u32(io, &w->remaining_ms);
     _cw_io_u64(io, &w->prefix);
     _cw_io_u64(io, &w->exclude);
     _cw_io_u64(io, &w->hall);
-    _cw_io_u32(io, &w->need_ms);
+    _cw_io_u32(io, &w->high_est_ms);
     io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!w->seq || !w->workspace || w->tier >= CW_TIERS));
 }
 
 static void _cw_fields_action(_cw_io_t* io, cw_shard_action_t* a) {
-    a->kind = (cw_shard_kind_t)_cw_io_enum(io, a->kind, CW_SHARD_QUEUED + 1);
+    a->kind = (cw_shard_action_kind_t)_cw_io_enum(io, a->kind, CW_SHARD_QUEUED + 1);
     _cw_io_u32(io, &a->seq);
     _cw_io_u64(io, &a->grant);
     _cw_io_u64(io, &a->upstream);
-    _cw_io_u32(io, &a->held_ms);
+    _cw_io_u32(io, &a->queued_ms);
     _cw_io_u32(io, &a->ttl_ms);
     a->refusal = (cw_refusal_t)_cw_io_enum(io, a->refusal, CW_REFUSED_COUNT);
     _cw_io_u32(io, &a->retry_after_ms);
 }
 
-static void _cw_fields_grant_release(_cw_io_t* io, cw_done_t* d) {
+static void _cw_fields_grant_release(_cw_io_t* io, cw_grant_release_t* d) {
     _cw_io_u64(io, &d->grant);
     d->result = (cw_pick_result_t)_cw_io_enum(io, d->result, CW_PICK_CANCELLED + 1);
     _cw_io_u32(io, &d->took_ms);
     _cw_io_u32(io, &d->cost);
 }
 
-static void _cw_fields_grant_digest(_cw_io_t* io, cw_digest_t* d) {
+static void _cw_fields_grant_digest(_cw_io_t* io, cw_grant_digest_t* d) {
     _cw_io_u64(io, &d->last);
-    _cw_io_u64(io, &d->xored);
+    _cw_io_u64(io, &d->ids_xor);
     _cw_io_u32(io, &d->count);
 }
 
-static void _cw_fields_held_grant(_cw_io_t* io, cw_held_t* h) {
+static void _cw_fields_held_grant(_cw_io_t* io, cw_held_grant_t* h) {
     _cw_io_u64(io, &h->grant);
     _cw_io_u64(io, &h->upstream);
     _cw_io_u64(io, &h->workspace);
@@ -311,12 +311,12 @@
 
 #define _CW_HELD_GRANT_FIELDS 7
 
-static void _cw_fields_grant_list(_cw_io_t* io, cw_msg_t* msg, cw_held_t* held_buffer) {
+static void _cw_fields_grant_list(_cw_io_t* io, cw_msg_t* msg, cw_held_grant_t* held_buffer) {
     _cw_fields_grant_digest(io, &msg->digest);
     _cw_io_u32(io, &msg->held_count);
     if (io->mode == _CW_IO_UNPACK) {
         msg->held = held_buffer;
-        if (msg->held_count > CW_LIST_MAX ||
+        if (msg->held_count > CW_GRANT_LIST_MAX ||
             io->at + (uint64_t)msg->held_count * _CW_HELD_GRANT_FIELDS > io->in->size) {
             io->is_invalid = true;
             msg->held_count = 0;
@@ -348,7 +348,7 @@
     }
 }
 
-static void _cw_fields_document_chunk(_cw_io_t* io, cw_chunk_t* c) {
+static void _cw_fields_document_chunk(_cw_io_t* io, cw_document_chunk_t* c) {
     _cw_io_i64(io, &c->revision);
     _cw_io_bool(io, &c->last);
     _cw_io_u32(io, &c->count);
@@ -364,9 +364,9 @@
     }
 }
 
-static void _cw_fields_msg(_cw_io_t* io, cw_msg_t* msg, cw_held_t* held_buffer) {
+static void _cw_fields_msg(_cw_io_t* io, cw_msg_t* msg, cw_held_grant_t* held_buffer) {
     msg->type = (cw_msg_type_t)_cw_io_enum(io, msg->type, CW_MSG_TYPE_COUNT);
-    bool is_for_shard = msg->type >= CW_MSG_WANT && msg->type <= CW_MSG_LIST;
+    bool is_for_shard = msg->type >= CW_MSG_SLOT_REQUEST && msg->type <= CW_MSG_GRANT_LIST;
     if (is_for_shard) {
         _cw_io_u64(io, &msg->shard);
     }
@@ -374,8 +374,8 @@
         case CW_MSG_HELLO:
             _cw_fields_hello(io, &msg->hello);
             break;
-        case CW_MSG_WANT:
-            _cw_fields_slot_request(io, &msg->want);
+        case CW_MSG_SLOT_REQUEST:
+            _cw_fields_slot_request(io, &msg->slot_request);
             break;
         case CW_MSG_CANCEL:
             _cw_io_u32(io, &msg->cancel_seq);
@@ -384,19 +384,19 @@
             _cw_fields_action(io, &msg->action);
             _cw_io_u32(io, &msg->wait_ms);
             break;
-        case CW_MSG_DONE:
+        case CW_MSG_GRANT_RELEASE:
             _cw_fields_grant_release(io, &msg->done);
             break;
-        case CW_MSG_DIGEST:
+        case CW_MSG_GRANT_DIGEST:
             _cw_fields_grant_digest(io, &msg->digest);
             break;
-        case CW_MSG_LIST:
+        case CW_MSG_GRANT_LIST:
             _cw_fields_grant_list(io, msg, held_buffer);
             break;
-        case CW_MSG_PULL:
+        case CW_MSG_DOCUMENT_PULL:
             _cw_io_i64(io, &msg->pull_since);
             break;
-        case CW_MSG_CHUNK:
+        case CW_MSG_DOCUMENT_CHUNK:
             _cw_fields_document_chunk(io, &msg->chunk);
             break;
         default:
@@ -408,7 +408,7 @@
 /* A summary is packed as two bytes per bucket, little-endian; a number of buckets that is not a power of two is
    refused. */
 static void _cw_fields_summary(_cw_io_t* io, cw_summary_t* s) {
-    uint8_t bytes[2 * CW_SUMMARY_BUCKETS];
+    uint8_t bytes[2 * CW_SUMMARY_MAX_BUCKETS];
     uint32_t size = 2 * s->buckets;
     for (size_t i = 0; i < s->buckets; i++) {
         bytes[2 * i] = (uint8_t)s->sums[i];
@@ -425,21 +425,21 @@
 
 static void _cw_fields_gossip(_cw_io_t* io, cw_gossip_t* g, char* cluster) {
     _cw_io_string(io, cluster, CW_NAME_MAX);
-    g->kind = (cw_gossip_kind_t)_cw_io_enum(io, g->kind, CW_GOSSIP_NEWS_ONLY + 1);
+    g->kind = (cw_gossip_kind_t)_cw_io_enum(io, g->kind, CW_GOSSIP_UPDATE + 1);
     _cw_io_u32(io, &g->seq);
     _cw_io_bool(io, &g->join);
     _cw_io_u64(io, &g->target);
     _cw_io_i64(io, &g->revision);
-    _cw_io_u32(io, &g->room);
-    _cw_io_u64(io, &g->view);
+    _cw_io_u32(io, &g->free_capacity);
+    _cw_io_u64(io, &g->view_hash);
     _cw_fields_member(io, &g->from);
-    _cw_io_u32(io, &g->news_count);
-    if (g->news_count > CW_GOSSIP_NEWS) {
+    _cw_io_u32(io, &g->update_count);
+    if (g->update_count > CW_GOSSIP_MAX_UPDATES) {
         io->is_invalid = true;
-        g->news_count = 0;
+        g->update_count = 0;
     }
-    for (uint32_t i = 0; i < g->news_count; i++) {
-        _cw_fields_member(io, &g->news[i]);
+    for (uint32_t i = 0; i < g->update_count; i++) {
+        _cw_fields_member(io, &g->updates[i]);
     }
     _cw_fields_summary(io, &g->summary);
 }
@@ -470,7 +470,7 @@
     return io;
 }
 
-cw_bytes_t cw_wire_frame(cw_wire_t* wire, const cw_msg_t* msg) {
+cw_bytes_t cw_wire_encode_frame(cw_wire_t* wire, const cw_msg_t* msg) {
     cw_msg_t copy = *msg;
     _cw_io_t counter = {.mode = _CW_IO_COUNT};
     _cw_fields_msg(&counter, &copy, NULL);
@@ -574,7 +574,7 @@
     return CW_OK;
 }
 
-cw_bytes_t cw_wire_datagram(cw_wire_t* wire, const char* cluster, const cw_gossip_t* gossip) {
+cw_bytes_t cw_wire_encode_datagram(cw_wire_t* wire, const char* cluster, const cw_gossip_t* gossip) {
     cw_gossip_t copy = *gossip;
     char name[CW_NAME_MAX];
     cw_copy(name, sizeof(name), cluster);
@@ -586,8 +586,8 @@
     return (cw_bytes_t){.data = (const uint8_t*)wire->buffer.data, .size = wire->buffer.size};
 }
 
-cw_status_t cw_wire_gossip(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size, cw_gossip_t* gossip,
-                           cw_error_t* err) {
+cw_status_t cw_wire_decode_datagram(cw_wire_t* wire, const char* cluster, const uint8_t* data, size_t size,
+                                    cw_gossip_t* gossip, cw_error_t* err) {
     msgpack_object root;
     cw_status_t status = _cw_wire_unpack_array(wire, data, size, &root, err);
     if (status != CW_OK) {
--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -64,13 +64,13 @@
 }
 
 /* Sets the shard's upstreams from the configuration and returns their number. */
-static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_view_t* view,
+static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_snapshot_t* view,
                                     const cw_pool_t* pool) {
     cw_pick_spec_t specs[CW_PICK_MAX];
     pool_layout_t layout = node_pool_layout(view, pool);
     owned->shard_count = layout.shard_count;
     uint32_t count = node_shard_specs(node, view, &layout, owned->id, node->policy == POLICY_LEASE, specs);
-    cw_shard_upstreams(owned->shard, specs, count);
+    cw_shard_set_upstreams(owned->shard, specs, count);
     return count;
 }
 
@@ -88,17 +88,17 @@
         }
         const cw_member_t* m = cw_members_find(node->members, h->id);
         router_count++;
-        visible_count += m && (m->info.state != CW_MEMBER_DEAD || m->refused);
+        visible_count += m && (m->info.state != CW_MEMBER_DEAD || m->connection_refused);
     }
-    cw_shard_visible(owned->shard, visible_count, router_count);
+    cw_shard_set_visible_entries(owned->shard, visible_count, router_count);
 }
 
 /* Returns the pool that has a shard of this id, or NULL. */
-static const cw_pool_t* find_pool_of_shard(const cw_view_t* view, uint64_t shard) {
+static const cw_pool_t* find_pool_of_shard(const cw_snapshot_t* view, uint64_t shard) {
     for (uint32_t i = 0; i < view->pool_count; i++) {
         pool_layout_t layout = node_pool_layout(view, &view->pools[i]);
         for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
-            if (cw_place_shard_id(view->pools[i].id, k) == shard) {
+            if (cw_rendezvous_shard_id(view->pools[i].id, k) == shard) {
                 return &view->pools[i];
             }
         }
@@ -111,7 +111,7 @@
    grant_ms. */
 static owned_shard_t* take_shard(allocator_t* a, uint64_t shard) {
     node_t* node = a->node;
-    cw_view_t* view = cw_store_view(node->store);
+    cw_snapshot_t* view = cw_store_snapshot(node->store);
     const cw_pool_t* pool = find_pool_of_shard(view, shard);
     owned_shard_t* owned = NULL;
     if (pool && a->count < NODE_MAX_SHARDS) {
@@ -133,14 +133,14 @@
         uint32_t count = set_shard_upstreams(node, owned, view, pool);
         set_visible_share(node, owned);
         uint32_t host_count = node->policy == POLICY_SHARED ? node_list_live_hosts(node, hosts) : 0;
-        cw_shard_cautious(owned->shard, now_ms + node->settings.grant_ms, host_count);
+        cw_shard_begin_takeover(owned->shard, now_ms + node->settings.grant_ms, host_count);
         for (uint32_t i = 0; i < host_count; i++) {
-            cw_shard_ask(owned->shard, now_ms, hosts[i]);
+            cw_shard_request_resync(owned->shard, now_ms, hosts[i]);
         }
         cw_log(&node->log, CW_EVENT_SHARD_TAKEN, "shard=%016llx pool=%s upstreams=%u", (unsigned long long)shard,
                pool->name, count);
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
     return owned;
 }
 
@@ -164,7 +164,7 @@
     int64_t now_ms = node_now_ms();
     cw_shard_action_t action;
     owned->has_pending_actions = false;
-    while (cw_shard_next(owned->shard, now_ms, &action)) {
+    while (cw_shard_next_action(owned->shard, now_ms, &action)) {
         send_action(a, owned, &action, now_ms);
     }
 }
@@ -199,7 +199,7 @@
         owned_shard_t* owned = find_owned_shard(a, a->acks[i].shard);
         if (a->acks[i].refusal) {
             send_refusal(a, &a->acks[i]);
-        } else if (owned && cw_shard_waits(owned->shard, a->acks[i].entry, a->acks[i].seq)) {
+        } else if (owned && cw_shard_is_queued(owned->shard, a->acks[i].entry, a->acks[i].seq)) {
             const cw_shard_action_t action = {
                 .kind = CW_SHARD_QUEUED, .entry = a->acks[i].entry, .seq = a->acks[i].seq};
             send_action(a, owned, &action, node_now_ms());
@@ -219,32 +219,32 @@
 }
 
 /* Sets the hard limits of the workspace. Each shard of a pool enforces an even share of them. */
-static void add_workspace_limits(const allocator_t* a, const owned_shard_t* owned, cw_want_t* want) {
-    cw_view_t* view = cw_store_view(a->node->store);
-    const cw_workspace_t* workspace = cw_view_workspace(view, want->workspace);
-    want->max_running = 0;
-    want->max_rate = 0;
+static void add_workspace_limits(const allocator_t* a, const owned_shard_t* owned, cw_slot_request_t* slot_request) {
+    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
+    const cw_workspace_t* workspace = cw_snapshot_workspace(view, slot_request->workspace);
+    slot_request->max_running = 0;
+    slot_request->max_rate = 0;
     if (workspace) {
-        want->max_running =
+        slot_request->max_running =
             workspace->concurrency ? (workspace->concurrency + owned->shard_count - 1) / owned->shard_count : 0;
-        want->max_rate = workspace->rate / owned->shard_count;
+        slot_request->max_rate = workspace->rate / owned->shard_count;
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
 }
 
-static void on_slot_request(allocator_t* a, owned_shard_t* owned, uint64_t from, const cw_want_t* want,
+static void on_slot_request(allocator_t* a, owned_shard_t* owned, uint64_t from, const cw_slot_request_t* slot_request,
                             int64_t now_ms) {
-    cw_want_t w = *want;
+    cw_slot_request_t w = *slot_request;
     w.entry = from;
     add_workspace_limits(a, owned, &w);
-    cw_status_t status = cw_shard_want(owned->shard, now_ms, &w);
+    cw_status_t status = cw_shard_request_slot(owned->shard, now_ms, &w);
     queue_ack(a, owned->id, from, w.seq, status == CW_OK ? CW_REFUSED_NONE : CW_REFUSED_FULL);
 }
 
 void allocator_on_message(allocator_t* a, uint64_t from, const cw_msg_t* msg) {
     int64_t now_ms = node_now_ms();
     owned_shard_t* owned = find_owned_shard(a, msg->shard);
-    if (!owned && msg->type != CW_MSG_DONE && msg->type != CW_MSG_CANCEL) {
+    if (!owned && msg->type != CW_MSG_GRANT_RELEASE && msg->type != CW_MSG_CANCEL) {
         owned = take_shard(a, msg->shard);
     }
     if (!owned) {
@@ -253,26 +253,26 @@
     owned->last_used_ms = now_ms;
     owned->has_pending_actions = true;
     ev_feed_event(a->node->loop, &a->prepare, EV_PREPARE);
-    cw_digest_t digest;
+    cw_grant_digest_t digest;
     switch (msg->type) {
-        case CW_MSG_WANT:
-            on_slot_request(a, owned, from, &msg->want, now_ms);
+        case CW_MSG_SLOT_REQUEST:
+            on_slot_request(a, owned, from, &msg->slot_request, now_ms);
             break;
         case CW_MSG_CANCEL:
-            cw_shard_cancel(owned->shard, from, msg->cancel_seq);
+            cw_shard_cancel_request(owned->shard, from, msg->cancel_seq);
             break;
-        case CW_MSG_DONE:
-            cw_shard_done(owned->shard, now_ms, &msg->done);
+        case CW_MSG_GRANT_RELEASE:
+            cw_shard_release_grant(owned->shard, now_ms, &msg->done);
             break;
-        case CW_MSG_DIGEST:
+        case CW_MSG_GRANT_DIGEST:
             digest = msg->digest;
             digest.entry = from;
-            cw_shard_digest(owned->shard, now_ms, &digest);
+            cw_shard_check_digest(owned->shard, now_ms, &digest);
             break;
-        case CW_MSG_LIST:
+        case CW_MSG_GRANT_LIST:
             digest = msg->digest;
             digest.entry = from;
-            cw_shard_list(owned->shard, now_ms, &digest, msg->held, msg->held_count);
+            cw_shard_sync_grants(owned->shard, now_ms, &digest, msg->held, msg->held_count);
             break;
         default:
             break;
@@ -280,11 +280,11 @@
 }
 
 void allocator_on_cluster_changed(allocator_t* a) {
-    cw_view_t* view = cw_store_view(a->node->store);
+    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
     int64_t now_ms = node_now_ms();
     for (uint32_t i = a->count; i-- > 0;) {
         owned_shard_t* owned = &a->owned_shards[i];
-        const cw_pool_t* pool = cw_view_pool(view, owned->pool);
+        const cw_pool_t* pool = cw_snapshot_pool(view, owned->pool);
         if (!pool || find_pool_of_shard(view, owned->id) != pool) {
             drop_shard(a, owned);
             continue;
@@ -295,11 +295,11 @@
         for (uint32_t m = 1; m < cw_members_count(a->node->members); m++) {
             const cw_member_t* member = cw_members_at(a->node->members, m);
             if (member->info.state == CW_MEMBER_DEAD) {
-                cw_shard_entry_gone(owned->shard, now_ms, member->info.id);
+                cw_shard_entry_failed(owned->shard, now_ms, member->info.id);
             }
         }
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
 }
 
 /* -- load reports --------------------------------------------------------- */
@@ -319,7 +319,7 @@
     if (root) {
         bool draining = json_is_true(json_object_get(root, "draining"));
         json_int_t running = json_integer_value(json_object_get(root, "running"));
-        cw_shard_report(owned->shard, node_now_ms(), r->upstream, (uint32_t)running, draining);
+        cw_shard_report_load(owned->shard, node_now_ms(), r->upstream, (uint32_t)running, draining);
         json_decref(root);
     }
     r->call = NULL;
@@ -335,10 +335,10 @@
 }
 
 static void request_load_reports(allocator_t* a, const owned_shard_t* owned) {
-    cw_view_t* view = cw_store_view(a->node->store);
+    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
     for (uint32_t i = 0; i < view->upstream_count; i++) {
         const cw_upstream_t* u = &view->upstreams[i];
-        if (u->pool_id != owned->pool || !cw_shard_serves(owned->shard, u->id)) {
+        if (u->pool_id != owned->pool || !cw_shard_has_upstream(owned->shard, u->id)) {
             continue;
         }
         load_call_t* r = find_free_load_call(a);
@@ -354,7 +354,7 @@
                                                                     .on_done = on_load_done,
                                                                     .user_data = r});
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
 }
 
 /* Returns the time between two load reports of an upstream, in milliseconds. It grows with the shard, so that the
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -44,7 +44,7 @@
 
 /* Updates the list of shards, and this entry's static share of their upstreams, from the current configuration. */
 static void refresh_shards(entry_t* e) {
-    cw_view_t* view = cw_store_view(e->node->store);
+    cw_snapshot_t* view = cw_store_snapshot(e->node->store);
     for (uint32_t i = 0; i < e->shard_count; i++) {
         e->shards[i].is_current = false;
     }
@@ -52,7 +52,7 @@
         const cw_pool_t* pool = &view->pools[p];
         pool_layout_t layout = node_pool_layout(view, pool);
         for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
-            uint64_t id = cw_place_shard_id(pool->id, k);
+            uint64_t id = cw_rendezvous_shard_id(pool->id, k);
             uint32_t i = find_shard(e, id);
             if (i == ENTRY_NONE && e->shard_count < ENTRY_MAX_SHARDS) {
                 i = e->shard_count++;
@@ -67,7 +67,7 @@
             }
         }
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
 }
 
 /* Sends a shard's new allocator the grants that this entry holds, and resends the pending slot requests to it. */
@@ -90,18 +90,18 @@
 }
 
 /* Returns the shard that the upstream belongs to in the given configuration, or ENTRY_NONE. */
-static uint32_t shard_of_upstream(const entry_t* e, const cw_view_t* view, uint64_t upstream) {
-    const cw_upstream_t* u = cw_view_upstream(view, upstream);
-    const cw_pool_t* pool = u ? cw_view_pool(view, u->pool_id) : NULL;
+static uint32_t shard_of_upstream(const entry_t* e, const cw_snapshot_t* view, uint64_t upstream) {
+    const cw_upstream_t* u = cw_snapshot_upstream(view, upstream);
+    const cw_pool_t* pool = u ? cw_snapshot_pool(view, u->pool_id) : NULL;
     if (!pool) {
         return ENTRY_NONE;
     }
     pool_layout_t layout = node_pool_layout(view, pool);
-    return find_shard(e, cw_place_shard(pool->id, upstream, layout.ids, layout.count, layout.shard_count));
+    return find_shard(e, cw_rendezvous_shard(pool->id, upstream, layout.ids, layout.count, layout.shard_count));
 }
 
 /* Moves a running request to the shard that its upstream belongs to now. */
-static void reassign_running(entry_t* e, const cw_view_t* view, request_t* r) {
+static void reassign_running(entry_t* e, const cw_snapshot_t* view, request_t* r) {
     uint32_t shard = shard_of_upstream(e, view, r->upstream);
     if (shard == ENTRY_NONE || shard == r->shard) {
         return;
@@ -133,7 +133,7 @@
 /* Follows a change of the division of pools into shards: running requests move to the shard that their upstream belongs
    to now; requests waiting at a removed shard request a slot at another one. */
 static void reassign_requests(entry_t* e) {
-    cw_view_t* view = cw_store_view(e->node->store);
+    cw_snapshot_t* view = cw_store_snapshot(e->node->store);
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
         if (!r->is_used || r->shard == ENTRY_NONE) {
@@ -145,7 +145,7 @@
             request_slot_at_new_shard(r);
         }
     }
-    cw_view_release(view);
+    cw_snapshot_release(view);
 }
 
 void entry_on_cluster_changed(entry_t* e) {
@@ -200,11 +200,11 @@
     return r->is_used && r->grant && r->shard == shard;
 }
 
-static cw_digest_t make_digest(const entry_t* e, uint32_t shard) {
-    cw_digest_t d = {.last = e->shards[shard].last_grant_id};
+static cw_grant_digest_t make_digest(const entry_t* e, uint32_t shard) {
+    cw_grant_digest_t d = {.last = e->shards[shard].last_grant_id};
     for (uint32_t i = 0; i < e->max_requests; i++) {
         if (has_grant_at(&e->requests[i], shard)) {
-            d.xored ^= e->requests[i].grant;
+            d.ids_xor ^= e->requests[i].grant;
             d.count++;
         }
     }
@@ -212,18 +212,18 @@
 }
 
 static void send_grant_list(entry_t* e, uint32_t shard, uint64_t to) {
-    cw_msg_t msg = {.type = CW_MSG_LIST, .shard = e->shards[shard].id};
+    cw_msg_t msg = {.type = CW_MSG_GRANT_LIST, .shard = e->shards[shard].id};
     msg.digest = make_digest(e, shard);
     msg.held = e->held_grants;
-    for (uint32_t i = 0; i < e->max_requests && msg.held_count < CW_LIST_MAX; i++) {
+    for (uint32_t i = 0; i < e->max_requests && msg.held_count < CW_GRANT_LIST_MAX; i++) {
         const request_t* r = &e->requests[i];
         if (has_grant_at(r, shard)) {
-            e->held_grants[msg.held_count++] = (cw_held_t){.grant = r->grant,
-                                                           .upstream = r->upstream,
-                                                           .workspace = r->workspace->id,
-                                                           .seq = r->seq,
-                                                           .cost = r->cost,
-                                                           .tier = r->class->tier};
+            e->held_grants[msg.held_count++] = (cw_held_grant_t){.grant = r->grant,
+                                                                 .upstream = r->upstream,
+                                                                 .workspace = r->workspace->id,
+                                                                 .seq = r->seq,
+                                                                 .cost = r->cost,
+                                                                 .tier = r->class->tier};
         }
     }
     node_send(e->node, to, &msg);
@@ -236,11 +236,11 @@
             continue;
         }
         s->next_digest_ms = now_ms + DIGEST_INTERVAL_MS;
-        cw_digest_t d = make_digest(e, i);
+        cw_grant_digest_t d = make_digest(e, i);
         if (!d.count && !s->has_reported_grants) {
             continue;
         }
-        e->out.type = CW_MSG_DIGEST;
+        e->out.type = CW_MSG_GRANT_DIGEST;
         e->out.shard = s->id;
         e->out.digest = d;
         if (node_send(e->node, s->owner, &e->out) == CW_OK) {
@@ -251,8 +251,8 @@
     }
 }
 
-static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_done_t* done) {
-    e->out.type = CW_MSG_DONE;
+static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_grant_release_t* done) {
+    e->out.type = CW_MSG_GRANT_RELEASE;
     e->out.shard = shard;
     e->out.done = *done;
     node_send(e->node, to, &e->out);
@@ -275,26 +275,28 @@
     cw_map_put(&e->by_seq, r->seq, (uint32_t)(r - e->requests));
 }
 
-static uint32_t left_ms(const request_t* r, int64_t now_ms) {
+static uint32_t remaining_ms(const request_t* r, int64_t now_ms) {
     return r->deadline_ms > now_ms ? (uint32_t)(r->deadline_ms - now_ms) : 0;
 }
 
-static cw_want_t make_slot_request(const request_t* r, int64_t now_ms) {
+static cw_slot_request_t make_slot_request(const request_t* r, int64_t now_ms) {
     const cw_class_t* c = r->class;
-    uint8_t flags = (uint8_t)((c->is_protected ? CW_WANT_PROTECTED : 0) | (c->preemptible ? CW_WANT_PREEMPTIBLE : 0));
-    return (cw_want_t){.seq = r->seq,
-                       .tier = c->tier,
-                       .flags = flags,
-                       .weight = r->workspace->weight,
-                       .workspace = r->workspace->id,
-                       .cost = r->cost,
-                       .est_ms = cw_estimate_mean(&r->estimate->run_time_ms, c->est_ms),
-                       .need_ms = cw_estimate_need(&r->estimate->run_time_ms, DEADLINE_LOSS_SHARE, c->est_ms),
-                       .queue_ms = c->queue_ms,
-                       .left_ms = left_ms(r, now_ms),
-                       .prefix = r->prefix,
-                       .exclude = r->exclude,
-                       .hall = r->entry->node->hall};
+    uint8_t flags = (uint8_t)((c->is_protected ? CW_SLOT_REQUEST_PROTECTED : 0) |
+                              (c->preemptible ? CW_SLOT_REQUEST_PREEMPTIBLE : 0));
+    return (cw_slot_request_t){.seq = r->seq,
+                               .tier = c->tier,
+                               .flags = flags,
+                               .weight = r->workspace->weight,
+                               .workspace = r->workspace->id,
+                               .cost = r->cost,
+                               .est_ms = cw_estimate_mean(&r->estimate->run_time_ms, c->est_ms),
+                               .high_est_ms =
+                                   cw_estimate_cutoff(&r->estimate->run_time_ms, DEADLINE_LOSS_SHARE, c->est_ms),
+                               .queue_ms = c->queue_ms,
+                               .remaining_ms = remaining_ms(r, now_ms),
+                               .prefix = r->prefix,
+                               .exclude = r->exclude,
+                               .hall = r->entry->node->hall};
 }
 
 /* Sends or resends the slot request. A resent one keeps its sequence number, by which the allocator recognizes it. */
@@ -305,9 +307,9 @@
     r->unacknowledged_since_ms = now_ms;
     r->slot_request_sent_ms = now_ms;
     s->last_received_ms = s->last_received_ms ? s->last_received_ms : 1;
-    e->out.type = CW_MSG_WANT;
+    e->out.type = CW_MSG_SLOT_REQUEST;
     e->out.shard = s->id;
-    e->out.want = make_slot_request(r, now_ms);
+    e->out.slot_request = make_slot_request(r, now_ms);
     node_send(e->node, s->owner, &e->out);
 }
 
@@ -385,7 +387,7 @@
     entry_shard_t* s = &e->shards[r->shard];
     uint32_t took_ms = r->sent_ms ? (uint32_t)(now_ms - r->sent_ms) : 0;
     bool served = result == CW_PICK_SERVED;
-    const cw_done_t done = {
+    const cw_grant_release_t done = {
         .grant = r->grant, .result = result, .took_ms = took_ms, .cost = served ? r->cost : r->stream.tokens};
     if (r->is_direct) {
         uint32_t up = cw_pick_find(s->direct_pick, r->upstream);
@@ -425,7 +427,7 @@
     r->upstream_status = status;
     cw_copy(r->upstream_type, sizeof(r->upstream_type), content_type);
     r->first_byte_ms = r->first_byte_ms ? r->first_byte_ms : node_now_ms();
-    request_event(r, CW_EV_HEAD);
+    request_event(r, CW_EV_RESPONSE_HEAD);
     bool stream = status == HTTP_OK && strncmp(content_type, sse_type, sizeof(sse_type) - 1) == 0;
     if (stream && r->wants_stream && r->x && !r->is_streaming) {
         begin_stream(r);
@@ -434,29 +436,29 @@
 
 /* Appends to the buffered response. If it becomes longer than max_answer, fails the request and returns false. */
 static bool buffer_response(request_t* r, const char* data, size_t size) {
-    if (r->answer.body.size + size <= r->entry->node->settings.max_answer) {
-        cw_buffer_add(&r->answer.body, data, size);
+    if (r->response.body.size + size <= r->entry->node->settings.max_answer) {
+        cw_buffer_add(&r->response.body, data, size);
         return true;
     }
-    request_set_error(r, HTTP_BAD_GATEWAY, "answer-too-long", "answer", r->answer.peer,
+    request_set_error(r, HTTP_BAD_GATEWAY, "answer-too-long", "answer", r->response.peer,
                       "the upstream's answer is longer than max_answer", 0);
     r->machine.retry_allowed = false;
-    request_event(r, CW_EV_BROKEN);
+    request_event(r, CW_EV_UPSTREAM_FAILED);
     return false;
 }
 
 /* Forwards the complete events received so far. */
 static void forward_events(request_t* r, const char* data, size_t size) {
     cw_buffer_add(&r->partial_event, data, size);
-    size_t whole = cw_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
+    size_t whole = cw_token_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
     if (!whole) {
         return;
     }
     if (r->x) {
         cw_exchange_push(r->x, r->partial_event.data, whole);
-        request_event(r, CW_EV_DELIVERED_PART);
+        request_event(r, CW_EV_BODY_FORWARDED);
     }
-    cw_buffer_drop(&r->partial_event, whole);
+    cw_buffer_consume(&r->partial_event, whole);
 }
 
 static bool on_data(void* user, const char* data, size_t size) {
@@ -488,8 +490,8 @@
 /* Updates the estimates of cost and run time of the request's class and pool from a completed attempt. */
 static void update_estimates(request_t* r) {
     uint32_t output = r->stream.tokens;
-    if (r->pool->engine && !r->is_streaming) {
-        output = parse_completion_tokens(&r->answer);
+    if (r->pool->is_engine && !r->is_streaming) {
+        output = parse_completion_tokens(&r->response);
     }
     if (output) {
         cw_estimate_add(&r->estimate->cost, output);
@@ -499,14 +501,14 @@
 }
 
 static void attempt_ended(request_t* r) {
-    response_t* a = &r->answer;
+    response_t* a = &r->response;
     a->status = r->upstream_status;
     cw_copy(a->type, sizeof(a->type), r->upstream_type);
     bool served = r->upstream_status < HTTP_SERVER_ERROR;
     if (served) {
         update_estimates(r);
     }
-    request_event(r, CW_EV_END);
+    request_event(r, CW_EV_RESPONSE_END);
 }
 
 /* A run aborted at its deadline shows that requests of its class and pool can take at least as long. */
@@ -517,7 +519,7 @@
 }
 
 static void attempt_failed(request_t* r, const cw_call_result_t* result) {
-    const cw_upstream_t* u = cw_view_upstream(r->view, r->upstream);
+    const cw_upstream_t* u = cw_snapshot_upstream(r->view, r->upstream);
     const char* step = !result->sent ? "connect" : result->status ? "answer" : "wait";
     request_set_error(r, HTTP_BAD_GATEWAY, "upstream-failed", step, u ? u->address : "", result->message, 0);
     cw_log(&r->entry->node->log, CW_EVENT_UPSTREAM_FAILED, "id=%s step=%s peer=%s reason=\"%s\"", r->id, step,
@@ -525,7 +527,7 @@
     r->exclude = r->upstream;
     r->machine.retry_allowed = cw_retry_take(&r->entry->retries);
     r->entry->stats.retries += r->machine.retry_allowed;
-    request_event(r, result->sent ? CW_EV_BROKEN : CW_EV_CONNECT_FAILED);
+    request_event(r, result->sent ? CW_EV_UPSTREAM_FAILED : CW_EV_CONNECT_FAILED);
 }
 
 static void on_done(void* user, const cw_call_result_t* result) {
@@ -534,7 +536,7 @@
     r->upstream_status = result->status ? result->status : r->upstream_status;
     bool whole = result->whole && (!r->is_streaming || r->stream.ended);
     bool busy = whole && result->status == HTTP_UNAVAILABLE && r->class->repeatable;
-    if (result->vetoed) {
+    if (result->is_vetoed) {
         request_event(r, CW_EV_GRANT_EXPIRED);
     } else if (busy) {
         const cw_call_result_t refused = {
@@ -549,10 +551,10 @@
 
 static void connect_upstream(request_t* r) {
     entry_t* e = r->entry;
-    const cw_upstream_t* u = cw_view_upstream(r->view, r->upstream);
-    cw_view_t* newest = cw_store_view(e->node->store);
+    const cw_upstream_t* u = cw_snapshot_upstream(r->view, r->upstream);
+    cw_snapshot_t* newest = cw_store_snapshot(e->node->store);
     if (!u) {
-        u = cw_view_upstream(newest, r->upstream); /* published after this request arrived */
+        u = cw_snapshot_upstream(newest, r->upstream); /* published after this request arrived */
     }
     char url[CW_ADDRESS_MAX + 300];
     char tier[8];
@@ -561,7 +563,7 @@
     snprintf(tier, sizeof(tier), "%u", r->class->tier);
     cw_header_t headers[5] = {{"Content-Type", r->type}, {"Chalkway-Request-Id", r->id}, {"Chalkway-Priority", tier}};
     uint32_t count = 3;
-    if (r->idempotency_key[0] && u && u->drops_repeats) {
+    if (r->idempotency_key[0] && u && u->deduplicates_calls) {
         headers[count++] = (cw_header_t){"Idempotency-Key", r->idempotency_key};
     }
     if (r->stream.tokens) {
@@ -569,18 +571,18 @@
         headers[count++] = (cw_header_t){"Chalkway-Resume-From", from};
         e->stats.resumed_streams++;
     }
-    cw_view_release(newest);
+    cw_snapshot_release(newest);
     r->sent_ms = 0;
     r->partial_event.size = 0;
     r->is_upstream_paused = false;
-    r->answer.body.size = 0;
+    r->response.body.size = 0;
     r->call = cw_client_call(e->node->client, &(cw_call_desc_t){.method = r->method,
                                                                 .url = url,
                                                                 .headers = headers,
                                                                 .header_count = count,
                                                                 .body = r->body,
                                                                 .size = r->body_size,
-                                                                .fresh = !r->class->repeatable,
+                                                                .use_new_connection = !r->class->repeatable,
                                                                 .on_sending = on_sending,
                                                                 .on_head = on_head,
                                                                 .on_data = on_data,
@@ -593,9 +595,9 @@
 /* Result of the attempt, as reported with the release of its slot. */
 static cw_pick_result_t slot_result(const request_t* r, cw_request_event_t event) {
     switch (event) {
-        case CW_EV_END:
+        case CW_EV_RESPONSE_END:
             return r->upstream_status < HTTP_SERVER_ERROR ? CW_PICK_SERVED : CW_PICK_FAILED;
-        case CW_EV_BROKEN:
+        case CW_EV_UPSTREAM_FAILED:
             return r->upstream_status == HTTP_UNAVAILABLE ? CW_PICK_DRAINING : CW_PICK_FAILED;
         case CW_EV_CONNECT_FAILED:
             return CW_PICK_FAILED;
@@ -612,19 +614,19 @@
         cw_call_cancel(r->call);
         r->call = NULL;
     }
-    if (actions & CW_DO_RETURN) {
+    if (actions & CW_DO_RELEASE_SLOT) {
         release_slot(r, slot_result(r, event));
     }
-    if (actions & CW_DO_WITHDRAW) {
+    if (actions & CW_DO_CANCEL_SLOT_REQUEST) {
         cancel_slot_request(r);
     }
-    if (actions & CW_DO_WANT) {
+    if (actions & CW_DO_REQUEST_SLOT) {
         request_slot(r);
     }
     if (actions & CW_DO_CONNECT) {
         connect_upstream(r);
     }
-    if (actions & CW_DO_ANSWER) {
+    if (actions & CW_DO_RESPOND) {
         request_respond(r);
     }
     if (r->machine.state == CW_REQ_ENDED) {
@@ -652,7 +654,7 @@
         return INT64_MAX;
     }
     const cw_settings_t* s = &r->entry->node->settings;
-    return r->last_progress_ms + (r->last_progress_ms == r->sent_ms ? s->first_token_ms : s->stall_ms);
+    return r->last_progress_ms + (r->last_progress_ms == r->sent_ms ? s->first_token_timeout_ms : s->stall_ms);
 }
 
 static void attempt_stalled(request_t* r) {
@@ -696,7 +698,7 @@
 static void reject_joined_at_deadline(request_t* r) {
     request_set_error(r, HTTP_TIMEOUT, "deadline", "joined", NULL, "the call still runs", 1000);
     r->is_answered = true;
-    r->machine.bytes_left = true; /* sent by the running call that this request retries */
+    r->machine.has_sent_bytes = true; /* sent by the running call that this request retries */
     r->machine.state = CW_REQ_ENDED;
     request_respond(r);
     request_free(r);
@@ -707,7 +709,7 @@
         reject_joined_at_deadline(r);
     } else if (r->machine.state == CW_REQ_DETACHED) {
         r->machine.retry_allowed = false;
-        request_event(r, CW_EV_BROKEN);
+        request_event(r, CW_EV_UPSTREAM_FAILED);
     } else if (now_ms >= r->deadline_ms) {
         request_set_error(r, HTTP_TIMEOUT, "deadline", cw_request_state_name(r->machine.state), NULL,
                           "the deadline has passed", 0);
@@ -756,14 +758,14 @@
         return; /* duplicate */
     }
     if (!r || r->machine.state != CW_REQ_WAITING || r->grant) {
-        const cw_done_t unused = {.grant = a->grant, .result = CW_PICK_UNUSED};
+        const cw_grant_release_t unused = {.grant = a->grant, .result = CW_PICK_UNUSED};
         send_grant_release(e, msg->shard, from, &unused);
         return;
     }
     r->grant = a->grant;
     r->upstream = a->upstream;
     r->is_direct = false;
-    r->grant_expires_ms = r->slot_request_sent_ms + a->held_ms + a->ttl_ms;
+    r->grant_expires_ms = r->slot_request_sent_ms + a->queued_ms + a->ttl_ms;
     request_event(r, CW_EV_GRANT);
 }
 
@@ -805,7 +807,7 @@
     unsigned status = a->refusal == CW_REFUSED_NO_UPSTREAM ? HTTP_UNAVAILABLE
                       : a->refusal == CW_REFUSED_LATE      ? HTTP_TIMEOUT
                                                            : HTTP_TOO_MANY;
-    if (!r->machine.bytes_left) {
+    if (!r->machine.has_sent_bytes) {
         request_set_error(r, status, cw_refusal_name(a->refusal), "queue", NULL, message, a->retry_after_ms);
     }
     clear_seq(r);
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -24,9 +24,9 @@
 
 /* -- responses ------------------------------------------------------------ */
 
-static void response_free(void* answer, void* user) {
+static void response_free(void* response, void* user) {
     (void)user;
-    response_t* a = answer;
+    response_t* a = response;
     cw_buffer_free(&a->body);
     free(a);
 }
@@ -44,7 +44,7 @@
 
 void request_set_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
                        const char* message, uint32_t retry_after_ms) {
-    response_t* a = &r->answer;
+    response_t* a = &r->response;
     a->status = status;
     a->retry_after_ms = retry_after_ms;
     cw_copy(a->code, sizeof(a->code), code);
@@ -55,20 +55,20 @@
 
 /* Ends a stream that has begun: normally, or with an error event and a broken connection. */
 static void finish_stream(request_t* r) {
-    if (r->answer.outcome != CW_OUTCOME_DELIVERED) {
+    if (r->response.outcome != CW_OUTCOME_DELIVERED) {
         char event[CW_MESSAGE_MAX * 2];
         int n = snprintf(event, sizeof(event),
                          "event: error\ndata: {\"error\":{\"code\":\"%s\",\"step\":\"%s\",\"outcome\":\"%s\"}}\n\n",
-                         r->answer.code, r->answer.step, cw_outcome_name(r->answer.outcome));
+                         r->response.code, r->response.step, cw_outcome_name(r->response.outcome));
         cw_exchange_push(r->x, event, n > 0 ? (size_t)n : 0);
     }
-    cw_exchange_finish(r->x, r->answer.outcome == CW_OUTCOME_DELIVERED);
+    cw_exchange_finish(r->x, r->response.outcome == CW_OUTCOME_DELIVERED);
 }
 
 static void count_outcome(request_t* r) {
     entry_t* e = r->entry;
     int64_t now_ms = node_now_ms();
-    cw_outcome_t outcome = r->answer.outcome;
+    cw_outcome_t outcome = r->response.outcome;
     e->stats.outcomes[outcome]++;
     if (r->metric) {
         r->metric->outcomes[outcome]++;
@@ -80,7 +80,7 @@
     }
     cw_log(&e->node->log, CW_EVENT_REQUEST_ENDED, "id=%s workspace=%s class=%s outcome=%s code=%s step=%s ms=%lld",
            r->id, r->workspace ? r->workspace->name : "-", r->class ? r->class->name : "-", cw_outcome_name(outcome),
-           r->answer.code[0] ? r->answer.code : "-", r->answer.step[0] ? r->answer.step : "-",
+           r->response.code[0] ? r->response.code : "-", r->response.step[0] ? r->response.step : "-",
            (long long)(now_ms - r->start_ms));
 }
 
@@ -91,9 +91,9 @@
         if (!r->is_used || r == owner || r->joined_record == CW_RUN_NONE || r->joined_record != owner->runonce_record) {
             continue;
         }
-        r->answer.outcome = owner->answer.outcome;
+        r->response.outcome = owner->response.outcome;
         if (r->x) {
-            response_send(r->x, &owner->answer, owner->id);
+            response_send(r->x, &owner->response, owner->id);
         }
         r->x = NULL;
         r->joined_record = CW_RUN_NONE;
@@ -109,13 +109,13 @@
         return;
     }
     respond_to_joined(e, r);
-    if (r->answer.outcome == CW_OUTCOME_NOT_RUN) {
-        cw_runonce_release(e->runonce, r->runonce_record);
+    if (r->response.outcome == CW_OUTCOME_NOT_RUN) {
+        cw_runonce_abort(e->runonce, r->runonce_record);
     } else {
         response_t* stored = cw_alloc(NULL, 1, sizeof(*stored));
-        *stored = r->answer;
-        r->answer.body = (cw_buffer_t){0};
-        cw_runonce_keep(e->runonce, r->runonce_record, stored, stored->body.size + sizeof(*stored));
+        *stored = r->response;
+        r->response.body = (cw_buffer_t){0};
+        cw_runonce_complete(e->runonce, r->runonce_record, stored, stored->body.size + sizeof(*stored));
     }
     r->runonce_record = CW_RUN_NONE;
 }
@@ -123,17 +123,17 @@
 void request_respond(request_t* r) {
     if (!r->is_answered) {
         r->is_answered = true;
-        r->answer.outcome = cw_request_outcome(&r->machine);
+        r->response.outcome = cw_request_outcome(&r->machine);
         count_outcome(r);
     }
     if (r->x && r->is_streaming) {
         finish_stream(r);
     } else if (r->x) {
-        response_send(r->x, &r->answer, r->id);
+        response_send(r->x, &r->response, r->id);
     }
     r->x = NULL;
     if (r->machine.state == CW_REQ_ENDED) {
-        r->answer.outcome = cw_request_outcome(&r->machine); /* may be better than the outcome sent to the caller */
+        r->response.outcome = cw_request_outcome(&r->machine); /* may be better than the outcome sent to the caller */
         settle_runonce_record(r);
     }
 }
@@ -146,10 +146,10 @@
         cw_map_remove(&e->by_seq, r->seq);
     }
     if (r->view) {
-        cw_view_release(r->view);
+        cw_snapshot_release(r->view);
     }
     free(r->body);
-    cw_buffer_free(&r->answer.body);
+    cw_buffer_free(&r->response.body);
     cw_buffer_free(&r->partial_event);
     *r = (request_t){0};
     e->free_requests[e->free_count++] = index;
@@ -169,7 +169,7 @@
                      .joined_record = CW_RUN_NONE,
                      .shard = ENTRY_NONE};
     r->start_ms = node_now_ms();
-    r->view = cw_store_view(e->node->store);
+    r->view = cw_store_snapshot(e->node->store);
     snprintf(r->id, sizeof(r->id), "%.16s-%llx", e->node->settings.name, (unsigned long long)e->stats.requests);
     cw_exchange_set_data(x, r);
     e->stats.active++;
@@ -197,7 +197,7 @@
     const char* token = auth + strlen(BEARER);
     uint8_t digest[CW_DIGEST_BYTES];
     crypto_generichash(digest, sizeof(digest), (const uint8_t*)token, strlen(token), NULL, 0);
-    r->workspace = cw_view_auth(r->view, digest);
+    r->workspace = cw_snapshot_authenticate(r->view, digest);
     if (!r->workspace) {
         reject(r, HTTP_UNAUTHORIZED, "wrong-token", "authenticate", "no workspace has this token", 0);
     }
@@ -216,8 +216,8 @@
 /* Returns the class's pool that serves the model, or its first pool of inference engines when model is NULL. */
 static const cw_pool_t* find_pool_by_model(const request_t* r, const char* model) {
     for (uint32_t i = 0; i < r->class->pool_count; i++) {
-        const cw_pool_t* pool = cw_view_pool(r->view, cw_name_id(r->class->pools[i]));
-        if (pool && pool->engine && (!model || strcmp(model, pool->model) == 0)) {
+        const cw_pool_t* pool = cw_snapshot_pool(r->view, cw_name_id(r->class->pools[i]));
+        if (pool && pool->is_engine && (!model || strcmp(model, pool->model) == 0)) {
             return pool;
         }
     }
@@ -226,7 +226,7 @@
 
 static bool parse_class(request_t* r) {
     const char* name = cw_exchange_header(r->x, "Chalkway-Class");
-    r->class = name ? cw_view_class(r->view, cw_name_id(name)) : NULL;
+    r->class = name ? cw_snapshot_class(r->view, cw_name_id(name)) : NULL;
     if (!r->class) {
         reject(r, HTTP_BAD_REQUEST, "unknown-class", "classify", "the header Chalkway-Class names no known class", 0);
         return false;
@@ -285,8 +285,8 @@
     const char* rest = strchr(path, '/');
     size_t len = rest ? (size_t)(rest - path) : strlen(path);
     cw_copy(name, len < sizeof(name) ? len + 1 : sizeof(name), path);
-    r->pool = cw_view_pool(r->view, cw_name_id(name));
-    if (!r->pool || r->pool->engine || !class_allows_pool(r->class, name)) {
+    r->pool = cw_snapshot_pool(r->view, cw_name_id(name));
+    if (!r->pool || r->pool->is_engine || !class_allows_pool(r->class, name)) {
         reject(r, HTTP_NOT_FOUND, "unknown-pool", "classify", "the class may not use a service pool of this name", 0);
         return false;
     }
@@ -309,7 +309,7 @@
 /* -- idempotency keys ----------------------------------------------------- */
 
 static void replay_response(request_t* r, const response_t* stored) {
-    r->answer.outcome = stored->outcome;
+    r->response.outcome = stored->outcome;
     response_send(r->x, stored, r->id);
     r->x = NULL;
     count_outcome(r);
@@ -321,9 +321,9 @@
 static void reject_runonce(request_t* r, cw_outcome_t outcome, const char* code, const char* message) {
     request_set_error(r, HTTP_CONFLICT, code, "run-once", NULL, message, 0);
     r->is_answered = true;
-    r->answer.outcome = outcome;
+    r->response.outcome = outcome;
     count_outcome(r);
-    response_send(r->x, &r->answer, r->id);
+    response_send(r->x, &r->response, r->id);
     r->x = NULL;
     request_free(r);
 }
@@ -347,10 +347,10 @@
             e->stats.retries_joined++;
             request_arm(r);
             return false;
-        case CW_RUN_KEPT:
-            replay_response(r, b.answer);
+        case CW_RUN_REPLAY:
+            replay_response(r, b.response);
             return false;
-        case CW_RUN_LOST:
+        case CW_RUN_RESPONSE_LOST:
             reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its answer is not kept any more");
             return false;
         case CW_RUN_UNKNOWN:
@@ -405,8 +405,8 @@
 
 /* Estimates the cost in units of one output token; 8 prompt tokens of an inference request cost one unit. */
 static void estimate_cost(request_t* r) {
-    uint32_t prompt = r->pool->engine ? (uint32_t)(r->body_size / BYTES_PER_TOKEN) : 0;
-    uint32_t output = cw_estimate_get(&r->estimate->cost, 0.8, r->class->cost);
+    uint32_t prompt = r->pool->is_engine ? (uint32_t)(r->body_size / BYTES_PER_TOKEN) : 0;
+    uint32_t output = cw_estimate_quantile(&r->estimate->cost, 0.8, r->class->cost);
     if (r->max_tokens && r->max_tokens < output) {
         output = r->max_tokens;
     }
@@ -420,14 +420,14 @@
     r->metric = find_metric(e, r);
     estimate_cost(r);
     r->machine = cw_request_new(
-        &(cw_request_desc_t){.repeatable = r->class->repeatable, .resumable = r->pool->resumes && r->wants_stream});
+        &(cw_request_desc_t){.repeatable = r->class->repeatable, .resumable = r->pool->can_resume && r->wants_stream});
     r->shard = dispatch_choose_shard(e, r);
     r->first_shard = r->shard;
     if (r->shard == ENTRY_NONE) {
         reject(r, HTTP_UNAVAILABLE, "no-upstream", "choose", "the pool has no upstream", 1000);
         return;
     }
-    cw_retry_first(&e->retries);
+    cw_retry_on_first_attempt(&e->retries);
     request_event(r, CW_EV_START);
 }
 
@@ -458,7 +458,7 @@
 void entry_on_request(cw_exchange_t* x, void* user) {
     node_t* node = user;
     const char* path = cw_exchange_path(x);
-    bool ready = sync_ready(node->sync);
+    bool ready = sync_is_ready(node->sync);
     if (strcmp(path, "/healthz") == 0) {
         reply_json(x, HTTP_OK, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
@@ -491,7 +491,7 @@
         request_free(r);
         return;
     }
-    request_event(r, CW_EV_GONE);
+    request_event(r, CW_EV_CALLER_CLOSED);
 }
 
 void entry_on_drained(cw_exchange_t* x, void* user) {
@@ -520,12 +520,12 @@
     for (uint32_t i = e->max_requests; i-- > 0;) {
         e->free_requests[e->free_count++] = i;
     }
-    e->retries = (cw_retry_budget_t){.share = node->settings.retry_share, .burst = RETRY_BURST, .tokens = RETRY_BURST};
+    e->retries = (cw_retry_budget_t){.share = node->settings.retry_ratio, .burst = RETRY_BURST, .tokens = RETRY_BURST};
     e->runonce = cw_runonce_setup(&(cw_runonce_desc_t){.host = node->settings.name,
                                                        .incarnation = node->incarnation,
                                                        .ticket_ms = node->settings.ticket_ms,
                                                        .max_records = 16384,
-                                                       .free_answer = response_free});
+                                                       .free_response = response_free});
     dispatch_setup(e);
     return e;
 }
@@ -570,7 +570,7 @@
     uint64_t cumulative_count = 0;
     uint32_t bucket = 0;
     for (size_t i = 0; i < sizeof(bounds) / sizeof(bounds[0]); i++) {
-        while (bucket < CW_HIST_BUCKETS && cw_hist_bound(bucket) <= bounds[i]) {
+        while (bucket < CW_HIST_BUCKETS && cw_hist_upper_bound(bucket) <= bounds[i]) {
             cumulative_count += hist->buckets[bucket++];
         }
         fprintf(out, "%s_bucket{workspace=\"%s\",class=\"%s\",le=\"%u\"} %llu\n", name, m->workspace, m->class,
--- a/daemon/entry_parts.h
+++ b/daemon/entry_parts.h
@@ -1,5 +1,5 @@
-#ifndef CW_DAEMON_ENTRY_PARTS_H
-#define CW_DAEMON_ENTRY_PARTS_H
+#ifndef CW_DAEMON_ENTRY_INTERNAL_H
+#define CW_DAEMON_ENTRY_INTERNAL_H
 /*
     Internal interface between the two files of the entry. The entry is the
     role of a host that accepts requests of callers, obtains slots for them
@@ -63,7 +63,7 @@
     entry_t* entry;
     cw_request_t machine; /* state machine */
     cw_exchange_t* x;     /* NULL: the caller closed its connection or got its response */
-    cw_view_t* view;      /* configuration snapshot that the request uses throughout */
+    cw_snapshot_t* view;  /* configuration snapshot that the request uses throughout */
     const cw_workspace_t* workspace;
     const cw_class_t* class;
     const cw_pool_t* pool;
@@ -73,7 +73,7 @@
     char path[256]; /* path at the upstream */
     char method[16];
     char type[64]; /* Content-Type of the body */
-    char idempotency_key[CW_CALL_NAME_MAX];
+    char idempotency_key[CW_IDEMPOTENCY_KEY_MAX];
     char* body;
     size_t body_size;
     uint64_t prefix;           /* hash of the prompt's first bytes, 0: none */
@@ -97,11 +97,11 @@
     cw_call_t* call;
     unsigned upstream_status;
     char upstream_type[64];
-    cw_stream_t stream;        /* parser of the event stream that is forwarded to the caller */
+    cw_token_stream_t stream;  /* parser of the event stream that is forwarded to the caller */
     int64_t last_progress_ms;  /* last time the attempt made progress; compared with the stall timeout */
     bool is_upstream_paused;   /* reading from the upstream is paused: the caller reads too slowly */
     cw_buffer_t partial_event; /* received bytes of an incomplete event */
-    response_t answer;
+    response_t response;
 } request_t;
 
 struct entry_t {
@@ -127,7 +127,7 @@
     cw_runonce_t* runonce;
     entry_stats_t stats;
     cw_msg_t out; /* message being sent */
-    cw_held_t held_grants[CW_LIST_MAX];
+    cw_held_grant_t held_grants[CW_GRANT_LIST_MAX];
 };
 
 /* -- entry.c -------------------------------------------------------------- */
--- a/daemon/lookup.c
+++ b/daemon/lookup.c
@@ -15,9 +15,9 @@
 
 /* Ranks members of this hall before others and suspected ones last. Within a hall the order is random, weighted by free
    capacity, to spread callers over the hosts. */
-static double score_member(const node_t* node, const cw_member_t* m, uint32_t room) {
+static double score_member(const node_t* node, const cw_member_t* m, uint32_t free_capacity) {
     double random = ((double)randombytes_random() + 1.0) / 4294967297.0;
-    double score = pow(random, 1.0 / (room + 1.0));
+    double score = pow(random, 1.0 / (free_capacity + 1.0));
     bool is_same_hall = cw_name_id(m->info.hall) == node->hall;
     return score + (is_same_hall ? 2.0 : 0.0) - (m->info.state == CW_MEMBER_SUSPECT ? 4.0 : 0.0);
 }
@@ -36,8 +36,9 @@
         if (m->info.state == CW_MEMBER_DEAD || m->info.leaving) {
             continue;
         }
-        uint32_t room = i ? (m->heard_ms ? m->room : 50) : entry_free_capacity_percent(node->entry);
-        candidates[count++] = (candidate_t){.member = m, .score = score_member(node, m, room)};
+        uint32_t free_capacity =
+            i ? (m->last_received_ms ? m->free_capacity : 50) : entry_free_capacity_percent(node->entry);
+        candidates[count++] = (candidate_t){.member = m, .score = score_member(node, m, free_capacity)};
     }
     qsort(candidates, count, sizeof(candidates[0]), compare_scores);
     json_t* list = json_array();
@@ -49,7 +50,7 @@
 
 void lookup_respond(node_t* node, cw_exchange_t* x) {
     json_t* root = json_pack("{s:o,s:i,s:s}", "addresses", choose_addresses(node), "keep_ms",
-                             (int)node->settings.lookup_ms, "hall", node->settings.hall);
+                             (int)node->settings.lookup_ttl_ms, "hall", node->settings.hall);
     if (!node_is_stopping(node)) {
         cw_ticket_t ticket = cw_runonce_ticket(entry_runonce(node->entry), node_now_ms());
         json_object_set_new(root, "ticket", json_string(ticket.text));
--- a/daemon/node.c
+++ b/daemon/node.c
@@ -21,22 +21,22 @@
 }
 
 uint32_t node_list_live_hosts(const node_t* node, uint64_t out[NODE_MAX_HOSTS]) {
-    uint32_t count = cw_members_live(node->members, CW_MEMBERS_FOR_ROLES, out, NODE_MAX_HOSTS);
-    return count ? count : cw_members_live(node->members, CW_MEMBERS_ALL, out, NODE_MAX_HOSTS);
+    uint32_t count = cw_members_list_live(node->members, CW_MEMBERS_ELIGIBLE, out, NODE_MAX_HOSTS);
+    return count ? count : cw_members_list_live(node->members, CW_MEMBERS_ALL, out, NODE_MAX_HOSTS);
 }
 
 uint64_t node_shard_owner(const node_t* node, uint64_t shard, const uint64_t* hosts, uint32_t count) {
-    return node->policy == POLICY_SHARED ? cw_place_owner(shard, hosts, count) : node->host;
+    return node->policy == POLICY_SHARED ? cw_rendezvous_owner(shard, hosts, count) : node->host;
 }
 
-pool_layout_t node_pool_layout(const cw_view_t* view, const cw_pool_t* pool) {
+pool_layout_t node_pool_layout(const cw_snapshot_t* view, const cw_pool_t* pool) {
     pool_layout_t l = {.pool = pool->id};
     for (uint32_t i = 0; i < view->upstream_count && l.count < NODE_MAX_POOL; i++) {
         if (view->upstreams[i].pool_id == pool->id) {
             l.ids[l.count++] = view->upstreams[i].id;
         }
     }
-    l.shard_count = cw_place_shard_count(l.count, pool->shard_size);
+    l.shard_count = cw_rendezvous_shard_count(l.count, pool->shard_size);
     return l;
 }
 
@@ -53,10 +53,10 @@
     if (u->slots >= count) {
         return u->slots / count;
     }
-    return cw_place_rank(u->id, node->host, hosts, count) < u->slots ? 1 : 0;
+    return cw_rendezvous_rank(u->id, node->host, hosts, count) < u->slots ? 1 : 0;
 }
 
-uint32_t node_shard_specs(const node_t* node, const cw_view_t* view, const pool_layout_t* layout, uint64_t shard,
+uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* view, const pool_layout_t* layout, uint64_t shard,
                           bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]) {
     uint64_t hosts[NODE_MAX_HOSTS];
     uint32_t host_count = node_list_live_hosts(node, hosts);
@@ -64,7 +64,7 @@
     for (uint32_t i = 0; i < view->upstream_count && count < CW_PICK_MAX; i++) {
         const cw_upstream_t* u = &view->upstreams[i];
         if (u->pool_id != layout->pool ||
-            cw_place_shard(layout->pool, u->id, layout->ids, layout->count, layout->shard_count) != shard) {
+            cw_rendezvous_shard(layout->pool, u->id, layout->ids, layout->count, layout->shard_count) != shard) {
             continue;
         }
         uint32_t slots = own_share_only ? node_slot_share(node, u, hosts, host_count) : u->slots;
@@ -81,18 +81,18 @@
 static void on_message(void* user, uint64_t from, const cw_msg_t* msg) {
     node_t* node = user;
     switch (msg->type) {
-        case CW_MSG_WANT:
+        case CW_MSG_SLOT_REQUEST:
         case CW_MSG_CANCEL:
-        case CW_MSG_DONE:
-        case CW_MSG_DIGEST:
-        case CW_MSG_LIST:
+        case CW_MSG_GRANT_RELEASE:
+        case CW_MSG_GRANT_DIGEST:
+        case CW_MSG_GRANT_LIST:
             allocator_on_message(node->allocator, from, msg);
             break;
         case CW_MSG_ACTION:
             entry_on_action(node->entry, from, msg);
             break;
-        case CW_MSG_PULL:
-        case CW_MSG_CHUNK:
+        case CW_MSG_DOCUMENT_PULL:
+        case CW_MSG_DOCUMENT_CHUNK:
             sync_on_message(node->sync, from, msg);
             break;
         default:
@@ -112,13 +112,13 @@
 static void send_gossip(node_t* node) {
     cw_gossip_out_t out;
     while (cw_members_next(node->members, &out)) {
-        cw_peers_gossip(node->peers, out.to, &out.message);
+        cw_peers_send_gossip(node->peers, out.to, &out.message);
     }
 }
 
 /* Notifies entry and allocator of a membership change, once per change. */
 static void notify_members_changed(node_t* node) {
-    uint64_t changes = cw_members_changes(node->members);
+    uint64_t changes = cw_members_change_count(node->members);
     if (changes == node->notified_change_count) {
         return;
     }
@@ -146,11 +146,11 @@
         cw_members_suspect(node->members, node_now_ms(), host);
         notify_members_changed(node);
     } else {
-        cw_members_doubt(node->members, node_now_ms(), host);
+        cw_members_probe_now(node->members, node_now_ms(), host);
         const cw_member_t* member = cw_members_find(node->members, host);
         if (member && !member->info.leaving && member->info.state == CW_MEMBER_ALIVE) {
             /* A refused connection shows at once that the process has ended. */
-            cw_peers_open(node->peers, host, member->info.peer);
+            cw_peers_connect(node->peers, host, member->info.peer);
         }
     }
     send_gossip(node);
@@ -181,14 +181,14 @@
 }
 
 bool node_is_stopping(const node_t* node) {
-    return node->stop.phase != CW_STOP_NOT;
+    return node->stop.phase != CW_STOP_NONE;
 }
 
 /* Ends the loop when a graceful stop is complete: the lookup responses that list this host have expired and no request
    is active, or STOP_MAX_MS have passed. The remaining events of this iteration are still handled after ev_break. */
 static void check_stop_complete(node_t* node, int64_t now_ms) {
     uint32_t active = entry_stats(node->entry).active;
-    if (cw_stop_step(&node->stop, now_ms, active) == CW_STOP_ENDED) {
+    if (cw_stop_update(&node->stop, now_ms, active) == CW_STOP_EXIT) {
         node->aborted_count = active;
         ev_break(node->loop, EVBREAK_ALL);
     }
@@ -200,7 +200,7 @@
     node_t* node = w->data;
     int64_t now_ms = node_now_ms();
     detect_suspension(node, now_ms);
-    cw_members_announce(node->members, cw_store_revision(node->store), entry_free_capacity_percent(node->entry));
+    cw_members_set_status(node->members, cw_store_revision(node->store), entry_free_capacity_percent(node->entry));
     cw_members_tick(node->members, now_ms);
     send_gossip(node);
     notify_members_changed(node);
@@ -219,8 +219,9 @@
         return;
     }
     cw_stop_begin(&node->stop, node_now_ms(),
-                  &(cw_stop_desc_t){
-                      .quiet_ms = (uint32_t)node->settings.lookup_ms, .take_ms = STOP_MAX_MS, .end_ms = STOP_MAX_MS});
+                  &(cw_stop_desc_t){.min_accept_ms = (uint32_t)node->settings.lookup_ttl_ms,
+                                    .max_accept_ms = STOP_MAX_MS,
+                                    .force_exit_ms = STOP_MAX_MS});
     cw_log(&node->log, CW_EVENT_STOPPING, "active=%u", entry_stats(node->entry).active);
     cw_members_leave(node->members);
     send_gossip(node);
@@ -263,7 +264,7 @@
     cw_copy(seeds, sizeof(seeds), s->seeds);
     char* rest = NULL;
     for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
-        cw_members_contact(node->members, seed);
+        cw_members_add_seed(node->members, seed);
     }
 }
 
@@ -276,16 +277,16 @@
                                                     .on_message = on_message,
                                                     .on_closed = on_peer_closed,
                                                     .on_gossip = on_gossip,
-                                                    .on_refused = on_peer_rejected,
+                                                    .on_protocol_error = on_peer_rejected,
                                                     .user_data = node},
                                  err);
     node->http = !node->peers ? NULL
                               : cw_httpd_setup(&(cw_httpd_desc_t){.loop = node->loop,
                                                                   .address = s->http,
-                                                                  .max_body = s->max_body,
+                                                                  .max_body_bytes = s->max_body_bytes,
                                                                   .max_connections = s->max_connections,
                                                                   .on_request = entry_on_request,
-                                                                  .on_gone = entry_on_caller_closed,
+                                                                  .on_caller_closed = entry_on_caller_closed,
                                                                   .on_drained = entry_on_drained,
                                                                   .user_data = node},
                                                err);
@@ -294,7 +295,7 @@
                                                                           .address = s->operator_http,
                                                                           .max_connections = 100,
                                                                           .on_request = operator_on_request,
-                                                                          .on_gone = operator_on_caller_closed,
+                                                                          .on_caller_closed = operator_on_caller_closed,
                                                                           .user_data = node},
                                                        err);
     return node->operator_http != NULL;
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -68,7 +68,7 @@
     cw_client_t* client;
     cw_peers_t* peers;
     cw_members_t* members;
-    uint64_t notified_change_count; /* cw_members_changes of the last notification to entry and allocator */
+    uint64_t notified_change_count; /* cw_members_change_count of the last notification to entry and allocator */
     cw_store_t* store;
     listed_host_t* listed_hosts; /* the platform's list of hosts, as last received */
     uint32_t listed_host_count;  /* 0: no list received yet */
@@ -108,10 +108,10 @@
     uint64_t ids[NODE_MAX_POOL];
 } pool_layout_t;
 
-pool_layout_t node_pool_layout(const cw_view_t* view, const cw_pool_t* pool);
+pool_layout_t node_pool_layout(const cw_snapshot_t* view, const cw_pool_t* pool);
 /* Writes the upstreams of a shard that have slots for this host, each with all its slots or, with own_share_only, with
    this host's even share of them. Returns their number, at most CW_PICK_MAX. */
-uint32_t node_shard_specs(const node_t* node, const cw_view_t* view, const pool_layout_t* layout, uint64_t shard,
+uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* view, const pool_layout_t* layout, uint64_t shard,
                           bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]);
 /* Whether an upstream is leaving, by its document or the platform's list of hosts. It then gets no new requests. */
 bool node_is_upstream_leaving(const node_t* node, const cw_upstream_t* u);
@@ -170,7 +170,7 @@
 void sync_on_peer_revision(sync_t* s, uint64_t from, int64_t revision);
 void sync_tick(sync_t* s, int64_t now_ms);
 /* Whether a configuration has been received. */
-bool sync_ready(const sync_t* s);
+bool sync_is_ready(const sync_t* s);
 /* Whether this host polls the platform on behalf of its hall. */
 bool sync_is_poller(const sync_t* s);
 const char* sync_platform_state(const sync_t* s);
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -20,17 +20,17 @@
 
 /* -- resources ------------------------------------------------------------ */
 
-static json_t* item_status(const cw_item_t* item) {
-    bool is_active = item->value && item->in_force == item->revision && !item->reason[0];
+static json_t* item_status(const cw_store_item_t* item) {
+    bool is_active = item->value && item->active_revision == item->revision && !item->reason[0];
     json_t* condition = json_pack("{s:s,s:b,s:s}", "type", "InForce", "status", is_active, "reason", item->reason);
     return json_pack("{s:I,s:I,s:[o]}", "observed_revision", (json_int_t)item->revision, "in_force_revision",
-                     (json_int_t)item->in_force, "conditions", condition);
+                     (json_int_t)item->active_revision, "conditions", condition);
 }
 
-static json_t* item_json(const cw_item_t* item) {
+static json_t* item_json(const cw_store_item_t* item) {
     const char* name = strchr(item->key, '/') + 1;
     json_t* spec = json_loads(item->value ? item->value : "null", JSON_DECODE_ANY, NULL);
-    return json_pack("{s:s,s:s,s:I,s:o,s:o}", "kind", cw_kind_name(item->kind), "name", name, "revision",
+    return json_pack("{s:s,s:s,s:I,s:o,s:o}", "kind", cw_resource_kind_name(item->kind), "name", name, "revision",
                      (json_int_t)item->revision, "spec", spec ? spec : json_string(item->value), "status",
                      item_status(item));
 }
@@ -45,7 +45,7 @@
 /* Responds with one resource or all of a kind; path is KIND/NAME or KIND. */
 static void reply_resources(const node_t* node, cw_exchange_t* x, const char* path) {
     if (strchr(path, '/')) {
-        const cw_item_t* item = cw_store_find(node->store, path);
+        const cw_store_item_t* item = cw_store_find(node->store, path);
         if (!item || !item->value) {
             reply_error(x, 404, CW_OUTCOME_NONE, "not-found", "resources", NULL, "no such resource", 0);
             return;
@@ -55,8 +55,8 @@
     }
     json_t* list = json_array();
     for (uint32_t i = 0; i < cw_store_count(node->store); i++) {
-        const cw_item_t* item = cw_store_at(node->store, i);
-        if (item->value && strcmp(cw_kind_name(item->kind), path) == 0) {
+        const cw_store_item_t* item = cw_store_at(node->store, i);
+        if (item->value && strcmp(cw_resource_kind_name(item->kind), path) == 0) {
             json_array_append_new(list, item_json(item));
         }
     }
@@ -150,14 +150,14 @@
         cw_shard_stats_t s = allocator_stats(node->allocator, i, &shard, &pool);
         char id[24];
         snprintf(id, sizeof(id), "%016llx", (unsigned long long)shard);
-        cw_view_t* view = cw_store_view(node->store);
-        const cw_pool_t* p = cw_view_pool(view, pool);
+        cw_snapshot_t* view = cw_store_snapshot(node->store);
+        const cw_pool_t* p = cw_snapshot_pool(view, pool);
         json_array_append_new(list,
                               json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:I,s:I,s:I}", "shard", id, "pool", p ? p->name : "?",
                                         "waiting", (int)s.waiting, "running", (int)s.running, "limit", (int)s.limit,
                                         "wait_ms", (int)s.wait_ms, "grants", (json_int_t)s.grants, "refusals",
                                         (json_int_t)s.refusals, "reclaimed", (json_int_t)s.reclaimed));
-        cw_view_release(view);
+        cw_snapshot_release(view);
     }
     return list;
 }
@@ -213,7 +213,7 @@
     } else if (strcmp(path, "/healthz") == 0) {
         reply_json(x, 200, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
-        bool ready = sync_ready(node->sync) && !node_is_stopping(node);
+        bool ready = sync_is_ready(node->sync) && !node_is_stopping(node);
         reply_json(x, ready ? 200 : 503, ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not-ready\"}");
     } else {
         reply_error(x, 404, CW_OUTCOME_NONE, "no-such-path", "operator", NULL, "nothing is served here", 0);
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -36,7 +36,7 @@
     cw_msg_t out;
 };
 
-bool sync_ready(const sync_t* s) {
+bool sync_is_ready(const sync_t* s) {
     return cw_store_revision(s->node->store) > 0;
 }
 
@@ -71,17 +71,17 @@
     if (revision <= previous_revision) {
         return;
     }
-    cw_view_t* view = cw_store_view(s->node->store);
+    cw_snapshot_t* view = cw_store_snapshot(s->node->store);
     cw_log(&s->node->log, CW_EVENT_CONFIG_CHANGED, "revision=%lld workspaces=%u classes=%u pools=%u upstreams=%u",
            (long long)revision, view->workspace_count, view->class_count, view->pool_count, view->upstream_count);
-    cw_view_release(view);
+    cw_snapshot_release(view);
     entry_on_cluster_changed(s->node->entry);
     allocator_on_cluster_changed(s->node->allocator);
 }
 
 static void put_document(sync_t* s, const char* key, int64_t revision, const char* value) {
     if (cw_store_put(s->node->store, key, revision, value) == CW_ERR_INVALID) {
-        const cw_item_t* item = cw_store_find(s->node->store, key);
+        const cw_store_item_t* item = cw_store_find(s->node->store, key);
         cw_log(&s->node->log, CW_EVENT_CONFIG_INVALID, "key=%s revision=%lld reason=\"%s\"", key, (long long)revision,
                item ? item->reason : "unknown kind");
     }
@@ -120,7 +120,7 @@
         json_object_set_new(listed_keys, json_string_value(json_object_get(item, "key")), json_true());
     }
     for (uint32_t i = 0; i < cw_store_count(store); i++) {
-        const cw_item_t* known = cw_store_at(store, i);
+        const cw_store_item_t* known = cw_store_at(store, i);
         if (known->value && known->revision <= revision && !json_object_get(listed_keys, known->key)) {
             put_document(s, known->key, revision, NULL);
         }
@@ -189,14 +189,15 @@
         snprintf(url, sizeof(url), "%s/v1/kv", settings->platform);
     } else {
         snprintf(url, sizeof(url), "%s/v1/watch?since=%lld&wait_ms=%u", settings->platform, (long long)revision,
-                 settings->watch_ms);
+                 settings->watch_timeout_ms);
     }
     s->calls++;
-    s->call = cw_client_call(s->node->client, &(cw_call_desc_t){.url = url,
-                                                                .timeout_ms = settings->watch_ms + CALL_TIMEOUT_MS,
-                                                                .on_data = on_platform_data,
-                                                                .on_done = on_platform_done,
-                                                                .user_data = s});
+    s->call =
+        cw_client_call(s->node->client, &(cw_call_desc_t){.url = url,
+                                                          .timeout_ms = settings->watch_timeout_ms + CALL_TIMEOUT_MS,
+                                                          .on_data = on_platform_data,
+                                                          .on_done = on_platform_done,
+                                                          .user_data = s});
 }
 
 /* Whether this host is among its hall's pollers: the settings.readers highest-ranked hosts by rendezvous hashing. */
@@ -211,7 +212,7 @@
         }
     }
     uint64_t key = cw_mix(node->hall, cw_name_id("reader"));
-    return cw_place_rank(key, node->host, hosts, count) < node->settings.readers;
+    return cw_rendezvous_rank(key, node->host, hosts, count) < node->settings.readers;
 }
 
 /* -- list of hosts -------------------------------------------------------- */
@@ -279,7 +280,7 @@
     if (revision <= cw_store_revision(s->node->store) || is_pull_outstanding(s, now_ms)) {
         return;
     }
-    s->out.type = CW_MSG_PULL;
+    s->out.type = CW_MSG_DOCUMENT_PULL;
     s->out.pull_since = cw_store_revision(s->node->store);
     if (node_send(s->node, from, &s->out) == CW_OK) {
         s->pull_started_ms = now_ms;
@@ -296,22 +297,22 @@
 /* Sends all documents newer than since. If the newest version of one is not the active version, sends both, the active
    one first. */
 static void send_documents(sync_t* s, uint64_t to, int64_t since) {
-    cw_chunk_t* chunk = &s->out.chunk;
-    s->out.type = CW_MSG_CHUNK;
+    cw_document_chunk_t* chunk = &s->out.chunk;
+    s->out.type = CW_MSG_DOCUMENT_CHUNK;
     chunk->count = 0;
     size_t bytes = 0;
     for (uint32_t i = 0; i < cw_store_count(s->node->store); i++) {
-        const cw_item_t* item = cw_store_at(s->node->store, i);
+        const cw_store_item_t* item = cw_store_at(s->node->store, i);
         if (item->revision <= since) {
             continue;
         }
-        if (item->valid && item->in_force != item->revision) {
+        if (item->active_value && item->active_revision != item->revision) {
             chunk->items[chunk->count++] =
-                (cw_chunk_item_t){.key = item->key, .value = item->valid, .revision = item->in_force};
-            bytes += strlen(item->valid);
+                (cw_document_t){.key = item->key, .value = item->active_value, .revision = item->active_revision};
+            bytes += strlen(item->active_value);
         }
         chunk->items[chunk->count++] =
-            (cw_chunk_item_t){.key = item->key, .value = item->value, .revision = item->revision};
+            (cw_document_t){.key = item->key, .value = item->value, .revision = item->revision};
         bytes += item->value ? strlen(item->value) : 0;
         if (chunk->count + 2 > CW_CHUNK_MAX || bytes > CHUNK_BYTES) {
             send_chunk(s, to, false);
@@ -322,12 +323,12 @@
 }
 
 void sync_on_message(sync_t* s, uint64_t from, const cw_msg_t* msg) {
-    if (msg->type == CW_MSG_PULL) {
+    if (msg->type == CW_MSG_DOCUMENT_PULL) {
         send_documents(s, from, msg->pull_since);
         return;
     }
     for (uint32_t i = 0; i < msg->chunk.count; i++) {
-        const cw_chunk_item_t* item = &msg->chunk.items[i];
+        const cw_document_t* item = &msg->chunk.items[i];
         put_document(s, item->key, item->revision, item->value);
     }
     if (msg->chunk.last) {
@@ -357,7 +358,7 @@
 sync_t* sync_setup(node_t* node) {
     sync_t* s = cw_alloc(NULL, 1, sizeof(*s));
     s->node = node;
-    s->bucket = (cw_bucket_t){.rate = node->settings.platform_rate, .burst = PLATFORM_BURST};
+    s->bucket = (cw_bucket_t){.rate = node->settings.platform_calls_per_s, .burst = PLATFORM_BURST};
     return s;
 }
 
--- a/gateway/admission.c
+++ b/gateway/admission.c
@@ -14,7 +14,7 @@
     const char* field = cw_message_field(m, "Host");
     cw_copy(host, sizeof(host), field ? field : "");
     host[strcspn(host, ":")] = 0;
-    return cw_catalog_route(catalog, host, m->target, strcspn(m->target, "?#"));
+    return cw_catalog_find_route(catalog, host, m->target, strcspn(m->target, "?#"));
 }
 
 static admission_t deny(unsigned status, const char* why) {
@@ -39,8 +39,8 @@
 
 admission_t admission_check(const dialect_t* dialect, const cw_catalog_t* catalog, const cw_message_t* m) {
     char key[CW_ACCESS_KEY_MAX];
-    const cw_tenant_t* workspace = NULL;
-    if (m->target[0] != '/' || cw_message_field_times(m, "Host") != 1) {
+    const cw_catalog_workspace_t* workspace = NULL;
+    if (m->target[0] != '/' || cw_message_count_field(m, "Host") != 1) {
         return deny(400, "bad request target or host");
     }
     const char* malformed = request_fields_check(dialect, m);
@@ -52,12 +52,12 @@
         return deny(404, "no route");
     }
     if (request_key_read(dialect, m, key, sizeof(key))) {
-        workspace = cw_catalog_workspace(catalog, key);
+        workspace = cw_catalog_find_workspace(catalog, key);
     }
-    if (catalog->needs_keys && !route->open && !workspace) {
+    if (catalog->requires_keys && !route->is_public && !workspace) {
         return deny(401, "unknown key");
     }
-    bool is_resumable = route->kind == CW_ROUTE_STREAM && route->resume;
+    bool is_resumable = route->kind == CW_ROUTE_STREAM && route->is_resumable;
     uint32_t priority = workspace && workspace->has_tier ? workspace->tier : route->tier;
     return (admission_t){.why = "",
                          .route = route,
--- a/gateway/admission.h
+++ b/gateway/admission.h
@@ -12,11 +12,11 @@
     unsigned status; /* 0: admitted; otherwise the status of the denial */
     const char* why; /* reason of a denial */
     const cw_route_t* route;
-    const cw_tenant_t* workspace; /* NULL: none */
-    uint32_t priority;            /* 0 is the highest */
-    uint32_t urgency;             /* as sent to servers, 0 is the highest; by the route's tier, then by priority */
-    uint32_t time_limit_ms;       /* longest time until the response is complete */
-    bool repeatable;              /* it may run again after any failure */
+    const cw_catalog_workspace_t* workspace; /* NULL: none */
+    uint32_t priority;                       /* 0 is the highest */
+    uint32_t urgency;       /* as sent to servers, 0 is the highest; by the route's tier, then by priority */
+    uint32_t time_limit_ms; /* longest time until the response is complete */
+    bool repeatable;        /* it may run again after any failure */
 } admission_t;
 
 /* Checks a request. status and why are always set, the other fields only if it is admitted. */
--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -10,27 +10,27 @@
 
 /* Names of header fields. NULL: the dialect has no such field. */
 typedef struct dialect_fields_t {
-    const char* request_id;   /* id of one attempt of a caller; a response repeats it */
-    const char* deadline_ms;  /* how long the caller, or the gateway, will wait */
-    const char* key;          /* the workspace's access key; never forwarded */
-    const char* key_scheme;   /* authentication scheme before the key */
-    const char* workspace;    /* set by the gateway: name of the key's workspace */
-    const char* server;       /* set by the gateway: id of the intended server */
-    const char* server_id;    /* in a response: id of the server that sent it */
-    const char* not_run;      /* in a response: the server did not run the request */
-    const char* signature;    /* in a response: proves that the server sent it */
-    const char* priority;     /* set by the gateway: 0 is the most urgent */
-    const char* last_event;   /* id of the event after which a stream resumes */
-    const char* retry_after;  /* in seconds, fractions allowed */
-    const char* leaving;      /* in a response, "1": the server is leaving */
-    const char* limit;        /* in a response: requests per second that the server accepts from all hosts together */
-    const char* tokens;       /* "IN,OUT": prompt and output tokens of a generation */
-    const char* parts;        /* "ID:TOKENS,...": parts of the prompt, IDs in hex */
-    const char* fetch_from;   /* set by the gateway: IP:PORT of an engine with more of the prompt in its cache */
-    const char* const* owned; /* further fields that only the gateway may set, ends with NULL */
+    const char* request_id;  /* id of one attempt of a caller; a response repeats it */
+    const char* deadline_ms; /* how long the caller, or the gateway, will wait */
+    const char* key;         /* the workspace's access key; never forwarded */
+    const char* key_scheme;  /* authentication scheme before the key */
+    const char* workspace;   /* set by the gateway: name of the key's workspace */
+    const char* server;      /* set by the gateway: id of the intended server */
+    const char* server_id;   /* in a response: id of the server that sent it */
+    const char* not_run;     /* in a response: the server did not run the request */
+    const char* signature;   /* in a response: proves that the server sent it */
+    const char* priority;    /* set by the gateway: 0 is the most urgent */
+    const char* last_event;  /* id of the event after which a stream resumes */
+    const char* retry_after; /* in seconds, fractions allowed */
+    const char* leaving;     /* in a response, "1": the server is leaving */
+    const char* limit;       /* in a response: requests per second that the server accepts from all hosts together */
+    const char* tokens;      /* "IN,OUT": prompt and output tokens of a generation */
+    const char* parts;       /* "ID:TOKENS,...": parts of the prompt, IDs in hex */
+    const char* fetch_from;  /* set by the gateway: IP:PORT of an engine with more of the prompt in its cache */
+    const char* const* reserved; /* further fields that only the gateway may set, ends with NULL */
 } dialect_fields_t;
 
-typedef void (*part_visit_t)(void* user_data, const cw_work_part_t* part);
+typedef void (*part_visitor_t)(void* user_data, const cw_prompt_part_t* part);
 
 /* How long a caller of a stream waits for the next event, or the first one, before it gives up: the longest of these.
    All 0: until its deadline. */
@@ -45,33 +45,33 @@
     dialect_fields_t fields;
     unsigned misdirected_status; /* response status: the request was meant for another server and did not run */
     unsigned priority_max;       /* highest value of the priority field, the least urgent */
-    dialect_read_timeout_t silence;
+    dialect_read_timeout_t read_timeout;
     const char* ready_path;
     const char* lookup_path;
     const char* lookup_hall;    /* query argument: hall */
     const char* lookup_hosts;   /* response field: list of host addresses */
-    const char* lookup_keep;    /* response field: seconds for which the response may be cached */
+    const char* lookup_max_age; /* response field: seconds for which the response may be cached */
     const char* inventory_path; /* engine's list of its cached prompt parts; NULL: engines have none */
     /* Reads the response of inventory_path and visits each part, the least recently used first if the engine knows
        that. started_ms: start time that the engine reports; 0: none. */
-    cw_status_t (*read_inventory)(const char* body, size_t size, int64_t* started_ms, part_visit_t visit,
+    cw_status_t (*read_inventory)(const char* body, size_t size, int64_t* started_ms, part_visitor_t visit,
                                   void* user_data, cw_error_t* err);
 } dialect_t;
 
 /* The read timeout in ms of a stream's caller for a route with this target and longest gap. 0: none. */
 static inline uint32_t dialect_read_timeout_ms(const dialect_t* dialect, uint32_t target_ms, uint32_t gap_ms) {
-    const dialect_read_timeout_t* s = &dialect->silence;
+    const dialect_read_timeout_t* s = &dialect->read_timeout;
     uint32_t ms = s->ms > s->targets * target_ms ? s->ms : s->targets * target_ms;
     return ms > s->gaps * gap_ms ? ms : s->gaps * gap_ms;
 }
 
 /* What one read of the source returned. */
-typedef struct source_news_t {
+typedef struct source_update_t {
     char* catalog;               /* native document (chalkway_catalog.h), to be freed by free(); NULL: unchanged */
-    int64_t mark;                /* identifies the version that was read; passed to the next read */
+    int64_t version;             /* identifies the version that was read; passed to the next read */
     bool more;                   /* servers: there is another page */
     char after[CW_NAME_MAX * 2]; /* servers: start of the next page */
-} source_news_t;
+} source_update_t;
 
 /* How to read the configuration and the server list over HTTP. A path function writes the path and query of a call. A
    read function converts the response body to native form or reports what is wrong with it. */
@@ -79,12 +79,12 @@
     /* Response header with the epoch of the source: an integer that increases each time the source is restored from an
        older copy of itself, after which revisions go back and are assigned again. NULL or not present: such restores
        can't be detected. */
-    const char* life_field;
+    const char* epoch_field;
     /* mark: from the last read, 0: none. The source may leave out what has not changed since. */
-    void (*catalog_path)(char* out, size_t size, int64_t mark);
+    void (*catalog_path)(char* out, size_t size, int64_t version);
     void (*servers_path)(char* out, size_t size, const char* after);
-    cw_status_t (*read_catalog)(const char* body, size_t size, int64_t mark, source_news_t* news, cw_error_t* err);
-    cw_status_t (*read_servers)(const char* body, size_t size, cw_servers_t* list, source_news_t* news,
+    cw_status_t (*read_catalog)(const char* body, size_t size, int64_t version, source_update_t* news, cw_error_t* err);
+    cw_status_t (*read_servers)(const char* body, size_t size, cw_servers_t* list, source_update_t* news,
                                 cw_error_t* err);
     /* Path of the changes since revision at. NULL: the source serves only full lists. A status other than 200 means
        that it no longer has these changes. */
@@ -94,7 +94,7 @@
     /* Path of the closed halls. NULL: the server list contains them. read_closed returns CW_OK with err set if it could
        read only some of them; these are valid. */
     void (*closed_path)(char* out, size_t size);
-    cw_status_t (*read_closed)(const char* body, size_t size, cw_closed_t* closed, cw_error_t* err);
+    cw_status_t (*read_closed)(const char* body, size_t size, cw_closed_halls_t* closed, cw_error_t* err);
 } source_t;
 
 extern const dialect_t dialect_native;
--- a/gateway/directory.c
+++ b/gateway/directory.c
@@ -26,8 +26,8 @@
     series_t* items;
 } series_list_t;
 
-struct directory_t {
-    directory_desc_t desc;
+struct endpoints_t {
+    endpoints_desc_t desc;
     cw_httpd_t* ready;
     cw_httpd_t* lookup;
     cw_httpd_t* metrics;
@@ -64,8 +64,8 @@
     cw_hist_add(&series->took_ms, took_ms);
 }
 
-void directory_count(directory_t* d, const char* route, const char* workspace, uint32_t outcome, uint32_t first_ms,
-                     uint32_t took_ms) {
+void endpoints_count_request(endpoints_t* d, const char* route, const char* workspace, uint32_t outcome,
+                             uint32_t first_ms, uint32_t took_ms) {
     series_add(series_get(&d->routes, route), outcome, first_ms, took_ms);
     series_add(series_get(&d->workspaces, workspace), outcome, first_ms, took_ms);
 }
@@ -79,7 +79,7 @@
         }
         sum += hist->buckets[i];
         cw_message_add_text(out, "chalkway_%s_bucket{%s=\"%s\",le=\"%u\"} %llu\n", metric, label, name,
-                            cw_hist_bound(i), (unsigned long long)sum);
+                            cw_hist_upper_bound(i), (unsigned long long)sum);
     }
     cw_message_add_text(out, "chalkway_%s_bucket{%s=\"%s\",le=\"+Inf\"} %llu\n", metric, label, name,
                         (unsigned long long)hist->count);
@@ -103,7 +103,7 @@
 /* -- responses ------------------------------------------------------------ */
 
 static void handle_ready(cw_exchange_t* x, void* user) {
-    directory_t* d = user;
+    endpoints_t* d = user;
     bool is_known_path = strcmp(cw_exchange_path(x), d->desc.dialect->ready_path) == 0;
     unsigned status = !is_known_path ? 404 : d->desc.is_ready(d->desc.user_data) ? 200 : 503;
     cw_exchange_reply(x, status, NULL, 0, "", 0);
@@ -115,14 +115,14 @@
     for (uint32_t i = 0; i < count; i++) {
         json_array_append_new(list, json_string(addresses[i]));
     }
-    json_t* body = json_pack("{s:o,s:f}", dialect->lookup_hosts, list, dialect->lookup_keep, keep_ms / MS_PER_S);
+    json_t* body = json_pack("{s:o,s:f}", dialect->lookup_hosts, list, dialect->lookup_max_age, keep_ms / MS_PER_S);
     char* text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
     return text;
 }
 
 static void handle_lookup(cw_exchange_t* x, void* user) {
-    directory_t* d = user;
+    endpoints_t* d = user;
     static const cw_header_t json = {"Content-Type", "application/json"};
     const char* addresses[ADDRESSES_MAX];
     if (strcmp(cw_exchange_path(x), d->desc.dialect->lookup_path) != 0) {
@@ -140,15 +140,15 @@
     free(body);
 }
 
-static void handle_quarantine(directory_t* d, cw_exchange_t* x) {
+static void handle_quarantine(endpoints_t* d, cw_exchange_t* x) {
     static const cw_header_t json = {"Content-Type", "application/json"};
     cw_buffer_t out = {0};
-    d->desc.write_held(d->desc.user_data, &out);
+    d->desc.write_quarantine(d->desc.user_data, &out);
     cw_exchange_reply(x, 200, &json, 1, cw_buffer_text(&out), out.size);
     cw_buffer_free(&out);
 }
 
-static void handle_release(directory_t* d, cw_exchange_t* x) {
+static void handle_release(endpoints_t* d, cw_exchange_t* x) {
     const char* fingerprint = cw_exchange_arg(x, "fingerprint");
     const char* workspace = cw_exchange_arg(x, "workspace");
     bool is_post = strcmp(cw_exchange_method(x), "POST") == 0;
@@ -158,7 +158,7 @@
 }
 
 static void handle_metrics(cw_exchange_t* x, void* user) {
-    directory_t* d = user;
+    endpoints_t* d = user;
     static const cw_header_t text = {"Content-Type", "text/plain; version=0.0.4"};
     cw_buffer_t out = {0};
     if (strcmp(cw_exchange_path(x), "/held") == 0) {
@@ -178,20 +178,20 @@
 
 /* -- setup ---------------------------------------------------------------- */
 
-static cw_httpd_t* listen_http(directory_t* d, const char* address, void (*on_request)(cw_exchange_t*, void*),
+static cw_httpd_t* listen_http(endpoints_t* d, const char* address, void (*on_request)(cw_exchange_t*, void*),
                                cw_error_t* err) {
     return cw_httpd_setup(&(cw_httpd_desc_t){.loop = d->desc.loop,
                                              .address = address,
-                                             .max_body = 4096,
+                                             .max_body_bytes = 4096,
                                              .max_connections = 256,
-                                             .idle_s = IDLE_S,
+                                             .idle_timeout_s = IDLE_S,
                                              .on_request = on_request,
                                              .user_data = d},
                           err);
 }
 
-directory_t* directory_setup(const directory_desc_t* desc, cw_error_t* err) {
-    directory_t* d = calloc(1, sizeof(*d));
+endpoints_t* endpoints_setup(const endpoints_desc_t* desc, cw_error_t* err) {
+    endpoints_t* d = calloc(1, sizeof(*d));
     if (!d) {
         abort();
     }
@@ -200,13 +200,13 @@
     d->lookup = d->ready ? listen_http(d, desc->lookup, handle_lookup, err) : NULL;
     d->metrics = d->lookup && desc->metrics[0] ? listen_http(d, desc->metrics, handle_metrics, err) : NULL;
     if (!d->lookup || (desc->metrics[0] && !d->metrics)) {
-        directory_shutdown(d);
+        endpoints_shutdown(d);
         return NULL;
     }
     return d;
 }
 
-void directory_shutdown(directory_t* d) {
+void endpoints_shutdown(endpoints_t* d) {
     cw_httpd_t* const servers[] = {d->ready, d->lookup, d->metrics};
     for (size_t i = 0; i < sizeof(servers) / sizeof(servers[0]); i++) {
         if (servers[i]) {
@@ -218,6 +218,6 @@
     free(d);
 }
 
-void directory_set_keep(directory_t* d, uint32_t keep_ms) {
+void endpoints_set_max_age(endpoints_t* d, uint32_t keep_ms) {
     d->desc.keep_ms = keep_ms;
 }
--- a/gateway/directory.h
+++ b/gateway/directory.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_DIRECTORY_H
-#define CW_GATEWAY_DIRECTORY_H
+#ifndef CW_GATEWAY_ENDPOINTS_H
+#define CW_GATEWAY_ENDPOINTS_H
 /* HTTP endpoints besides the proxy: readiness of this host, lookup of the hosts that callers may use, metrics, and the
    requests under suspicion. */
 #include <ev.h>
@@ -7,9 +7,9 @@
 #include "../io/buffer.h"
 #include "dialect.h"
 
-typedef struct directory_t directory_t;
+typedef struct endpoints_t endpoints_t;
 
-typedef struct directory_desc_t {
+typedef struct endpoints_desc_t {
     struct ev_loop* loop;
     const dialect_t* dialect;
     const char* ready; /* listen addresses */
@@ -20,17 +20,17 @@
     uint32_t (*addresses)(void* user_data, const char* hall, const char** out, uint32_t max);
     void (*write_metrics)(void* user_data, cw_buffer_t* out);
     /* Writes the requests under suspicion as JSON, and releases one of them; false: it is unknown. */
-    void (*write_held)(void* user_data, cw_buffer_t* out);
+    void (*write_quarantine)(void* user_data, cw_buffer_t* out);
     bool (*release)(void* user_data, const char* fingerprint, const char* workspace);
     void* user_data;
-} directory_desc_t;
+} endpoints_desc_t;
 
-directory_t* directory_setup(const directory_desc_t* desc, cw_error_t* err);
-void directory_shutdown(directory_t* d);
-void directory_set_keep(directory_t* d, uint32_t keep_ms);
+endpoints_t* endpoints_setup(const endpoints_desc_t* desc, cw_error_t* err);
+void endpoints_shutdown(endpoints_t* d);
+void endpoints_set_max_age(endpoints_t* d, uint32_t keep_ms);
 /* Counts a completed request in the histograms by route and by workspace, and by outcome. Routes and workspaces beyond
    a fixed number are counted together as "other". */
-void directory_count(directory_t* d, const char* route, const char* workspace, uint32_t outcome, uint32_t first_ms,
-                     uint32_t took_ms);
+void endpoints_count_request(endpoints_t* d, const char* route, const char* workspace, uint32_t outcome,
+                             uint32_t first_ms, uint32_t took_ms);
 
 #endif
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -55,7 +55,7 @@
         x->next->prev = x->prev;
     }
     e->stats.active--;
-    cw_events_free(&x->events);
+    cw_sse_free(&x->events);
     cw_buffer_free(&x->head_fields);
     cw_catalog_release(x->catalog);
     free(x);
@@ -86,7 +86,7 @@
 
 void exchange_set_timer(exchange_t* x) {
     int64_t due_ms = x->deadline_ms;
-    int64_t wait_ms = x->work.late ? x->wait.until_ms : x->wait.late_ms;
+    int64_t wait_ms = x->work.is_late ? x->wait.until_ms : x->wait.late_from_ms;
     if (x->is_queued && wait_ms < due_ms) {
         due_ms = wait_ms;
     }
@@ -109,7 +109,7 @@
            "id=%s step=%s server=%s life=%016llx peer=%s reason=\"%s\" sent_ms_ago=%lld fingerprint=%016llx links=%u",
            x->id, cw_request_state_name(x->fsm.state), x->server_id, (unsigned long long)x->server->key,
            x->server->published.address, reason, x->sent_ms ? (long long)(clock_ms() - x->sent_ms) : -1LL,
-           (unsigned long long)x->fingerprint.content, x->server->open);
+           (unsigned long long)x->fingerprint.content_hash, x->server->conn_count);
     exchange_handle_event(x, e);
 }
 
@@ -117,7 +117,7 @@
 static void handle_due(exchange_t* x) {
     int64_t now_ms = clock_ms();
     if (now_ms >= x->deadline_ms && x->fsm.state == CW_REQ_DETACHED) {
-        exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "no answer long after its time");
+        exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_FAILED, "no answer long after its time");
     } else if (now_ms >= x->deadline_ms) {
         x->reason = "time is up";
         x->result = CW_TRY_CANCELLED;
@@ -129,11 +129,11 @@
         exchange_assign_server(x);
     } else if (x->is_queued && now_ms >= x->wait.until_ms) {
         exchange_refuse(x, "no place came free in time");
-    } else if (x->is_queued && !x->work.late && now_ms >= x->wait.late_ms) {
+    } else if (x->is_queued && !x->work.is_late && now_ms >= x->wait.late_from_ms) {
         exchange_requeue_late(x);
     } else if (x->conn && x->stall_at_ms && now_ms >= x->stall_at_ms) {
         if (exchange_may_retry(x)) {
-            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "silent for too long");
+            exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_FAILED, "silent for too long");
         } else {
             x->stall_at_ms = 0;
             exchange_set_timer(x);
@@ -158,12 +158,12 @@
         return;
     }
     int64_t now_ms = clock_ms();
-    bool was_suspected = cw_balance_suspected(pool->balance, now_ms, server->key);
+    bool was_suspected = cw_balance_is_suspected(pool->balance, now_ms, server->key);
     cw_balance_end(pool->balance, now_ms, &x->run, x->result);
-    x->exchanges->desc.on_load(x->exchanges->desc.user_data, server, NULL);
+    x->exchanges->desc.on_load_changed(x->exchanges->desc.user_data, server, NULL);
     if (x->result == CW_TRY_BROKEN || x->result == CW_TRY_UNREACHABLE) {
-        server_log_life(server, now_ms, was_suspected, 0);
-        x->exchanges->desc.on_life(x->exchanges->desc.user_data, server);
+        server_log_suspicion(server, now_ms, was_suspected, 0);
+        x->exchanges->desc.on_liveness_changed(x->exchanges->desc.user_data, server);
     }
 }
 
@@ -173,7 +173,7 @@
         x->conn = NULL;
     }
     if (x->is_resumable_stream) {
-        cw_events_restart(&x->events);
+        cw_sse_restart(&x->events);
     }
 }
 
@@ -194,10 +194,10 @@
     if (outcome == CW_OUTCOME_DELIVERED) {
         report_done(x, EXCHANGE_SERVED, why);
         exchange_send_head(x, caller);
-        caller_finish(caller, true);
+        caller_end_response(caller, true);
     } else if (x->is_head_sent) {
         report_done(x, EXCHANGE_FAILED, why);
-        caller_finish(caller, false);
+        caller_end_response(caller, false);
     } else if (outcome == CW_OUTCOME_NOT_RUN) {
         x->status = 503;
         report_done(x, EXCHANGE_REFUSED, why);
@@ -213,32 +213,32 @@
     if (todo & CW_DO_ABORT) {
         abort_attempt(x);
     }
-    pool_t* freed = todo & CW_DO_RETURN ? x->pool : NULL;
+    pool_t* freed = todo & CW_DO_RELEASE_SLOT ? x->pool : NULL;
     exchanges_t* e = x->exchanges;
     if (freed) {
         release_server(x);
     }
-    if (todo & CW_DO_WITHDRAW) {
+    if (todo & CW_DO_CANCEL_SLOT_REQUEST) {
         exchange_dequeue(x);
     }
-    if (todo & CW_DO_ANSWER) {
+    if (todo & CW_DO_RESPOND) {
         send_outcome(x);
     }
     if (x->fsm.state == CW_REQ_ENDED) {
         exchange_free(x);
-    } else if (todo & CW_DO_WANT) {
+    } else if (todo & CW_DO_REQUEST_SLOT) {
         exchange_assign_server(x);
     } else if (x->fsm.state == CW_REQ_DETACHED) {
         x->deadline_ms = clock_ms() + DETACHED_TIMEOUT_MS;
         exchange_set_timer(x);
     }
     if (freed && e->queue) {
-        exchanges_on_room(e, freed);
+        exchanges_on_slot_free(e, freed);
     }
 }
 
 void exchange_handle_event(exchange_t* x, cw_request_event_t e) {
-    x->fsm.retry_allowed = cw_retry_window_has(&x->pool->retries, clock_ms());
+    x->fsm.retry_allowed = cw_retry_window_has_room(&x->pool->retries, clock_ms());
     uint32_t todo = cw_request_event(&x->fsm, e);
     if (todo || x->fsm.state == CW_REQ_ENDED) {
         run_actions(x, todo);
@@ -248,7 +248,7 @@
 /* -- callers --------------------------------------------------------------- */
 
 static void deny(exchanges_t* e, caller_t* caller, unsigned status, const char* id, const char* why) {
-    const cw_message_t* m = caller_message(caller);
+    const cw_message_t* m = caller_request(caller);
     e->stats.outcomes[EXCHANGE_DENIED]++;
     cw_log(e->desc.log, CW_EVENT_REQUEST_DENIED, "id=%s status=%u why=\"%s\" target=%.60s revision=%lld",
            id[0] ? id : "-", status, why, m->target, e->catalog ? (long long)e->catalog->revision : 0LL);
@@ -256,8 +256,8 @@
 }
 
 /* The whole body has been read, so the request can be identified before it is sent to any server. */
-static cw_fingerprint_t fingerprint_of(caller_t* caller, const cw_tenant_t* workspace) {
-    const cw_message_t* m = caller_message(caller);
+static cw_fingerprint_t fingerprint_of(caller_t* caller, const cw_catalog_workspace_t* workspace) {
+    const cw_message_t* m = caller_request(caller);
     const cw_buffer_t* body = caller_body(caller);
     return cw_fingerprint(workspace ? cw_name_id(workspace->name) : 0,
                           &(cw_fingerprint_parts_t){.method = m->method,
@@ -277,7 +277,7 @@
     x->exchanges = e;
     x->caller = caller;
     cw_copy(x->id, sizeof(x->id), id);
-    x->catalog = cw_catalog_hold(e->catalog);
+    x->catalog = cw_catalog_retain(e->catalog);
     x->route = route;
     x->workspace = admission->workspace;
     x->fingerprint = fingerprint_of(caller, x->workspace);
@@ -287,15 +287,15 @@
     x->priority = admission->priority;
     x->run.server = CW_BALANCE_NONE;
     x->fsm = cw_request_new(&(cw_request_desc_t){.repeatable = admission->repeatable,
-                                                 .resumable = is_stream && route->resume,
-                                                 .cancel_when_gone = is_stream,
-                                                 .count_sent = true,
+                                                 .resumable = is_stream && route->is_resumable,
+                                                 .cancel_on_caller_close = is_stream,
+                                                 .counts_sent_only = true,
                                                  .max_attempts = route->attempts});
     x->work = (cw_work_t){.urgency = cw_urgency_level(admission->urgency),
                           .target_ms = route->target_ms,
                           .gap_ms = route->gap_ms,
                           .repeatable = admission->repeatable};
-    request_work_read(&x->work, e->desc.dialect, caller_message(caller));
+    request_work_read(&x->work, e->desc.dialect, caller_request(caller));
     ev_timer_init(&x->timer, on_timer, 0.0, 0.0);
     x->timer.data = x;
     x->next = e->list;
@@ -314,7 +314,7 @@
 }
 
 void exchanges_on_request(exchanges_t* e, caller_t* caller) {
-    const cw_message_t* m = caller_message(caller);
+    const cw_message_t* m = caller_request(caller);
     const char* id = cw_message_field(m, e->desc.dialect->fields.request_id);
     char generated_id[24];
     if (!id || !id[0] || strlen(id) >= REQUEST_ID_MAX) {
@@ -335,15 +335,15 @@
         return;
     }
     exchange_t* x = exchange_new(e, caller, &admission, id);
-    const cw_catalog_pool_t* pool = cw_catalog_pool(e->catalog, admission.route, next_random(e));
+    const cw_catalog_pool_t* pool = cw_catalog_choose_pool(e->catalog, admission.route, next_random(e));
     x->pool = upstreams_pool(e->desc.upstreams, pool->name);
     assert(x->pool); /* upstreams_set_catalog has created the pools of this catalog */
-    cw_retry_window_first(&x->pool->retries, x->arrived_ms);
-    cw_balance_asked(x->pool->balance, x->arrived_ms, &x->work);
+    cw_retry_window_on_first_attempt(&x->pool->retries, x->arrived_ms);
+    cw_balance_on_request(x->pool->balance, x->arrived_ms, &x->work);
     exchange_handle_event(x, CW_EV_START);
 }
 
-void exchanges_on_gone(exchanges_t* e, caller_t* caller) {
+void exchanges_on_caller_closed(exchanges_t* e, caller_t* caller) {
     (void)e;
     exchange_t* x = caller_data(caller);
     if (!x) {
@@ -352,8 +352,8 @@
     x->caller = NULL;
     x->result = CW_TRY_CANCELLED;
     x->reason = "the caller left";
-    report_done(x, EXCHANGE_GONE, x->reason);
-    exchange_handle_event(x, CW_EV_GONE);
+    report_done(x, EXCHANGE_CANCELLED, x->reason);
+    exchange_handle_event(x, CW_EV_CALLER_CLOSED);
 }
 
 void exchanges_on_drained(exchanges_t* e, caller_t* caller) {
@@ -378,23 +378,23 @@
 
 void exchanges_set_catalog(exchanges_t* e, cw_catalog_t* catalog) {
     cw_catalog_t* previous = e->catalog;
-    e->catalog = cw_catalog_hold(catalog);
+    e->catalog = cw_catalog_retain(catalog);
     cw_catalog_release(previous);
 }
 
 /* First exchange of the request that is queued, connected or waiting for a verdict. */
 static exchange_t* find_active(const exchanges_t* e, const cw_fingerprint_t* request) {
     exchange_t* x = e->list;
-    while (x && (!cw_fingerprint_same(&x->fingerprint, request) || !(x->is_queued || x->conn || x->verdict_due_ms))) {
+    while (x && (!cw_fingerprint_equal(&x->fingerprint, request) || !(x->is_queued || x->conn || x->verdict_due_ms))) {
         x = x->next;
     }
     return x;
 }
 
-void exchanges_on_held(exchanges_t* e, const cw_fingerprint_t* request) {
+void exchanges_on_quarantined(exchanges_t* e, const cw_fingerprint_t* request) {
     for (exchange_t* x = find_active(e, request); x; x = find_active(e, request)) {
         if (x->conn) {
-            exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_CANCELLED, QUARANTINED_REASON);
+            exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_CANCELLED, QUARANTINED_REASON);
         } else if (!exchange_check_quarantine(x)) {
             return;
         }
@@ -411,7 +411,7 @@
     return x;
 }
 
-void exchanges_on_wake(exchanges_t* e) {
+void exchanges_on_resume(exchanges_t* e) {
     e->resume_count++;
     for (exchange_t* x = next_unchecked(e); x; x = next_unchecked(e)) {
         x->checked_at_resume = e->resume_count;
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -17,7 +17,7 @@
     EXCHANGE_DENIED,     /* not allowed: status 400, 401 or 404 */
     EXCHANGE_REFUSED,    /* did not run: status 503 */
     EXCHANGE_FAILED,     /* may have run: status 502 or 504, or a truncated response */
-    EXCHANGE_GONE,       /* the caller closed its connection */
+    EXCHANGE_CANCELLED,  /* the caller closed its connection */
     EXCHANGE_OUTCOME_COUNT
 } exchange_outcome_t;
 
@@ -30,9 +30,9 @@
     uint64_t seed;
     uint32_t startup_grace_ms; /* no configuration for longer: its source counts as unavailable; default 500 */
     /* An attempt at the server began (work set) or ended (work NULL); other hosts need the new load. */
-    void (*on_load)(void* user_data, const server_t* server, const cw_work_t* work);
+    void (*on_load_changed)(void* user_data, const server_t* server, const cw_work_t* work);
     /* A connection to the server failed, or a server that other hosts suspect has responded; notify them at once. */
-    void (*on_life)(void* user_data, const server_t* server);
+    void (*on_liveness_changed)(void* user_data, const server_t* server);
     /* The request has ended. May be NULL. */
     void (*on_done)(void* user_data, const char* route, const char* workspace, exchange_outcome_t outcome,
                     uint32_t first_ms, uint32_t took_ms);
@@ -41,7 +41,7 @@
 
 typedef struct exchanges_stats_t {
     uint32_t active, waiting;
-    uint64_t outcomes[EXCHANGE_OUTCOME_COUNT], sends, repeats, resumed;
+    uint64_t outcomes[EXCHANGE_OUTCOME_COUNT], sends, retries_sent, streams_resumed;
 } exchanges_stats_t;
 
 exchanges_t* exchanges_setup(const exchanges_desc_t* desc);
@@ -49,14 +49,14 @@
 /* Sets the configuration for requests that arrive from now on. NULL: none is known. */
 void exchanges_set_catalog(exchanges_t* e, cw_catalog_t* catalog);
 void exchanges_on_request(exchanges_t* e, caller_t* caller);
-void exchanges_on_gone(exchanges_t* e, caller_t* caller);
+void exchanges_on_caller_closed(exchanges_t* e, caller_t* caller);
 void exchanges_on_drained(exchanges_t* e, caller_t* caller);
 /* A slot may be free in the pool: tries to assign servers to queued requests. */
-void exchanges_on_room(exchanges_t* e, pool_t* pool);
+void exchanges_on_slot_free(exchanges_t* e, pool_t* pool);
 /* The request is quarantined from now on: ends its queued and running exchanges. */
-void exchanges_on_held(exchanges_t* e, const cw_fingerprint_t* request);
+void exchanges_on_quarantined(exchanges_t* e, const cw_fingerprint_t* request);
 /* The host resumed from suspend, so the event loop's timers are late: handles every deadline that has passed. */
-void exchanges_on_wake(exchanges_t* e);
+void exchanges_on_resume(exchanges_t* e);
 /* Refuses queued requests and all that arrive from now on, because this process is about to exit. */
 void exchanges_refuse_new(exchanges_t* e);
 exchanges_stats_t exchanges_stats(const exchanges_t* e);
--- a/gateway/exchange_parts.h
+++ b/gateway/exchange_parts.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_EXCHANGE_PARTS_H
-#define CW_GATEWAY_EXCHANGE_PARTS_H
+#ifndef CW_GATEWAY_EXCHANGE_INTERNAL_H
+#define CW_GATEWAY_EXCHANGE_INTERNAL_H
 /*
     Internal interface between the parts of an exchange. exchange.c owns the lifetime of a request, its timer and its
     final response. seek.c assigns a server, queues the request or refuses it. transfer.c sends the request and
@@ -25,7 +25,7 @@
     cw_fingerprint_t fingerprint; /* identifies the request independently of its id */
     cw_catalog_t* catalog;
     const cw_route_t* route;
-    const cw_tenant_t* workspace;
+    const cw_catalog_workspace_t* workspace;
     pool_t* pool;
     cw_request_t fsm;
     cw_work_t work;
@@ -33,7 +33,7 @@
     cw_verdict_t verdict; /* quarantine verdict at the last attempt to assign a server */
     uint32_t priority;
     int64_t arrived_ms, deadline_ms;
-    cw_turn_wait_t wait; /* while queued: when it becomes late and when it is refused */
+    cw_queue_wait_t wait; /* while queued: when it becomes late and when it is refused */
     bool is_queued;
     int64_t verdict_due_ms; /* the quarantine verdict is undecided until then; 0: decided */
     /* current attempt */
@@ -59,7 +59,7 @@
     uint64_t head_length;
     bool is_head_sent;
     bool is_resumable_stream; /* another server can resume the event stream */
-    cw_events_t events;
+    cw_sse_t events;
     unsigned status;
     int64_t first_ms;           /* first byte sent to the caller; 0: none */
     int64_t last_byte_ms;       /* last byte sent to the caller */
@@ -75,7 +75,7 @@
     exchanges_desc_t desc;
     cw_catalog_t* catalog;
     exchange_t* list;
-    exchange_t* queue; /* ordered by cw_turn_before */
+    exchange_t* queue; /* ordered by cw_queue_precedes */
     bool is_refusing;
     uint64_t random_count;
     uint32_t resume_count; /* times that the host resumed from suspend */
--- a/gateway/front.c
+++ b/gateway/front.c
@@ -23,7 +23,7 @@
 } caller_state_t;
 
 struct caller_t {
-    front_t* front;
+    frontend_t* front;
     cw_stream_t stream;
     cw_message_t message;
     cw_buffer_t body;
@@ -39,14 +39,14 @@
     caller_t* next;
 };
 
-struct front_t {
-    front_desc_t desc;
-    char address[CW_ADDR_TEXT];
+struct frontend_t {
+    frontend_desc_t desc;
+    char address[CW_ADDR_TEXT_SIZE];
     int fd;
     ev_io accept_io;
     bool is_draining;
     caller_t* callers;
-    front_stats_t stats;
+    frontend_stats_t stats;
 };
 
 static void read_pipelined(caller_t* c);
@@ -59,7 +59,7 @@
 }
 
 static void caller_free(caller_t* c) {
-    front_t* f = c->front;
+    frontend_t* f = c->front;
     cw_stream_close(&c->stream);
     ev_timer_stop(f->desc.loop, &c->timer);
     free_body(c);
@@ -88,15 +88,15 @@
 }
 
 static void wait_for_request(caller_t* c) {
-    front_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
+    frontend_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
     timer_start(c, (limits.idle_ms + IDLE_SLACK_MS) / MS_PER_S);
 }
 
 /* Sends the unsent bytes, shuts the connection down for writing and reads on for a while. */
 static void start_closing(caller_t* c) {
     c->state = CALLER_CLOSING;
-    if (!cw_stream_unsent(&c->stream)) {
-        cw_stream_finish(&c->stream);
+    if (!cw_stream_unsent_bytes(&c->stream)) {
+        cw_stream_shutdown_write(&c->stream);
         c->is_finished = true;
     }
     timer_start(c, LINGER_S);
@@ -106,7 +106,7 @@
     c->front->stats.active--;
     c->data = NULL;
     cw_stream_flush(&c->stream);
-    cw_stream_pause(&c->stream, false);
+    cw_stream_pause_reading(&c->stream, false);
     free_body(c);
     if (c->must_close) {
         start_closing(c);
@@ -127,7 +127,7 @@
 static void write_head(caller_t* c, unsigned status, const char* fields) {
     cw_buffer_t out = {0};
     c->must_close = c->must_close || c->front->is_draining || !c->message.keep_alive;
-    cw_message_add_text(&out, "HTTP/1.1 %u %s\r\n", status, cw_message_reason(status));
+    cw_message_add_text(&out, "HTTP/1.1 %u %s\r\n", status, cw_message_reason_phrase(status));
     cw_buffer_add(&out, fields, strlen(fields));
     if (c->must_close) {
         cw_message_add_field(&out, "Connection", "close");
@@ -143,7 +143,7 @@
     } else if (framing == CW_FRAMING_LENGTH) {
         cw_message_add_text(&out, "Content-Length: %llu\r\n", (unsigned long long)length);
     }
-    cw_message_add_end(&out);
+    cw_message_end_head(&out);
     cw_stream_write(&c->stream, out.data, out.size);
     cw_buffer_free(&out);
 }
@@ -157,13 +157,13 @@
     end_response(c);
 }
 
-void caller_begin(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length) {
+void caller_begin_response(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length) {
     c->framing = has_no_body(c, status) && framing != CW_FRAMING_LENGTH ? CW_FRAMING_NONE : framing;
-    if (c->framing == CW_FRAMING_CLOSE) {
+    if (c->framing == CW_FRAMING_UNTIL_CLOSE) {
         c->framing = CW_FRAMING_CHUNKED; /* so that the caller can tell a complete response from a truncated one */
     }
     if (c->framing == CW_FRAMING_CHUNKED && c->message.parser.http_major == 1 && c->message.parser.http_minor == 0) {
-        c->framing = CW_FRAMING_CLOSE;
+        c->framing = CW_FRAMING_UNTIL_CLOSE;
         c->must_close = true;
     }
     write_head(c, status, fields);
@@ -186,11 +186,11 @@
     cw_stream_flush(&c->stream);
 }
 
-size_t caller_unsent(const caller_t* c) {
-    return cw_stream_unsent(&c->stream);
+size_t caller_unsent_bytes(const caller_t* c) {
+    return cw_stream_unsent_bytes(&c->stream);
 }
 
-void caller_finish(caller_t* c, bool whole) {
+void caller_end_response(caller_t* c, bool whole) {
     if (!whole) {
         c->front->stats.active--;
         cw_stream_abort(&c->stream);
@@ -206,7 +206,7 @@
     end_response(c);
 }
 
-const cw_message_t* caller_message(const caller_t* c) {
+const cw_message_t* caller_request(const caller_t* c) {
     return &c->message;
 }
 
@@ -229,7 +229,7 @@
     timer_stop(c);
     c->must_close = true;
     c->is_bodiless = false;
-    c->message.state = CW_MESSAGE_BROKEN; /* further bytes are not parsed as a request */
+    c->message.state = CW_MESSAGE_MALFORMED; /* further bytes are not parsed as a request */
     c->front->stats.active++;
     caller_reply(c, status, fields, "", 0);
 }
@@ -241,7 +241,7 @@
 
 static void on_head(void* owner) {
     caller_t* c = owner;
-    front_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
+    frontend_limits_t limits = c->front->desc.limits(c->front->desc.user_data);
     c->is_bodiless = strcmp(c->message.method, "HEAD") == 0;
     if (c->message.framing != CW_FRAMING_NONE && c->message.length <= limits.body_bytes &&
         expects_continue(&c->message)) {
@@ -269,11 +269,11 @@
 
 /* Rejects the request if what has been read of it is malformed or exceeds a limit. Returns whether it did. */
 static bool reject_if_invalid(caller_t* c) {
-    front_t* f = c->front;
-    front_limits_t limits = f->desc.limits(f->desc.user_data);
+    frontend_t* f = c->front;
+    frontend_limits_t limits = f->desc.limits(f->desc.user_data);
     bool is_in_head = c->message.state == CW_MESSAGE_HEAD;
-    if (c->message.state == CW_MESSAGE_BROKEN) {
-        f->stats.broken++;
+    if (c->message.state == CW_MESSAGE_MALFORMED) {
+        f->stats.malformed++;
         reject(c, 400, "");
     } else if ((is_in_head && c->message.head_bytes > limits.head_bytes) || c->message.text.size > limits.head_bytes) {
         reject(c, 431, "");
@@ -282,7 +282,7 @@
     } else if (f->stats.body_bytes > f->desc.max_body_total) {
         cw_buffer_t fields = {0};
         cw_message_add_field(&fields, f->desc.retry_after_field, "1");
-        f->stats.refused_full++;
+        f->stats.rejected_full++;
         reject(c, 503, fields.data);
         cw_buffer_free(&fields);
     } else {
@@ -294,7 +294,7 @@
 /* Parses a request and buffers the bytes after it. May free the caller. */
 static void read_request(caller_t* c, const char* data, size_t size) {
     bool was_idle = c->message.state == CW_MESSAGE_IDLE;
-    size_t used = cw_message_read(&c->message, data, size);
+    size_t used = cw_message_parse(&c->message, data, size);
     if (was_idle && c->message.state != CW_MESSAGE_IDLE) {
         timer_start(c, c->front->desc.limits(c->front->desc.user_data).head_ms / MS_PER_S);
     }
@@ -324,7 +324,7 @@
     } else if (c->state == CALLER_ACTIVE) {
         cw_buffer_add(&c->pipelined, data, size);
         if (c->pipelined.size > PIPELINED_MAX_BYTES) {
-            cw_stream_pause(&c->stream, true);
+            cw_stream_pause_reading(&c->stream, true);
         }
     }
 }
@@ -334,17 +334,17 @@
     if (c->state == CALLER_ACTIVE) {
         c->front->desc.on_drained(c, c->front->desc.user_data);
     } else if (c->state == CALLER_CLOSING && !c->is_finished) {
-        cw_stream_finish(&c->stream);
+        cw_stream_shutdown_write(&c->stream);
         c->is_finished = true;
     }
 }
 
-static void on_end(void* owner, cw_stream_end_t end) {
+static void on_end(void* owner, cw_stream_end_reason_t end) {
     (void)end;
     caller_t* c = owner;
     if (c->state == CALLER_ACTIVE) {
         c->front->stats.active--;
-        c->front->desc.on_gone(c, c->front->desc.user_data);
+        c->front->desc.on_caller_closed(c, c->front->desc.user_data);
     }
     caller_free(c);
 }
@@ -358,7 +358,7 @@
     if (c->state == CALLER_READING && c->message.state != CW_MESSAGE_IDLE) {
         c->front->stats.timed_out++;
         reject(c, 408, "");
-    } else if (c->state == CALLER_CLOSING && cw_stream_unsent(&c->stream)) {
+    } else if (c->state == CALLER_CLOSING && cw_stream_unsent_bytes(&c->stream)) {
         timer_start(c, LINGER_S); /* the caller reads slowly; the stream ends by itself if it is gone */
     } else {
         caller_free(c);
@@ -367,7 +367,7 @@
 
 /* -- accepting ------------------------------------------------------------ */
 
-static void caller_open(front_t* f, int fd) {
+static void caller_open(frontend_t* f, int fd) {
     caller_t* c = calloc(1, sizeof(*c));
     if (!c) {
         abort();
@@ -384,14 +384,14 @@
     c->timer.data = c;
     cw_message_setup(&c->message, CW_MESSAGE_REQUEST, &message_handlers, c);
     cw_stream_accept(&c->stream, f->desc.loop, fd, &stream_handlers, c);
-    cw_stream_watch_peer(&c->stream, PEER_TIMEOUT_MS);
+    cw_stream_set_peer_timeout(&c->stream, PEER_TIMEOUT_MS);
     wait_for_request(c);
 }
 
 static void on_accept(struct ev_loop* loop, ev_io* w, int events) {
     (void)loop;
     (void)events;
-    front_t* f = w->data;
+    frontend_t* f = w->data;
     for (int i = 0; i < ACCEPT_BATCH; i++) {
         int fd = accept4(f->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
@@ -405,13 +405,13 @@
     }
 }
 
-front_t* front_setup(const front_desc_t* desc, cw_error_t* err) {
-    char bound[CW_ADDR_TEXT];
+frontend_t* frontend_setup(const frontend_desc_t* desc, cw_error_t* err) {
+    char bound[CW_ADDR_TEXT_SIZE];
     int fd = cw_addr_listen(desc->address, bound, err);
     if (fd < 0) {
         return NULL;
     }
-    front_t* f = calloc(1, sizeof(*f));
+    frontend_t* f = calloc(1, sizeof(*f));
     if (!f) {
         abort();
     }
@@ -424,19 +424,19 @@
     return f;
 }
 
-const char* front_address(const front_t* f) {
+const char* frontend_address(const frontend_t* f) {
     return f->address;
 }
 
-void front_leave(front_t* f) {
+void frontend_drain(frontend_t* f) {
     f->is_draining = true;
 }
 
-front_stats_t front_stats(const front_t* f) {
+frontend_stats_t frontend_stats(const frontend_t* f) {
     return f->stats;
 }
 
-void front_shutdown(front_t* f) {
+void frontend_shutdown(frontend_t* f) {
     ev_io_stop(f->desc.loop, &f->accept_io);
     close(f->fd);
     caller_t* next = NULL;
--- a/gateway/front.h
+++ b/gateway/front.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_FRONT_H
-#define CW_GATEWAY_FRONT_H
+#ifndef CW_GATEWAY_FRONTEND_H
+#define CW_GATEWAY_FRONTEND_H
 /*
     Callers' connections: HTTP/1.1 over cw_stream_t, with one request at a time on each.
 
@@ -10,58 +10,58 @@
 #include "../io/message.h"
 #include "../io/stream.h"
 
-typedef struct front_t front_t;
+typedef struct frontend_t frontend_t;
 typedef struct caller_t caller_t;
 
-typedef struct front_limits_t {
+typedef struct frontend_limits_t {
     uint32_t head_bytes;
     uint32_t body_bytes;
     uint32_t head_ms;
     uint32_t idle_ms;
-} front_limits_t;
+} frontend_limits_t;
 
-typedef struct front_desc_t {
+typedef struct frontend_desc_t {
     struct ev_loop* loop;
     const char* address;
     uint32_t max_connections;
     size_t max_body_total; /* bytes of all buffered bodies; above this, requests are rejected with 503 */
     const char* retry_after_field;
-    front_limits_t (*limits)(void* user_data);
+    frontend_limits_t (*limits)(void* user_data);
     void (*on_request)(caller_t* caller, void* user_data);
     /* The caller closed its connection before the response was complete. The handle is invalid afterwards. */
-    void (*on_gone)(caller_t* caller, void* user_data);
+    void (*on_caller_closed)(caller_t* caller, void* user_data);
     /* Everything written has been sent. */
     void (*on_drained)(caller_t* caller, void* user_data);
     void* user_data;
-} front_desc_t;
+} frontend_desc_t;
 
-typedef struct front_stats_t {
-    uint64_t accepted, requests, refused_full, broken, timed_out;
+typedef struct frontend_stats_t {
+    uint64_t accepted, requests, rejected_full, malformed, timed_out;
     uint32_t open, active;
     size_t body_bytes;
-} front_stats_t;
+} frontend_stats_t;
 
-front_t* front_setup(const front_desc_t* desc, cw_error_t* err);
-void front_shutdown(front_t* front);
+frontend_t* frontend_setup(const frontend_desc_t* desc, cw_error_t* err);
+void frontend_shutdown(frontend_t* front);
 /* The bound address, with the port that the kernel assigned. */
-const char* front_address(const front_t* front);
+const char* frontend_address(const frontend_t* front);
 /* From now on every response asks the caller to close its connection. */
-void front_leave(front_t* front);
-front_stats_t front_stats(const front_t* front);
+void frontend_drain(frontend_t* front);
+frontend_stats_t frontend_stats(const frontend_t* front);
 
 /* The request's head and body, valid until the response is complete. */
-const cw_message_t* caller_message(const caller_t* c);
+const cw_message_t* caller_request(const caller_t* c);
 const cw_buffer_t* caller_body(const caller_t* c);
 void caller_set_data(caller_t* c, void* data);
 void* caller_data(const caller_t* c);
 /* Sends a complete response. fields: lines "Name: value\r\n", may be empty. Ends the use of the handle. */
 void caller_reply(caller_t* c, unsigned status, const char* fields, const void* body, size_t size);
 /* Begins a response in pieces. length is used with CW_FRAMING_LENGTH only. */
-void caller_begin(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length);
+void caller_begin_response(caller_t* c, unsigned status, const char* fields, cw_framing_t framing, uint64_t length);
 void caller_write(caller_t* c, const void* data, size_t size);
 /* Bytes written but not sent yet. */
-size_t caller_unsent(const caller_t* c);
+size_t caller_unsent_bytes(const caller_t* c);
 /* Ends a response in pieces. whole = false resets the connection. Ends the use of the handle. */
-void caller_finish(caller_t* c, bool whole);
+void caller_end_response(caller_t* c, bool whole);
 
 #endif
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -48,14 +48,14 @@
     upstreams_t* upstreams;
     quarantine_t* quarantine;
     exchanges_t* exchanges;
-    front_t* front;
+    frontend_t* front;
     sync_t* sync;
     mesh_t* mesh;
     inventory_t* inventory;
-    directory_t* directory;
+    endpoints_t* directory;
     cw_catalog_t* catalog; /* active one, NULL: none yet */
     ev_timer tick;
-    wake_t suspend_detector;
+    suspend_detector_t suspend_detector;
     ev_signal on_term, on_int, on_hup;
     int64_t tick_ms;
     cw_stop_t stop;
@@ -68,13 +68,13 @@
     cw_lines_add(&g->lines, line);
 }
 
-static front_limits_t front_limits(void* user) {
+static frontend_limits_t front_limits(void* user) {
     gateway_t* g = user;
     if (!g->catalog) {
-        return (front_limits_t){.head_bytes = 16384, .body_bytes = 1 << 20, .head_ms = 5000, .idle_ms = 15000};
+        return (frontend_limits_t){.head_bytes = 16384, .body_bytes = 1 << 20, .head_ms = 5000, .idle_ms = 15000};
     }
     const cw_catalog_limits_t* l = &g->catalog->limits;
-    return (front_limits_t){
+    return (frontend_limits_t){
         .head_bytes = l->head_bytes, .body_bytes = l->body_bytes, .head_ms = l->head_ms, .idle_ms = l->idle_ms};
 }
 
@@ -82,53 +82,53 @@
     exchanges_on_request(((gateway_t*)user)->exchanges, caller);
 }
 
-static void on_gone(caller_t* caller, void* user) {
-    exchanges_on_gone(((gateway_t*)user)->exchanges, caller);
+static void on_caller_closed(caller_t* caller, void* user) {
+    exchanges_on_caller_closed(((gateway_t*)user)->exchanges, caller);
 }
 
 static void on_drained(caller_t* caller, void* user) {
     exchanges_on_drained(((gateway_t*)user)->exchanges, caller);
 }
 
-static void on_room(void* user, pool_t* pool) {
-    exchanges_on_room(((gateway_t*)user)->exchanges, pool);
+static void on_slot_free(void* user, pool_t* pool) {
+    exchanges_on_slot_free(((gateway_t*)user)->exchanges, pool);
 }
 
-static void on_load(void* user, const server_t* server, const cw_work_t* work) {
+static void on_load_changed(void* user, const server_t* server, const cw_work_t* work) {
     mesh_on_load(((gateway_t*)user)->mesh, server, work);
 }
 
-static void on_life(void* user, const server_t* server) {
-    mesh_on_life(((gateway_t*)user)->mesh, server);
+static void on_liveness_changed(void* user, const server_t* server) {
+    mesh_on_liveness(((gateway_t*)user)->mesh, server);
 }
 
 static void on_pushback(void* user, const server_t* server) {
-    mesh_on_life(((gateway_t*)user)->mesh, server);
+    mesh_on_liveness(((gateway_t*)user)->mesh, server);
 }
 
-static void on_alive(void* user, const server_t* server) {
-    quarantine_on_alive(((gateway_t*)user)->quarantine, server);
+static void on_server_alive(void* user, const server_t* server) {
+    quarantine_on_server_alive(((gateway_t*)user)->quarantine, server);
 }
 
-static void on_local_observation(void* user, const cw_mark_t* mark) {
-    mesh_on_mark(((gateway_t*)user)->mesh, mark);
+static void on_local_observation(void* user, const cw_quarantine_observation_t* mark) {
+    mesh_on_observation(((gateway_t*)user)->mesh, mark);
 }
 
-static void on_mark(void* user, const cw_mark_t* mark) {
-    quarantine_on_mark(((gateway_t*)user)->quarantine, mark);
+static void on_observation(void* user, const cw_quarantine_observation_t* mark) {
+    quarantine_on_observation(((gateway_t*)user)->quarantine, mark);
 }
 
-static uint32_t marks(void* user, uint32_t* at, cw_mark_t* out, uint32_t max) {
-    return quarantine_marks(((gateway_t*)user)->quarantine, at, out, max);
+static uint32_t observations(void* user, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max) {
+    return quarantine_observations(((gateway_t*)user)->quarantine, at, out, max);
 }
 
-static void on_held(void* user, const cw_fingerprint_t* request) {
-    exchanges_on_held(((gateway_t*)user)->exchanges, request);
+static void on_quarantined(void* user, const cw_fingerprint_t* request) {
+    exchanges_on_quarantined(((gateway_t*)user)->exchanges, request);
 }
 
 static void on_done(void* user, const char* route, const char* workspace, exchange_outcome_t outcome, uint32_t first_ms,
                     uint32_t took_ms) {
-    directory_count(((gateway_t*)user)->directory, route, workspace, (uint32_t)outcome, first_ms, took_ms);
+    endpoints_count_request(((gateway_t*)user)->directory, route, workspace, (uint32_t)outcome, first_ms, took_ms);
 }
 
 static void announce(gateway_t* g) {
@@ -144,14 +144,14 @@
     cw_log(&g->log, CW_EVENT_SERVERS_CHANGED, "changes=%u listed=%u at=%lld after_outage=%d", changes, list->count,
            (long long)list->at, after_outage);
     for (pool_t* pool = upstreams_pools(g->upstreams); pool; pool = pool->next) {
-        exchanges_on_room(g->exchanges, pool);
+        exchanges_on_slot_free(g->exchanges, pool);
     }
 }
 
 static void on_catalog(void* user, cw_catalog_t* catalog) {
     gateway_t* g = user;
     cw_catalog_t* before = g->catalog;
-    g->catalog = cw_catalog_hold(catalog);
+    g->catalog = cw_catalog_retain(catalog);
     cw_catalog_release(before);
     upstreams_set_catalog(g->upstreams, catalog);
     const cw_servers_t* list = g->sync ? sync_servers(g->sync) : NULL;
@@ -162,59 +162,61 @@
     announce(g);
 }
 
-static cw_knowledge_t knowledge(void* user) {
+static cw_source_state_t source_state(void* user) {
     gateway_t* g = user;
-    return g->sync ? sync_knowledge(g->sync) : (cw_knowledge_t){0};
+    return g->sync ? sync_source_state(g->sync) : (cw_source_state_t){0};
 }
 
-static void on_knowledge(void* user, const char* share, bool far, const cw_knowledge_t* known) {
-    sync_on_peer(((gateway_t*)user)->sync, share, far, known);
+static void on_source_state(void* user, const char* share, bool far, const cw_source_state_t* known) {
+    sync_on_peer_state(((gateway_t*)user)->sync, share, far, known);
 }
 
 static void on_members(void* user, uint32_t daemons, uint32_t rank) {
     gateway_t* g = user;
-    upstreams_set_daemons(g->upstreams, daemons);
+    upstreams_set_peak_daemons(g->upstreams, daemons);
     sync_set_rank(g->sync, rank, daemons);
 }
 
-static bool is_mine(void* user, uint64_t server) {
-    return mesh_is_mine(((gateway_t*)user)->mesh, server);
+static bool owns_server(void* user, uint64_t server) {
+    return mesh_owns_key(((gateway_t*)user)->mesh, server);
 }
 
 static bool is_settled(void* user) {
-    return mesh_is_settled(((gateway_t*)user)->mesh, clock_ms());
+    return mesh_is_converged(((gateway_t*)user)->mesh, clock_ms());
 }
 
-static void on_parts(void* user, server_t* server, const cw_work_part_t* parts, uint32_t count) {
+static void on_cached_parts(void* user, server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
     for (uint32_t i = 0; i < count; i++) {
-        cw_balance_kept(server->pool->balance, server->key, &parts[i]);
+        cw_balance_on_peer_prompt(server->pool->balance, server->key, &parts[i]);
     }
-    mesh_tell_kept(((gateway_t*)user)->mesh, server, parts, count);
+    mesh_announce_cached(((gateway_t*)user)->mesh, server, parts, count);
 }
 
 static bool is_ready(void* user) {
     gateway_t* g = user;
-    return sync_ready(g->sync) && g->stop.phase == CW_STOP_NOT;
+    return sync_is_ready(g->sync) && g->stop.phase == CW_STOP_NONE;
 }
 
 static uint32_t lookup(void* user, const char* hall, const char** out, uint32_t max) {
     gateway_t* g = user;
-    return mesh_callers_addresses(g->mesh, hall, is_ready(g), out, max);
+    return mesh_caller_addresses(g->mesh, hall, is_ready(g), out, max);
 }
 
 static void metrics(void* user, cw_buffer_t* out) {
     gateway_t* g = user;
     exchanges_stats_t x = exchanges_stats(g->exchanges);
-    front_stats_t f = front_stats(g->front);
+    frontend_stats_t f = frontend_stats(g->front);
     sync_stats_t s = sync_stats(g->sync);
     mesh_stats_t m = mesh_stats(g->mesh);
     cw_message_add_text(out, "chalkway_requests_active %u\nchalkway_requests_waiting %u\n", x.active, x.waiting);
     cw_message_add_text(out, "chalkway_sends_total %llu\nchalkway_repeats_total %llu\nchalkway_resumed_total %llu\n",
-                        (unsigned long long)x.sends, (unsigned long long)x.repeats, (unsigned long long)x.resumed);
+                        (unsigned long long)x.sends, (unsigned long long)x.retries_sent,
+                        (unsigned long long)x.streams_resumed);
     cw_message_add_text(out, "chalkway_caller_connections %u\nchalkway_callers_accepted_total %llu\n", f.open,
                         (unsigned long long)f.accepted);
     cw_message_add_text(out, "chalkway_server_connections %u\nchalkway_server_connects_total %llu\n",
-                        upstreams_links(g->upstreams), (unsigned long long)upstreams_connects(g->upstreams));
+                        upstreams_connections(g->upstreams),
+                        (unsigned long long)upstreams_connections_opened(g->upstreams));
     cw_message_add_text(out, "chalkway_source_calls_total %llu\nchalkway_source_failures_total %llu\n",
                         (unsigned long long)s.source_calls, (unsigned long long)s.source_failures);
     cw_message_add_text(out, "chalkway_peer_calls_total %llu\nchalkway_revision %lld\nchalkway_servers_age_ms %lld\n",
@@ -222,36 +224,37 @@
     cw_message_add_text(out, "chalkway_members_known %u\nchalkway_members_live %u\n", m.known, m.live);
     cw_message_add_text(
         out, "chalkway_load_out_total %llu\nchalkway_load_in_total %llu\nchalkway_load_passed_on_total %llu\n",
-        (unsigned long long)m.news.out, (unsigned long long)m.news.in, (unsigned long long)m.news.passed_on);
+        (unsigned long long)m.reporter.out, (unsigned long long)m.reporter.in,
+        (unsigned long long)m.reporter.forwarded);
     cw_message_add_text(out, "chalkway_servers_refused_total %llu\n",
-                        (unsigned long long)upstreams_refused(g->upstreams));
+                        (unsigned long long)upstreams_servers_rejected(g->upstreams));
     cw_message_add_text(out, "chalkway_load_of_unknown_total %llu\nchalkway_entries_refused_total %llu\n",
-                        (unsigned long long)m.news.unknown, (unsigned long long)s.entries_refused);
+                        (unsigned long long)m.reporter.unknown, (unsigned long long)s.entries_refused);
     quarantine_stats_t q = quarantine_stats(g->quarantine);
     cw_message_add_text(out, "chalkway_suspect_requests %u\nchalkway_held_requests %u\n", q.requests.entries,
                         q.requests.held);
     cw_message_add_text(out, "chalkway_held_back_total %llu\nchalkway_suspects_pushed_out_total %llu\n",
-                        (unsigned long long)q.held_back, (unsigned long long)q.requests.pushed_out);
+                        (unsigned long long)q.requests_quarantined, (unsigned long long)q.requests.evicted);
     cw_message_add_text(out, "chalkway_marks_told_total %llu\nchalkway_marks_heard_total %llu\n",
-                        (unsigned long long)q.told, (unsigned long long)q.heard);
-    cw_message_add_text(out, "chalkway_log_lines_lost_total %lu\n", g->lines.lost_ever);
+                        (unsigned long long)q.observations_sent, (unsigned long long)q.observations_received);
+    cw_message_add_text(out, "chalkway_log_lines_lost_total %lu\n", g->lines.dropped_total);
     for (pool_t* pool = upstreams_pools(g->upstreams); pool; pool = pool->next) {
-        cw_held_back_t held = cw_balance_held_back(pool->balance, clock_ms());
+        cw_throttled_t held = cw_balance_throttled(pool->balance, clock_ms());
         cw_message_add_text(out,
                             "chalkway_pool_resting{pool=\"%s\"} %u\nchalkway_pool_limited{pool=\"%s\"} %u\n"
                             "chalkway_pool_limits_owned{pool=\"%s\"} %u\n",
-                            pool->name, held.resting, pool->name, held.limited, pool->name, held.owned);
+                            pool->name, held.backing_off, pool->name, held.rate_limited, pool->name, held.owned_rates);
         cw_message_add_text(out, "chalkway_pool_ready{pool=\"%s\"} %u\nchalkway_pool_listed{pool=\"%s\"} %u\n",
                             pool->name, pool->ready, pool->name, pool->listed);
         cw_message_add_text(out, "chalkway_pool_fullness{pool=\"%s\"} %.3f\n", pool->name,
-                            cw_balance_fullness(pool->balance, clock_ms()));
+                            cw_balance_utilization(pool->balance, clock_ms()));
         cw_message_add_text(out, "chalkway_pool_read_ms_per_token{pool=\"%s\"} %.5f\n", pool->name,
-                            cw_balance_read_rate(pool->balance));
+                            cw_balance_prefill_ms_per_token(pool->balance));
     }
 }
 
-static void write_held(void* user, cw_buffer_t* out) {
-    quarantine_write(((gateway_t*)user)->quarantine, out);
+static void write_quarantine(void* user, cw_buffer_t* out) {
+    quarantine_write_json(((gateway_t*)user)->quarantine, out);
 }
 
 static bool release(void* user, const char* fingerprint, const char* workspace) {
@@ -263,24 +266,24 @@
 /* A planned stop: callers are asked to use other hosts first, then new requests are refused, then the process exits.
    After ev_break the loop still handles the remaining events of this iteration. */
 static void check_stop(gateway_t* g, int64_t now_ms) {
-    cw_stop_phase_t phase = cw_stop_step(&g->stop, now_ms, exchanges_stats(g->exchanges).active);
+    cw_stop_phase_t phase = cw_stop_update(&g->stop, now_ms, exchanges_stats(g->exchanges).active);
     if (phase >= CW_STOP_REFUSING) {
         exchanges_refuse_new(g->exchanges);
     }
-    if (phase == CW_STOP_ENDED) {
+    if (phase == CW_STOP_EXIT) {
         ev_break(g->loop, EVBREAK_ALL);
     }
 }
 
 /* Runs before any other event after a suspension: ends requests whose deadline passed, and stops using idle
    connections. Ages need no correction, since the clock counts suspended time. */
-static void on_wake(void* user, int64_t suspended_ms) {
+static void on_resume(void* user, int64_t suspended_ms) {
     gateway_t* g = user;
     cw_log(&g->log, CW_EVENT_WOKE, "gap_ms=%lld suspended_ms=%lld active=%u", (long long)suspended_ms,
            (long long)suspended_ms, exchanges_stats(g->exchanges).active);
     g->tick_ms = clock_ms();
-    exchanges_on_wake(g->exchanges);
-    upstreams_on_wake(g->upstreams);
+    exchanges_on_resume(g->exchanges);
+    upstreams_on_resume(g->upstreams);
 }
 
 static void log_stall(gateway_t* g, int64_t now_ms) {
@@ -296,17 +299,17 @@
     (void)loop;
     (void)events;
     gateway_t* g = w->data;
-    if (g->stop.phase != CW_STOP_NOT) {
+    if (g->stop.phase != CW_STOP_NONE) {
         return;
     }
     uint32_t grace_ms = g->settings.grace_ms;
     cw_stop_begin(
         &g->stop, clock_ms(),
-        &(cw_stop_desc_t){.quiet_ms = (uint32_t)(STOP_MIN_ACCEPT_SHARE * grace_ms),
-                          .take_ms = (uint32_t)(STOP_MAX_ACCEPT_SHARE * grace_ms),
-                          .end_ms = grace_ms > 2 * STOP_MARGIN_MS ? grace_ms - STOP_MARGIN_MS : grace_ms / 2});
+        &(cw_stop_desc_t){.min_accept_ms = (uint32_t)(STOP_MIN_ACCEPT_SHARE * grace_ms),
+                          .max_accept_ms = (uint32_t)(STOP_MAX_ACCEPT_SHARE * grace_ms),
+                          .force_exit_ms = grace_ms > 2 * STOP_MARGIN_MS ? grace_ms - STOP_MARGIN_MS : grace_ms / 2});
     cw_log(&g->log, CW_EVENT_STOPPING, "active=%u", exchanges_stats(g->exchanges).active);
-    front_leave(g->front);
+    frontend_drain(g->front);
     mesh_leave(g->mesh);
 }
 
@@ -325,7 +328,7 @@
     g->log.level = cw_log_level(reloaded.log_level);
     g->log.json = strcmp(reloaded.log_format, "json") == 0;
     g->settings.lookup_keep_ms = reloaded.lookup_keep_ms;
-    directory_set_keep(g->directory, reloaded.lookup_keep_ms);
+    endpoints_set_max_age(g->directory, reloaded.lookup_keep_ms);
     cw_log(&g->log, CW_EVENT_RELOADED, "path=%s", g->settings_path);
 }
 
@@ -365,9 +368,9 @@
     inventory_tick(g->inventory, now_ms);
     for (pool_t* pool = upstreams_pools(g->upstreams); pool && exchanges_stats(g->exchanges).waiting;
          pool = pool->next) {
-        exchanges_on_room(g->exchanges, pool);
+        exchanges_on_slot_free(g->exchanges, pool);
     }
-    unsigned long lost = cw_lines_take_lost(&g->lines);
+    unsigned long lost = cw_lines_take_dropped(&g->lines);
     if (lost) {
         cw_log(&g->log, CW_EVENT_LINES_LOST, "lines=%lu", lost);
     }
@@ -388,20 +391,20 @@
                                                        .retry_ratio = s->retry_ratio,
                                                        .retry_slack = s->retry_slack,
                                                        .retry_window_ms = s->retry_window_ms,
-                                                       .max_links = sockets / 2,
+                                                       .max_conns = sockets / 2,
                                                        .max_servers = s->servers,
-                                                       .rest_max_ms = s->rest_max_ms,
-                                                       .is_mine = is_mine,
-                                                       .on_alive = on_alive,
+                                                       .backoff_max_ms = s->backoff_max_ms,
+                                                       .owns_server = owns_server,
+                                                       .on_server_alive = on_server_alive,
                                                        .on_pushback = on_pushback,
-                                                       .on_room = on_room,
+                                                       .on_slot_free = on_slot_free,
                                                        .user_data = g});
     g->quarantine = quarantine_setup(&(quarantine_desc_t){.log = &g->log,
                                                           .upstreams = g->upstreams,
                                                           .entries = s->suspects,
                                                           .keep_ms = s->hold_ms,
-                                                          .on_mark = on_local_observation,
-                                                          .on_held = on_held,
+                                                          .on_observation = on_local_observation,
+                                                          .on_quarantined = on_quarantined,
                                                           .user_data = g});
     g->exchanges = exchanges_setup(&(exchanges_desc_t){.loop = g->loop,
                                                        .log = &g->log,
@@ -409,19 +412,19 @@
                                                        .upstreams = g->upstreams,
                                                        .quarantine = g->quarantine,
                                                        .seed = cw_mix(host, (uint64_t)clock_ms()),
-                                                       .on_load = on_load,
-                                                       .on_life = on_life,
+                                                       .on_load_changed = on_load_changed,
+                                                       .on_liveness_changed = on_liveness_changed,
                                                        .on_done = on_done,
                                                        .user_data = g});
     g->mesh = mesh_setup(&(mesh_desc_t){.loop = g->loop,
                                         .log = &g->log,
                                         .settings = s,
                                         .upstreams = g->upstreams,
-                                        .knowledge = knowledge,
-                                        .on_knowledge = on_knowledge,
+                                        .source_state = source_state,
+                                        .on_source_state = on_source_state,
                                         .on_members = on_members,
-                                        .on_mark = on_mark,
-                                        .marks = marks,
+                                        .on_observation = on_observation,
+                                        .observations = observations,
                                         .user_data = g},
                          err);
     g->sync = !g->mesh ? NULL
@@ -432,10 +435,10 @@
                                                    .share = s->share,
                                                    .share_connections = sockets / 8,
                                                    .seed = cw_mix(host, (uint64_t)clock_ms()),
-                                                   .closed_ms = s->close_ms / CLOSED_POLLS,
-                                                   .read_ms = s->read_ms,
-                                                   .late_ms = gateway_settings_late_ms(s),
-                                                   .nobody_calls = s->first_start != 0,
+                                                   .closed_poll_age_ms = s->close_ms / CLOSED_POLLS,
+                                                   .poll_age_ms = s->poll_age_ms,
+                                                   .last_rank_poll_age_ms = gateway_settings_last_rank_age_ms(s),
+                                                   .is_first_start = s->first_start != 0,
                                                    .on_catalog = on_catalog,
                                                    .on_servers = on_servers,
                                                    .user_data = g},
@@ -444,12 +447,12 @@
                                                        .log = &g->log,
                                                        .dialect = g->dialect,
                                                        .upstreams = g->upstreams,
-                                                       .is_mine = is_mine,
+                                                       .owns_server = owns_server,
                                                        .is_settled = is_settled,
-                                                       .on_parts = on_parts,
+                                                       .on_cached_parts = on_cached_parts,
                                                        .user_data = g});
     g->directory = !g->sync ? NULL
-                            : directory_setup(&(directory_desc_t){.loop = g->loop,
+                            : endpoints_setup(&(endpoints_desc_t){.loop = g->loop,
                                                                   .dialect = g->dialect,
                                                                   .ready = s->ready,
                                                                   .lookup = s->lookup,
@@ -458,22 +461,23 @@
                                                                   .is_ready = is_ready,
                                                                   .addresses = lookup,
                                                                   .write_metrics = metrics,
-                                                                  .write_held = write_held,
+                                                                  .write_quarantine = write_quarantine,
                                                                   .release = release,
                                                                   .user_data = g},
                                               err);
-    g->front = !g->directory ? NULL
-                             : front_setup(&(front_desc_t){.loop = g->loop,
-                                                           .address = s->callers,
-                                                           .max_connections = sockets / 2,
-                                                           .max_body_total = s->memory_bytes / BODY_MEMORY_DIVISOR,
-                                                           .retry_after_field = g->dialect->fields.retry_after,
-                                                           .limits = front_limits,
-                                                           .on_request = on_request,
-                                                           .on_gone = on_gone,
-                                                           .on_drained = on_drained,
-                                                           .user_data = g},
-                                           err);
+    g->front = !g->directory
+                   ? NULL
+                   : frontend_setup(&(frontend_desc_t){.loop = g->loop,
+                                                       .address = s->callers,
+                                                       .max_connections = sockets / 2,
+                                                       .max_body_total = s->memory_bytes / BODY_MEMORY_DIVISOR,
+                                                       .retry_after_field = g->dialect->fields.retry_after,
+                                                       .limits = front_limits,
+                                                       .on_request = on_request,
+                                                       .on_caller_closed = on_caller_closed,
+                                                       .on_drained = on_drained,
+                                                       .user_data = g},
+                                    err);
     return g->front != NULL;
 }
 
@@ -496,19 +500,19 @@
     ev_timer_init(&g->tick, on_tick, 0.0, TICK_S);
     g->tick.data = g;
     ev_timer_start(g->loop, &g->tick);
-    wake_setup(&g->suspend_detector, g->loop, on_wake, g);
+    suspend_detector_setup(&g->suspend_detector, g->loop, on_resume, g);
     cw_log(&g->log, CW_EVENT_STARTED, "host=%s hall=%s callers=%s peer=%s dialect=%s", g->settings.name,
            g->settings.hall, g->settings.callers, g->settings.peer, g->dialect->name);
     ev_run(g->loop, 0);
-    wake_shutdown(&g->suspend_detector);
+    suspend_detector_shutdown(&g->suspend_detector);
     cw_log(&g->log, CW_EVENT_STOPPED, "cut=%u", exchanges_stats(g->exchanges).active);
 }
 
 static void shutdown_modules(gateway_t* g) {
     exchanges_shutdown(g->exchanges);
     quarantine_shutdown(g->quarantine);
-    front_shutdown(g->front);
-    directory_shutdown(g->directory);
+    frontend_shutdown(g->front);
+    endpoints_shutdown(g->directory);
     inventory_shutdown(g->inventory);
     sync_shutdown(g->sync);
     mesh_shutdown(g->mesh);
