--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -37,15 +37,15 @@
 /* -- responses ------------------------------------------------------------ */
 
 typedef struct parts_t {
-    cw_work_part_t items[INVENTORY_PARTS_PER_ENGINE];
+    cw_prompt_part_t items[INVENTORY_PARTS_PER_ENGINE];
     uint32_t max_parts; /* size of the ring in items, which keeps the last parts */
     uint32_t count;     /* all parts that were read */
 } parts_t;
 
 /* Records a part with 0 tokens: the engine has computed it before, and evicts nothing for it now. */
-static void add_part(void* user, const cw_work_part_t* part) {
+static void add_part(void* user, const cw_prompt_part_t* part) {
     parts_t* parts = user;
-    parts->items[parts->count++ % parts->max_parts] = (cw_work_part_t){.id = part->id};
+    parts->items[parts->count++ % parts->max_parts] = (cw_prompt_part_t){.id = part->id};
 }
 
 static void record_parts(inventory_t* v, server_t* server, const parts_t* parts) {
@@ -54,7 +54,7 @@
     cw_log(v->desc.log, CW_EVENT_INVENTORY, "server=%s pool=%s parts=%u listed=%u", server->published.id,
            server->pool->name, count, parts->count);
     if (count) {
-        v->desc.on_parts(v->desc.user_data, server, parts->items, count);
+        v->desc.on_cached_parts(v->desc.user_data, server, parts->items, count);
     }
 }
 
@@ -96,7 +96,7 @@
         log_failure(v, server, err.message);
     } else if (server && upstreams_check_incarnation(v->desc.upstreams, clock_ms(), server, started_ms)) {
         log_failure(v, server, "another incarnation of the server responded");
-    } else if (server && !server->gone) {
+    } else if (server && !server->is_removed) {
         record_parts(v, server, parts);
     }
     free(parts);
@@ -109,9 +109,9 @@
     char url[256];
     snprintf(url, sizeof(url), "http://%s%s", server->published.address, v->desc.dialect->inventory_path);
     *c = (call_t){.inventory = v, .server = server->key};
-    v->stats.asked++;
+    v->stats.queried++;
     c->call = cw_client_call(v->client, &(cw_call_desc_t){.url = url,
-                                                          .connect_ms = CONNECT_TIMEOUT_MS,
+                                                          .connect_timeout_ms = CONNECT_TIMEOUT_MS,
                                                           .timeout_ms = CALL_TIMEOUT_MS,
                                                           .on_head = on_head,
                                                           .on_data = on_data,
@@ -134,8 +134,8 @@
     v->is_listed = true;
     for (const pool_t* pool = upstreams_pools(v->desc.upstreams); pool; pool = pool->next) {
         for (const server_t* s = pool->slots ? pool->servers : NULL; s; s = s->next) {
-            engines += !s->gone;
-            if (s->gone || !v->desc.is_mine(v->desc.user_data, s->key)) {
+            engines += !s->is_removed;
+            if (s->is_removed || !v->desc.owns_server(v->desc.user_data, s->key)) {
                 continue;
             }
             uint64_t* grown = realloc(v->pending, (v->pending_count + 1) * sizeof(*grown));
@@ -157,7 +157,7 @@
     for (uint32_t i = 0; i < MAX_CALLS; i++) {
         while (!v->calls[i].call && v->pending_count) {
             const server_t* server = upstreams_server(v->desc.upstreams, v->pending[--v->pending_count]);
-            if (server && !server->gone && v->desc.is_mine(v->desc.user_data, server->key)) {
+            if (server && !server->is_removed && v->desc.owns_server(v->desc.user_data, server->key)) {
                 start_call(v, &v->calls[i], server);
             }
         }
@@ -175,7 +175,7 @@
         return;
     }
     bool has_settled = !v->desc.is_settled || v->desc.is_settled(v->desc.user_data);
-    if (now_ms - v->engines_known_ms < v->desc.settle_ms || !has_settled) {
+    if (now_ms - v->engines_known_ms < v->desc.settle_delay_ms || !has_settled) {
         return;
     }
     if (!v->is_listed) {
@@ -192,7 +192,7 @@
         abort();
     }
     v->desc = *desc;
-    v->desc.settle_ms = desc->settle_ms ? desc->settle_ms : SETTLE_DELAY_MS;
+    v->desc.settle_delay_ms = desc->settle_delay_ms ? desc->settle_delay_ms : SETTLE_DELAY_MS;
     v->client = cw_client_setup(desc->loop, IDLE_CLIENTS);
     return v;
 }
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -25,18 +25,18 @@
     const cw_log_t* log;
     const dialect_t* dialect; /* without an inventory_path nothing is queried */
     upstreams_t* upstreams;
-    uint32_t settle_ms; /* delay from the first known engine to the queries, default 300 */
+    uint32_t settle_delay_ms; /* delay from the first known engine to the queries, default 300 */
     /* Whether this daemon knows its peers. Until then it would take the engines of other daemons for its own. */
     bool (*is_settled)(void* user_data); /* NULL: it has no peers */
     /* Whether this daemon is the one that queries the server. */
-    bool (*is_mine)(void* user_data, uint64_t server);
+    bool (*owns_server)(void* user_data, uint64_t server);
     /* The engine has these parts cached. */
-    void (*on_parts)(void* user_data, server_t* server, const cw_work_part_t* parts, uint32_t count);
+    void (*on_cached_parts)(void* user_data, server_t* server, const cw_prompt_part_t* parts, uint32_t count);
     void* user_data;
 } inventory_desc_t;
 
 typedef struct inventory_stats_t {
-    uint32_t asked, failed, parts;
+    uint32_t queried, failed, parts;
     bool done;
 } inventory_stats_t;
 
--- a/gateway/link.c
+++ b/gateway/link.c
@@ -23,7 +23,7 @@
 
 /* Informs the balancer, which prefers servers with an idle connection. */
 static void update_idle(server_t* s) {
-    cw_balance_warm(s->pool->balance, s->key, s->idle_conns != NULL);
+    cw_balance_set_idle_connection(s->pool->balance, s->key, s->idle_conns != NULL);
     if (s->idle_conns) {
         server_watch(s);
     }
@@ -43,7 +43,7 @@
     upstreams_t* u = s->pool->upstreams;
     cw_stream_close(&conn->stream);
     ev_timer_stop(u->desc.loop, &conn->connect_timer);
-    s->open--;
+    s->conn_count--;
     u->conn_total--;
     conn->owner = NULL;
     conn->is_closed = true;
@@ -95,7 +95,8 @@
     upstream_conn_t* conn = owner;
     uint32_t idle_timeout_ms = read_keep_alive_ms(&conn->response);
     conn->idle_timeout_ms = idle_timeout_ms ? idle_timeout_ms : conn->idle_timeout_ms;
-    conn->must_close = conn->must_close || !conn->response.keep_alive || conn->response.framing == CW_FRAMING_CLOSE;
+    conn->must_close =
+        conn->must_close || !conn->response.keep_alive || conn->response.framing == CW_FRAMING_UNTIL_CLOSE;
     bool is_other = is_for_other_request(conn);
     server_read_pushback(conn->server, &conn->response, is_other ? conn->opened_ms : conn->sent_ms);
     conn->is_skipping = conn->response.status / 100 == 1 || is_other;
@@ -122,7 +123,7 @@
         cw_message_reset(&conn->response);
         return true;
     }
-    conn->must_close = conn->must_close || left > 0 || cw_stream_unsent(&conn->stream) > 0;
+    conn->must_close = conn->must_close || left > 0 || cw_stream_unsent_bytes(&conn->stream) > 0;
     conn->handlers->on_complete(conn->owner);
     return false;
 }
@@ -132,11 +133,11 @@
 /* Parses responses until the data is consumed or the owner has released the connection. */
 static void read_responses(upstream_conn_t* conn, const char* data, size_t size) {
     while (size && !conn->is_closed) {
-        size_t used = cw_message_read(&conn->response, data, size);
+        size_t used = cw_message_parse(&conn->response, data, size);
         if (conn->is_closed) {
             return;
         }
-        if (conn->response.state == CW_MESSAGE_BROKEN) {
+        if (conn->response.state == CW_MESSAGE_MALFORMED) {
             conn_break(conn, UPSTREAM_CONN_MALFORMED);
             return;
         }
@@ -153,9 +154,9 @@
     server_t* s = conn->server;
     const upstreams_desc_t* desc = &s->pool->upstreams->desc;
     bool proves_alive = conn->opened_ms < s->presumed_crash_ms && clock_ms() - s->presumed_crash_ms >= ALIVE_DELAY_MS;
-    if (proves_alive && desc->on_alive) {
+    if (proves_alive && desc->on_server_alive) {
         s->presumed_crash_ms = 0;
-        desc->on_alive(desc->user_data, s);
+        desc->on_server_alive(desc->user_data, s);
     }
 }
 
@@ -171,20 +172,20 @@
     read_responses(conn, data, size);
 }
 
-static void on_end(void* owner, cw_stream_end_t end) {
+static void on_end(void* owner, cw_stream_end_reason_t end) {
     upstream_conn_t* conn = owner;
-    if (conn->owner && end == CW_STREAM_FINISHED && conn->is_request_sent && !conn->is_skipping) {
-        cw_message_finish(&conn->response);
+    if (conn->owner && end == CW_STREAM_PEER_CLOSED && conn->is_request_sent && !conn->is_skipping) {
+        cw_message_on_close(&conn->response);
         if (conn->response.state == CW_MESSAGE_COMPLETE) {
             conn->must_close = true;
             conn->handlers->on_complete(conn->owner);
             return;
         }
     }
-    upstream_conn_failure_t failure = end == CW_STREAM_REFUSED ? UPSTREAM_CONN_UNREACHABLE
-                                      : end == CW_STREAM_RESET ? UPSTREAM_CONN_RESET
-                                      : end == CW_STREAM_LOST  ? UPSTREAM_CONN_LOST
-                                                               : UPSTREAM_CONN_CLOSED;
+    upstream_conn_failure_t failure = end == CW_STREAM_CONNECT_FAILED ? UPSTREAM_CONN_UNREACHABLE
+                                      : end == CW_STREAM_RESET        ? UPSTREAM_CONN_RESET
+                                      : end == CW_STREAM_CONN_LOST    ? UPSTREAM_CONN_LOST
+                                                                      : UPSTREAM_CONN_CLOSED;
     conn_break(conn, failure);
 }
 
@@ -194,7 +195,7 @@
     double took_ms = (double)(clock_ms() - conn->opened_ms);
     s->connect_ms = s->connect_ms > 0 ? s->connect_ms + CONNECT_EWMA_WEIGHT * (took_ms - s->connect_ms) : took_ms;
     ev_timer_stop(s->pool->upstreams->desc.loop, &conn->connect_timer);
-    cw_stream_watch_peer(&conn->stream, PEER_TIMEOUT_MS);
+    cw_stream_set_peer_timeout(&conn->stream, PEER_TIMEOUT_MS);
     conn->handlers->on_open(conn->owner);
 }
 
@@ -231,7 +232,7 @@
     ev_timer_init(&conn->connect_timer, on_connect_timeout, connect_limit_ms(s) / MS_PER_S, 0.0);
     conn->connect_timer.data = conn;
     ev_timer_start(u->desc.loop, &conn->connect_timer);
-    s->open++;
+    s->conn_count++;
     u->conn_total++;
     u->connects++;
     return conn;
@@ -266,24 +267,24 @@
         conn->is_request_sent = false;
         return conn;
     }
-    if (conn && s->open >= conn_limit(s)) {
+    if (conn && s->conn_count >= conn_limit(s)) {
         upstream_conn_close(conn); /* idle for too long; it would count against the limit */
     }
-    if (s->open >= conn_limit(s) || u->conn_total >= u->desc.max_links) {
+    if (s->conn_count >= conn_limit(s) || u->conn_total >= u->desc.max_conns) {
         return NULL;
     }
     return conn_new(s, handlers, owner);
 }
 
 bool upstream_conn_is_open(const upstream_conn_t* conn) {
-    return !conn->stream.connecting;
+    return !conn->stream.is_connecting;
 }
 
-void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool bodiless, const cw_buffer_t* head,
+void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool is_bodiless, const cw_buffer_t* head,
                         const void* body, size_t size) {
     cw_copy(conn->request_id, sizeof(conn->request_id), request_id);
     cw_message_reset(&conn->response);
-    conn->response.bodiless = bodiless;
+    conn->response.is_bodiless = is_bodiless;
     conn->is_request_sent = true;
     conn->sent_ms = clock_ms();
     cw_stream_write(&conn->stream, head->data, head->size);
@@ -292,11 +293,11 @@
 }
 
 void upstream_conn_pause(upstream_conn_t* conn, bool paused) {
-    cw_stream_pause(&conn->stream, paused);
+    cw_stream_pause_reading(&conn->stream, paused);
 }
 
 void upstream_conn_release(upstream_conn_t* conn) {
-    if (conn->must_close || conn->server->gone || conn->stream.fd < 0) {
+    if (conn->must_close || conn->server->is_removed || conn->stream.fd < 0) {
         upstream_conn_close(conn);
         return;
     }
--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -28,11 +28,11 @@
     uint64_t host, cluster;
     cw_peers_t* peers;
     cw_members_t* members;
-    uint64_t seen_changes;         /* value of cw_members_changes that update_members handled last */
+    uint64_t seen_changes;         /* value of cw_members_change_count that update_members handled last */
     uint64_t fleet_ids[HOSTS_MAX]; /* hosts that are alive and not leaving */
     uint32_t max_known;            /* most hosts that were known at once */
     uint32_t rank;                 /* of this host among those that are alive */
-    news_t* news;
+    reporter_t* reporter;
     uint32_t live;        /* hosts that are alive */
     uint32_t unreachable; /* hosts that may be partitioned off, as of the last update_fleet */
     int64_t fleet_updated_ms;
@@ -62,7 +62,7 @@
 static void send_gossip(mesh_t* m) {
     cw_gossip_out_t out;
     while (cw_members_next(m->members, &out)) {
-        cw_peers_gossip(m->peers, out.to, &out.message);
+        cw_peers_send_gossip(m->peers, out.to, &out.message);
     }
 }
 
@@ -72,7 +72,7 @@
     const cw_member_info_t* self = &cw_members_at(m->members, 0)->info;
     for (uint32_t i = 1; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        rank += is_alive(member) && !member->info.leaving && cw_relay_before(&member->info, self);
+        rank += is_alive(member) && !member->info.leaving && cw_relay_ranks_before(&member->info, self);
     }
     return rank;
 }
@@ -80,14 +80,16 @@
 /* Whether an unreachable host may be partitioned off and still running: it didn't leave as planned, and its machine
    didn't refuse a connection, which would show that the process ended. */
 static bool may_be_partitioned(const cw_member_t* member, int64_t now_ms) {
-    return !is_alive(member) && !member->info.leaving && !member->refused &&
-           now_ms - member->since_ms < UNREACHABLE_MAX_MS;
+    return !is_alive(member) && !member->info.leaving && !member->connection_refused &&
+           now_ms - member->info_changed_ms < UNREACHABLE_MAX_MS;
 }
 
 /* Passes the fleet to the upstreams. Hosts that are leaving send no new requests, so they are not part of it. */
 static void update_fleet(mesh_t* m, int64_t now_ms) {
     cw_relay_plan_t plan = cw_relay_plan(m->live);
-    cw_fleet_t fleet = {.ids = m->fleet_ids, .reach_ms = plan.reach_ms, .direct_ms = plan.direct_ms};
+    cw_fleet_t fleet = {.ids = m->fleet_ids,
+                        .propagation_ms = plan.propagation_ms,
+                        .direct_propagation_ms = plan.direct_propagation_ms};
     for (uint32_t i = 0; i < cw_members_count(m->members) && fleet.count < HOSTS_MAX; i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
         if (is_alive(member) && !member->info.leaving) {
@@ -101,7 +103,7 @@
 }
 
 static void update_members(mesh_t* m) {
-    uint64_t changes = cw_members_changes(m->members);
+    uint64_t changes = cw_members_change_count(m->members);
     if (changes == m->seen_changes) {
         return;
     }
@@ -112,7 +114,7 @@
         live += is_alive(cw_members_at(m->members, i));
     }
     if (live > m->live) {
-        news_tell_all(m->news);
+        reporter_resend_all(m->reporter);
     }
     m->live = live;
     if (known > m->max_known) {
@@ -120,7 +122,7 @@
         m->last_join_ms = clock_ms();
     }
     m->rank = own_rank(m);
-    news_set_members(m->news, m->members, live, m->rank);
+    reporter_set_members(m->reporter, m->members, live, m->rank);
     update_fleet(m, clock_ms());
     cw_log(m->desc.log, CW_EVENT_MEMBERS_CHANGED, "live=%u known=%u rank=%u", live, known, m->rank);
     m->desc.on_members(m->desc.user_data, m->max_known, m->rank);
@@ -139,7 +141,7 @@
     (void)msg;
 }
 
-static void on_refused(void* user, const cw_error_t* err) {
+static void on_protocol_error(void* user, const cw_error_t* err) {
     mesh_t* m = user;
     cw_log(m->desc.log, CW_EVENT_PEER_REFUSED, "step=%s peer=%s reason=\"%s\"", err->step, err->peer, err->message);
 }
@@ -147,27 +149,27 @@
 /* -- load reports --------------------------------------------------------- */
 
 void mesh_on_load(mesh_t* m, const server_t* server, const cw_work_t* work) {
-    news_on_load(m->news, server, work);
+    reporter_on_load(m->reporter, server, work);
 }
 
-void mesh_on_life(mesh_t* m, const server_t* server) {
-    news_on_life(m->news, server);
+void mesh_on_liveness(mesh_t* m, const server_t* server) {
+    reporter_on_liveness(m->reporter, server);
 }
 
-void mesh_on_mark(mesh_t* m, const cw_mark_t* observation) {
-    news_on_mark(m->news, observation);
+void mesh_on_observation(mesh_t* m, const cw_quarantine_observation_t* observation) {
+    reporter_on_observation(m->reporter, observation);
 }
 
-void mesh_tell_kept(mesh_t* m, const server_t* server, const cw_work_part_t* parts, uint32_t count) {
-    news_tell_kept(m->news, server, parts, count);
+void mesh_announce_cached(mesh_t* m, const server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
+    reporter_announce_cached(m->reporter, server, parts, count);
 }
 
-bool mesh_is_settled(const mesh_t* m, int64_t now_ms) {
+bool mesh_is_converged(const mesh_t* m, int64_t now_ms) {
     int64_t quiet_period_ms = (int64_t)m->max_known * CONVERGENCE_MS_PER_HOST;
     return now_ms - m->last_join_ms >= (quiet_period_ms < CONVERGENCE_MAX_MS ? quiet_period_ms : CONVERGENCE_MAX_MS);
 }
 
-bool mesh_is_mine(const mesh_t* m, uint64_t key) {
+bool mesh_owns_key(const mesh_t* m, uint64_t key) {
     uint64_t own = cw_mix(m->host, key);
     for (uint32_t i = 0; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
@@ -180,8 +182,8 @@
 
 /* -- interface ------------------------------------------------------------ */
 
-void mesh_announce(mesh_t* m, int64_t revision, uint32_t room) {
-    cw_members_announce(m->members, revision, room);
+void mesh_announce(mesh_t* m, int64_t revision, uint32_t free_capacity) {
+    cw_members_set_status(m->members, revision, free_capacity);
 }
 
 void mesh_leave(mesh_t* m) {
@@ -196,7 +198,7 @@
     if (m->unreachable && now_ms - m->fleet_updated_ms >= FLEET_UPDATE_INTERVAL_MS) {
         update_fleet(m, now_ms); /* hosts may have passed UNREACHABLE_MAX_MS */
     }
-    news_tick(m->news, now_ms);
+    reporter_tick(m->reporter, now_ms);
 }
 
 static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
@@ -213,13 +215,14 @@
     return count;
 }
 
-uint32_t mesh_callers_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
     uint32_t count = hall ? collect_addresses(m, hall, with_self, out, max) : 0;
     return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, with_self, out, max);
 }
 
 mesh_stats_t mesh_stats(const mesh_t* m) {
-    return (mesh_stats_t){.known = cw_members_count(m->members), .live = m->live, .news = news_stats(m->news)};
+    return (mesh_stats_t){
+        .known = cw_members_count(m->members), .live = m->live, .reporter = reporter_stats(m->reporter)};
 }
 
 /* -- setup ---------------------------------------------------------------- */
@@ -231,13 +234,13 @@
     cw_copy(seeds, sizeof(seeds), s->seeds);
     for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
         struct sockaddr_in addr;
-        char address[CW_ADDR_TEXT];
+        char address[CW_ADDR_TEXT_SIZE];
         if (!parse_with_port(seed, s->seed_port ? (uint16_t)s->seed_port : port_of(seed), &addr)) {
             continue;
         }
         cw_addr_format(&addr, address);
         if (strcmp(address, s->peer) != 0) {
-            cw_members_contact(m->members, address);
+            cw_members_add_seed(m->members, address);
         }
     }
 }
@@ -272,30 +275,30 @@
     m->host = cw_name_id(desc->settings->name);
     m->cluster = cw_name_id(desc->settings->cluster);
     m->max_known = 1;
-    m->news = news_setup(&(news_desc_t){.loop = desc->loop,
-                                        .settings = desc->settings,
-                                        .upstreams = desc->upstreams,
-                                        .host = m->host,
-                                        .knowledge = desc->knowledge,
-                                        .on_knowledge = desc->on_knowledge,
-                                        .on_mark = desc->on_mark,
-                                        .marks = desc->marks,
-                                        .user_data = desc->user_data},
-                         err);
-    m->peers = !m->news ? NULL
-                        : cw_peers_setup(&(cw_peers_desc_t){.loop = desc->loop,
-                                                            .address = desc->settings->peer,
-                                                            .cluster = desc->settings->cluster,
-                                                            .host = m->host,
-                                                            .max_links = 4,
-                                                            .on_message = on_message,
-                                                            .on_gossip = on_gossip,
-                                                            .on_refused = on_refused,
-                                                            .user_data = m},
-                                         err);
+    m->reporter = reporter_setup(&(reporter_desc_t){.loop = desc->loop,
+                                                    .settings = desc->settings,
+                                                    .upstreams = desc->upstreams,
+                                                    .host = m->host,
+                                                    .source_state = desc->source_state,
+                                                    .on_source_state = desc->on_source_state,
+                                                    .on_observation = desc->on_observation,
+                                                    .observations = desc->observations,
+                                                    .user_data = desc->user_data},
+                                 err);
+    m->peers = !m->reporter ? NULL
+                            : cw_peers_setup(&(cw_peers_desc_t){.loop = desc->loop,
+                                                                .address = desc->settings->peer,
+                                                                .cluster = desc->settings->cluster,
+                                                                .host = m->host,
+                                                                .max_links = 4,
+                                                                .on_message = on_message,
+                                                                .on_gossip = on_gossip,
+                                                                .on_protocol_error = on_protocol_error,
+                                                                .user_data = m},
+                                             err);
     if (!m->peers) {
-        if (m->news) {
-            news_shutdown(m->news);
+        if (m->reporter) {
+            reporter_shutdown(m->reporter);
         }
         free(m);
         return NULL;
@@ -306,7 +309,7 @@
 
 void mesh_shutdown(mesh_t* m) {
     cw_peers_shutdown(m->peers);
-    news_shutdown(m->news);
+    reporter_shutdown(m->reporter);
     cw_members_shutdown(m->members);
     free(m);
 }
--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -18,22 +18,22 @@
     const gateway_settings_t* settings;
     upstreams_t* upstreams;
     /* Returns the source state of this daemon, which goes out with every datagram of load reports. */
-    cw_knowledge_t (*knowledge)(void* user_data);
+    cw_source_state_t (*source_state)(void* user_data);
     /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
        another hall. */
-    void (*on_knowledge)(void* user_data, const char* share, bool far, const cw_knowledge_t* knowledge);
+    void (*on_source_state)(void* user_data, const char* share, bool far, const cw_source_state_t* source_state);
     /* The membership changed. daemons: most daemons that were known at once; rank: of this one among those that are
        alive, 0 first. */
     void (*on_members)(void* user_data, uint32_t daemons, uint32_t rank);
-    /* Observations about suspect requests, as in news_desc_t. */
-    void (*on_mark)(void* user_data, const cw_mark_t* observation);
-    uint32_t (*marks)(void* user_data, uint32_t* at, cw_mark_t* out, uint32_t max);
+    /* Observations about suspect requests, as in reporter_desc_t. */
+    void (*on_observation)(void* user_data, const cw_quarantine_observation_t* observation);
+    uint32_t (*observations)(void* user_data, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max);
     void* user_data;
 } mesh_desc_t;
 
 typedef struct mesh_stats_t {
     uint32_t known, live; /* hosts */
-    news_stats_t news;
+    reporter_stats_t reporter;
 } mesh_stats_t;
 
 mesh_t* mesh_setup(const mesh_desc_t* desc, cw_error_t* err);
@@ -41,24 +41,24 @@
 /* The load of this host at the server changed. work: the request that was just sent there; NULL: a request ended. */
 void mesh_on_load(mesh_t* m, const server_t* server, const cw_work_t* work);
 /* The server's liveness or advertised rate changed: reported to all hosts at once. */
-void mesh_on_life(mesh_t* m, const server_t* server);
+void mesh_on_liveness(mesh_t* m, const server_t* server);
 /* This host made an observation: sent to all hosts at once. */
-void mesh_on_mark(mesh_t* m, const cw_mark_t* observation);
+void mesh_on_observation(mesh_t* m, const cw_quarantine_observation_t* observation);
 /* Reports to the peers that the server has cached these prompt parts. */
-void mesh_tell_kept(mesh_t* m, const server_t* server, const cw_work_part_t* parts, uint32_t count);
+void mesh_announce_cached(mesh_t* m, const server_t* server, const cw_prompt_part_t* parts, uint32_t count);
 /* Whether this host owns the key, by rendezvous hashing over the hosts that are alive and not leaving. */
-bool mesh_is_mine(const mesh_t* m, uint64_t key);
+bool mesh_owns_key(const mesh_t* m, uint64_t key);
 /* Whether the membership has converged: no host was discovered for a time that grows with the number of known hosts,
    since gossip takes longer in a larger fleet. */
-bool mesh_is_settled(const mesh_t* m, int64_t now_ms);
+bool mesh_is_converged(const mesh_t* m, int64_t now_ms);
 /* Sets the configuration revision and the free capacity (0..100) that gossip announces for this host. */
-void mesh_announce(mesh_t* m, int64_t revision, uint32_t room);
+void mesh_announce(mesh_t* m, int64_t revision, uint32_t free_capacity);
 /* Announces that this host is leaving: the others no longer return it in lookups. */
 void mesh_leave(mesh_t* m);
 void mesh_tick(mesh_t* m, int64_t now_ms);
 /* Writes the addresses for callers of the hosts that are alive: only those of the hall if it has enough, else those of
    all halls. hall NULL: all halls. Returns their number. */
-uint32_t mesh_callers_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max);
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max);
 mesh_stats_t mesh_stats(const mesh_t* m);
 
 #endif
--- a/gateway/native.c
+++ b/gateway/native.c
@@ -31,10 +31,10 @@
                                   .lookup_path = "/v1/lookup",
                                   .lookup_hall = "hall",
                                   .lookup_hosts = "hosts",
-                                  .lookup_keep = "keep_s"};
+                                  .lookup_max_age = "keep_s"};
 
-static void catalog_path(char* out, size_t size, int64_t mark) {
-    snprintf(out, size, "/catalog?after=%lld", (long long)mark);
+static void catalog_path(char* out, size_t size, int64_t version) {
+    snprintf(out, size, "/catalog?after=%lld", (long long)version);
 }
 
 static void servers_path(char* out, size_t size, const char* after) {
@@ -43,9 +43,10 @@
 }
 
 /* An empty body means that there is no newer configuration. */
-static cw_status_t read_catalog(const char* body, size_t size, int64_t mark, source_news_t* update, cw_error_t* err) {
+static cw_status_t read_catalog(const char* body, size_t size, int64_t version, source_update_t* update,
+                                cw_error_t* err) {
     json_error_t parse_error;
-    update->mark = mark;
+    update->version = version;
     if (!size) {
         return CW_OK;
     }
@@ -56,19 +57,19 @@
         json_decref(document);
         return CW_ERR_INVALID;
     }
-    update->mark = json_integer_value(json_object_get(document, "revision"));
+    update->version = json_integer_value(json_object_get(document, "revision"));
     json_decref(document);
     update->catalog = strndup(body, size);
     return CW_OK;
 }
 
-static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_news_t* update,
+static cw_status_t read_servers(const char* body, size_t size, cw_servers_t* list, source_update_t* update,
                                 cw_error_t* err) {
     (void)update;
-    return cw_servers_read(list, body, size, err);
+    return cw_servers_from_json(list, body, size, err);
 }
 
-const source_t source_native = {.life_field = "Chalkway-Source-Life",
+const source_t source_native = {.epoch_field = "Chalkway-Source-Life",
                                 .catalog_path = catalog_path,
                                 .servers_path = servers_path,
                                 .read_catalog = read_catalog,
--- a/gateway/news.c
+++ b/gateway/news.c
@@ -14,13 +14,13 @@
 #define END_FLUSH_DELAY_MS 50 /* before requests that ended are reported */
 #define TRANSIT_MIN_MS 10     /* lower bound of the transit time that is assumed for a datagram */
 
-static void flush(news_t* n);
+static void flush(reporter_t* n);
 
 /* -- the queue ------------------------------------------------------------ */
 
 /* Sends the queued entries, only those for the other halls or all, in as few datagrams as hold them. An empty queue is
    sent as one message without entries. Returns whether anything was sent. */
-static bool send_queue(news_t* n, bool to_other_halls, void (*send)(news_t*, cw_load_message_t*)) {
+static bool send_queue(reporter_t* n, bool to_other_halls, void (*send)(reporter_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
     bool sent = false;
     for (uint32_t i = 0; i < n->queue_count; i++) {
@@ -41,9 +41,9 @@
     return sent;
 }
 
-static void forward_queue(news_t* n) {
-    send_queue(n, false, news_send_to_hall);
-    if (send_queue(n, true, news_send_to_other_halls)) {
+static void forward_queue(reporter_t* n) {
+    send_queue(n, false, reporter_send_to_hall);
+    if (send_queue(n, true, reporter_send_to_other_halls)) {
         n->sent_ms = clock_ms();
     }
     n->queue_count = 0;
@@ -62,7 +62,7 @@
     return true;
 }
 
-static void queue_add(news_t* n, const cw_load_entry_t* entry, bool to_other_halls) {
+static void queue_add(reporter_t* n, const cw_load_entry_t* entry, bool to_other_halls) {
     for (uint32_t i = n->queue_count; i-- > 0;) {
         queued_entry_t* q = &n->queue[i];
         if (q->entry.server == entry->server && q->entry.host == entry->host) {
@@ -80,7 +80,7 @@
 
 /* -- load of this host ---------------------------------------------------- */
 
-static bool make_entry(const news_t* n, const dirty_t* dirty, int64_t now_ms, cw_load_entry_t* entry) {
+static bool make_entry(const reporter_t* n, const dirty_t* dirty, int64_t now_ms, cw_load_entry_t* entry) {
     const server_t* server = upstreams_server(n->desc.upstreams, dirty->server);
     uint32_t at = server ? cw_balance_find(server->pool->balance, server->key) : CW_BALANCE_NONE;
     if (at == CW_BALANCE_NONE) {
@@ -88,14 +88,14 @@
     }
     *entry = (cw_load_entry_t){.host = n->desc.host,
                                .server = dirty->server,
-                               .leaving = server->left,
-                               .load = cw_balance_load(server->pool->balance, now_ms, at),
+                               .leaving = server->is_retired,
+                               .load = cw_balance_own_load(server->pool->balance, now_ms, at),
                                .part_count = dirty->part_count};
     memcpy(entry->parts, dirty->parts, sizeof(entry->parts));
     return true;
 }
 
-static void add_own_entry(news_t* n, cw_load_message_t* message, const dirty_t* dirty, int64_t now_ms) {
+static void add_own_entry(reporter_t* n, cw_load_message_t* message, const dirty_t* dirty, int64_t now_ms) {
     cw_load_entry_t entry;
     if (!make_entry(n, dirty, now_ms, &entry)) {
         return;
@@ -106,22 +106,22 @@
     }
     message->entries[message->count++] = entry;
     if (message->count == CW_LOAD_ENTRIES) {
-        news_send_to_relay(n, message);
+        reporter_send_to_relay(n, message);
         message->count = 0;
     }
 }
 
 /* Whether a datagram is due even if there is nothing to report: it shows that this host is alive and carries its source
    state. Relays that batch use the interval of the first rank, since the hosts of their hall hear only from them. */
-static bool is_heartbeat_due(const news_t* n, int64_t now_ms) {
-    bool sends_for_hall = n->plan.gather_ms && n->is_relay;
-    return now_ms - n->sent_ms >= cw_load_quiet_ms(sends_for_hall ? 0 : n->rank, n->live);
+static bool is_heartbeat_due(const reporter_t* n, int64_t now_ms) {
+    bool sends_for_hall = n->plan.batch_ms && n->is_relay;
+    return now_ms - n->sent_ms >= cw_load_heartbeat_interval_ms(sends_for_hall ? 0 : n->rank, n->live);
 }
 
-static void flush(news_t* n) {
+static void flush(reporter_t* n) {
     cw_load_message_t message = {0};
     int64_t now_ms = clock_ms();
-    news_read_members(n);
+    reporter_refresh_peers(n);
     ev_timer_stop(n->desc.loop, &n->flush_timer);
     ev_timer_stop(n->desc.loop, &n->direct_timer);
     bool heartbeat_due = is_heartbeat_due(n, now_ms);
@@ -131,13 +131,13 @@
     n->dirty_count = 0;
     n->flushed_ms = now_ms;
     if (!n->is_relay && (message.count || heartbeat_due)) {
-        news_send_to_relay(n, &message);
+        reporter_send_to_relay(n, &message);
         n->sent_ms = now_ms;
     }
     if (n->queue_count || (n->is_relay && heartbeat_due)) {
         forward_queue(n);
     }
-    news_tell_marks(n);
+    reporter_send_observations(n);
 }
 
 static void on_flush_timer(struct ev_loop* loop, ev_timer* w, int events) {
@@ -146,14 +146,14 @@
     flush(w->data);
 }
 
-void news_flush_after(news_t* n, uint32_t ms) {
+void reporter_flush_after(reporter_t* n, uint32_t ms) {
     if (!ev_is_active(&n->flush_timer)) {
         ev_timer_set(&n->flush_timer, ms / MS_PER_S, 0.0);
         ev_timer_start(n->desc.loop, &n->flush_timer);
     }
 }
 
-static dirty_t* get_dirty(news_t* n, uint64_t server) {
+static dirty_t* get_dirty(reporter_t* n, uint64_t server) {
     for (uint32_t i = 0; i < n->dirty_count; i++) {
         if (n->dirty[i].server == server) {
             return &n->dirty[i];
@@ -170,10 +170,10 @@
 /* -- reports to owner hosts ----------------------------------------------- */
 
 /* Reports this host's load at the engine to the engine's other owner hosts. */
-static void report_to_owner_hosts(news_t* n, uint64_t server, int64_t now_ms) {
+static void report_to_owner_hosts(reporter_t* n, uint64_t server, int64_t now_ms) {
     uint64_t ids[HOSTS_MAX + 1];
     const peer_t* staying[HOSTS_MAX + 1];
-    uint32_t owners[CW_HOME_HOSTS];
+    uint32_t owners[CW_OWNER_HOSTS];
     uint32_t hosts = 0;
     dirty_t dirty = {.server = server};
     cw_load_message_t message = {.count = 1};
@@ -184,22 +184,22 @@
         }
     }
     ids[hosts++] = n->desc.host;
-    uint32_t count = cw_home_others(server, n->desc.host, ids, hosts, owners);
+    uint32_t count = cw_owner_list_others(server, n->desc.host, ids, hosts, owners);
     if (!count || !make_entry(n, &dirty, now_ms, &message.entries[0])) {
         return;
     }
-    datagram_t d = news_datagram(n, &message, CW_LOAD_LAST);
+    datagram_t d = reporter_encode(n, &message, CW_LOAD_NO_RELAY);
     for (uint32_t i = 0; i < count; i++) {
-        news_send(n, staying[owners[i]], &d);
+        reporter_send(n, staying[owners[i]], &d);
     }
 }
 
 static void on_direct_timer(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
-    news_t* n = w->data;
+    reporter_t* n = w->data;
     int64_t now_ms = clock_ms();
-    news_read_members(n);
+    reporter_refresh_peers(n);
     for (uint32_t i = 0; i < n->direct_count; i++) {
         report_to_owner_hosts(n, n->direct_servers[i], now_ms);
     }
@@ -207,8 +207,8 @@
 }
 
 /* In a large fleet, a change of load at an engine is reported to its owner hosts directly and not only by relays. */
-static void schedule_owner_report(news_t* n, const server_t* server) {
-    if (!n->plan.gather_ms || !server->pool->slots || n->direct_count == DIRTY_MAX) {
+static void schedule_owner_report(reporter_t* n, const server_t* server) {
+    if (!n->plan.batch_ms || !server->pool->slots || n->direct_count == DIRTY_MAX) {
         return; /* reported by the relays, later */
     }
     for (uint32_t i = 0; i < n->direct_count; i++) {
@@ -225,11 +225,11 @@
 
 /* -- changes at this host ------------------------------------------------- */
 
-static void flush_soon(news_t* n) {
-    news_flush_after(n, n->is_relay && n->plan.gather_ms ? n->plan.gather_ms : FLUSH_DELAY_MS);
+static void flush_soon(reporter_t* n) {
+    reporter_flush_after(n, n->is_relay && n->plan.batch_ms ? n->plan.batch_ms : FLUSH_DELAY_MS);
 }
 
-void news_on_load(news_t* n, const server_t* server, const cw_work_t* work) {
+void reporter_on_load(reporter_t* n, const server_t* server, const cw_work_t* work) {
     dirty_t* d = get_dirty(n, server->key);
     schedule_owner_report(n, server);
     if (!work || !work->prompt_tokens) {
@@ -241,15 +241,15 @@
     flush_soon(n);
 }
 
-void news_on_life(news_t* n, const server_t* server) {
+void reporter_on_liveness(reporter_t* n, const server_t* server) {
     get_dirty(n, server->key);
     flush_soon(n);
 }
 
-void news_tell_kept(news_t* n, const server_t* server, const cw_work_part_t* parts, uint32_t count) {
+void reporter_announce_cached(reporter_t* n, const server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
     cw_load_message_t message = {0};
     int64_t now_ms = clock_ms();
-    news_read_members(n);
+    reporter_refresh_peers(n);
     for (uint32_t i = 0; i < count; i += CW_LOAD_PARTS) {
         dirty_t batch = {.server = server->key};
         batch.part_count = count - i < CW_LOAD_PARTS ? count - i : CW_LOAD_PARTS;
@@ -257,7 +257,7 @@
         add_own_entry(n, &message, &batch, now_ms);
     }
     if (message.count) {
-        news_send_to_relay(n, &message);
+        reporter_send_to_relay(n, &message);
     }
     if (n->queue_count) {
         forward_queue(n);
@@ -265,12 +265,12 @@
 }
 
 /* Has the whole load of this daemon reported again. */
-static void mark_all_dirty(news_t* n, int64_t now_ms) {
+static void mark_all_dirty(reporter_t* n, int64_t now_ms) {
     for (pool_t* pool = upstreams_pools(n->desc.upstreams); pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
             uint32_t at = cw_balance_find(pool->balance, s->key);
-            bool is_reported = at != CW_BALANCE_NONE && (cw_balance_load(pool->balance, now_ms, at).running ||
-                                                         cw_balance_tells_limit(pool->balance, now_ms, s->key));
+            bool is_reported = at != CW_BALANCE_NONE && (cw_balance_own_load(pool->balance, now_ms, at).running ||
+                                                         cw_balance_has_rate_to_send(pool->balance, now_ms, s->key));
             if (is_reported) {
                 get_dirty(n, s->key);
             }
@@ -281,32 +281,32 @@
 
 /* -- receiving ------------------------------------------------------------ */
 
-static void apply_entry(news_t* n, const cw_load_entry_t* entry, int64_t now_ms) {
+static void apply_entry(reporter_t* n, const cw_load_entry_t* entry, int64_t now_ms) {
     server_t* server = upstreams_server(n->desc.upstreams, entry->server);
     if (!server) {
         n->stats.unknown++; /* another incarnation, or a server of a list that this host doesn't have yet */
         return;
     }
     cw_balance_t* balance = server->pool->balance;
-    bool suspected = cw_balance_suspected(balance, now_ms, entry->server);
-    double limit_per_s = cw_balance_limit_per_s(balance, now_ms, entry->server);
-    cw_balance_news(balance, now_ms, entry->host, entry->server, &entry->load);
+    bool suspected = cw_balance_is_suspected(balance, now_ms, entry->server);
+    double limit_per_s = cw_balance_rate_per_s(balance, now_ms, entry->server);
+    cw_balance_on_peer_load(balance, now_ms, entry->host, entry->server, &entry->load);
     if (entry->load.rate != CW_RATE_UNKNOWN) {
-        server_log_limit(server, now_ms, limit_per_s, entry->host);
+        server_log_rate_limit(server, now_ms, limit_per_s, entry->host);
     }
-    if (entry->load.failed_ago_ms || entry->load.alive_ago_ms) {
-        server_log_life(server, now_ms, suspected, entry->host);
+    if (entry->load.failed_ago_ms || entry->load.answered_ago_ms) {
+        server_log_suspicion(server, now_ms, suspected, entry->host);
     }
     for (uint32_t i = 0; i < entry->part_count; i++) {
-        cw_balance_kept(balance, entry->server, &entry->parts[i]);
+        cw_balance_on_peer_prompt(balance, entry->server, &entry->parts[i]);
     }
     if (entry->leaving) {
-        upstreams_leaves(n->desc.upstreams, now_ms, server);
+        upstreams_mark_retired(n->desc.upstreams, now_ms, server);
     }
 }
 
 /* Applies the entries of other hosts, and queues those that this host is to forward. */
-static void apply_message(news_t* n, const cw_load_message_t* message) {
+static void apply_message(reporter_t* n, const cw_load_message_t* message) {
     int64_t now_ms = clock_ms();
     for (uint32_t i = 0; i < message->count; i++) {
         const cw_load_entry_t* entry = &message->entries[i];
@@ -314,17 +314,17 @@
             continue; /* sent back by a relay, which sends to its whole hall */
         }
         apply_entry(n, entry, now_ms);
-        if (message->scope != CW_LOAD_LAST) {
-            queue_add(n, entry, message->scope == CW_LOAD_FOR_ALL);
-            n->stats.passed_on++;
+        if (message->scope != CW_LOAD_NO_RELAY) {
+            queue_add(n, entry, message->scope == CW_LOAD_RELAY_TO_ALL);
+            n->stats.forwarded++;
         }
     }
     if (!n->queue_count) {
         return;
     }
-    news_read_members(n);
-    if (n->plan.gather_ms) {
-        news_flush_after(n, n->plan.gather_ms);
+    reporter_refresh_peers(n);
+    if (n->plan.batch_ms) {
+        reporter_flush_after(n, n->plan.batch_ms);
     } else {
         forward_queue(n);
     }
@@ -332,13 +332,13 @@
 
 /* Upper bound of the age of a datagram that is read now. It may have waited in the socket for as long as this process
    stalled. */
-static uint32_t max_delay_ms(const news_t* n, int64_t now_ms) {
+static uint32_t max_delay_ms(const reporter_t* n, int64_t now_ms) {
     int64_t since_tick_ms = n->previous_tick_ms ? now_ms - n->previous_tick_ms : 0;
     return since_tick_ms > TRANSIT_MIN_MS ? (uint32_t)since_tick_ms : TRANSIT_MIN_MS;
 }
 
 /* Whether the host is in another hall; a host that is not known counts as such. */
-static bool is_remote(const news_t* n, uint64_t host) {
+static bool is_remote(const reporter_t* n, uint64_t host) {
     const cw_member_t* member = n->members ? cw_members_find(n->members, host) : NULL;
     return !member || strcmp(member->info.hall, n->desc.settings->hall) != 0;
 }
@@ -346,7 +346,7 @@
 static void on_datagrams(struct ev_loop* loop, ev_io* w, int events) {
     (void)loop;
     (void)events;
-    news_t* n = w->data;
+    reporter_t* n = w->data;
     uint8_t bytes[CW_LOAD_BYTES];
     cw_load_message_t message;
     uint32_t delay_ms = max_delay_ms(n, clock_ms());
@@ -358,46 +358,46 @@
             n->stats.refused++;
             continue;
         }
-        char share[CW_ADDR_TEXT];
+        char share[CW_ADDR_TEXT_SIZE];
         from.sin_port = htons(n->share_port);
         cw_addr_format(&from, share);
         n->stats.in++;
-        cw_knowledge_age(&message.knowledge, delay_ms);
-        n->desc.on_knowledge(n->desc.user_data, share, is_remote(n, message.host), &message.knowledge);
-        news_take_marks(n, &message, delay_ms);
+        cw_source_state_add_age(&message.source_state, delay_ms);
+        n->desc.on_source_state(n->desc.user_data, share, is_remote(n, message.host), &message.source_state);
+        reporter_receive_observations(n, &message, delay_ms);
         apply_message(n, &message);
     }
 }
 
 /* -- interface ------------------------------------------------------------ */
 
-void news_set_members(news_t* n, const cw_members_t* members, uint32_t live, uint32_t rank) {
+void reporter_set_members(reporter_t* n, const cw_members_t* members, uint32_t live, uint32_t rank) {
     n->members = members;
     n->members_changed = true;
     n->live = live;
     n->rank = rank;
 }
 
-void news_tell_all(news_t* n) {
+void reporter_resend_all(reporter_t* n) {
     n->repeated_ms = 0;
-    news_tell_all_marks(n);
+    reporter_resend_observations(n);
 }
 
-void news_tick(news_t* n, int64_t now_ms) {
+void reporter_tick(reporter_t* n, int64_t now_ms) {
     n->previous_tick_ms = n->tick_ms;
     n->tick_ms = now_ms;
-    if (now_ms - n->repeated_ms >= n->plan.repeat_ms) {
+    if (now_ms - n->repeated_ms >= n->plan.resend_ms) {
         mark_all_dirty(n, now_ms);
     }
-    news_repeat_marks(n, now_ms);
-    news_tell_marks(n);
+    reporter_repeat_observations(n, now_ms);
+    reporter_send_observations(n);
     bool due = n->dirty_count && now_ms - n->flushed_ms >= END_FLUSH_DELAY_MS;
     if (due || is_heartbeat_due(n, now_ms)) {
         flush(n);
     }
 }
 
-news_stats_t news_stats(const news_t* n) {
+reporter_stats_t reporter_stats(const reporter_t* n) {
     return n->stats;
 }
 
@@ -408,8 +408,8 @@
     return cw_addr_parse(address, &addr, NULL) == CW_OK ? ntohs(addr.sin_port) : 0;
 }
 
-news_t* news_setup(const news_desc_t* desc, cw_error_t* err) {
-    news_t* n = calloc(1, sizeof(*n));
+reporter_t* reporter_setup(const reporter_desc_t* desc, cw_error_t* err) {
+    reporter_t* n = calloc(1, sizeof(*n));
     if (!n) {
         abort();
     }
@@ -433,7 +433,7 @@
     return n;
 }
 
-void news_shutdown(news_t* n) {
+void reporter_shutdown(reporter_t* n) {
     ev_io_stop(n->desc.loop, &n->load_io);
     ev_timer_stop(n->desc.loop, &n->flush_timer);
     close(n->fd);
--- a/gateway/news.h
+++ b/gateway/news.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_NEWS_H
-#define CW_GATEWAY_NEWS_H
+#ifndef CW_GATEWAY_REPORTER_H
+#define CW_GATEWAY_REPORTER_H
 /*
     Load reports between daemons, as UDP datagrams (chalkway_load.h) on the load address. A report says what one host
     runs at one server, how the server performs for it and whether it answers; each datagram also carries the sender's
@@ -11,48 +11,48 @@
 #include "settings.h"
 #include "upstream.h"
 
-typedef struct news_t news_t;
+typedef struct reporter_t reporter_t;
 
-typedef struct news_desc_t {
+typedef struct reporter_desc_t {
     struct ev_loop* loop;
     const gateway_settings_t* settings;
     upstreams_t* upstreams;
     uint64_t host; /* id of this host */
     /* Returns the source state of this daemon, which goes out with every datagram. */
-    cw_knowledge_t (*knowledge)(void* user_data);
+    cw_source_state_t (*source_state)(void* user_data);
     /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
        another hall. */
-    void (*on_knowledge)(void* user_data, const char* share, bool far, const cw_knowledge_t* knowledge);
+    void (*on_source_state)(void* user_data, const char* share, bool far, const cw_source_state_t* source_state);
     /* An observation was received from another daemon; its age_ms is valid now. May be NULL. */
-    void (*on_mark)(void* user_data, const cw_mark_t* observation);
+    void (*on_observation)(void* user_data, const cw_quarantine_observation_t* observation);
     /* Writes up to max observations that are to be repeated, from index *at on, and returns their number. Sets *at to
        the next index, 0 after the last observation. May be NULL. */
-    uint32_t (*marks)(void* user_data, uint32_t* at, cw_mark_t* out, uint32_t max);
+    uint32_t (*observations)(void* user_data, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max);
     void* user_data;
-} news_desc_t;
+} reporter_desc_t;
 
-typedef struct news_stats_t {
+typedef struct reporter_stats_t {
     uint64_t out, in, refused; /* datagrams sent, accepted and rejected */
-    uint64_t passed_on;        /* entries and observations of other hosts that were forwarded */
+    uint64_t forwarded;        /* entries and observations of other hosts that were forwarded */
     uint64_t unknown;          /* entries on servers, or incarnations of servers, that are not known here */
-} news_stats_t;
+} reporter_stats_t;
 
-news_t* news_setup(const news_desc_t* desc, cw_error_t* err);
-void news_shutdown(news_t* n);
+reporter_t* reporter_setup(const reporter_desc_t* desc, cw_error_t* err);
+void reporter_shutdown(reporter_t* n);
 /* The membership changed: live hosts are alive, rank is the rank of this one among them. The members are read when the
    next datagram is sent, so they must stay valid until the next call. */
-void news_set_members(news_t* n, const cw_members_t* members, uint32_t live, uint32_t rank);
+void reporter_set_members(reporter_t* n, const cw_members_t* members, uint32_t live, uint32_t rank);
 /* A host joined: sends the observations now and the whole load with the next tick. */
-void news_tell_all(news_t* n);
+void reporter_resend_all(reporter_t* n);
 /* The load of this host at the server changed. work: the request that was just sent there; NULL: a request ended. */
-void news_on_load(news_t* n, const server_t* server, const cw_work_t* work);
+void reporter_on_load(reporter_t* n, const server_t* server, const cw_work_t* work);
 /* The server's liveness or advertised rate changed: reported at once. */
-void news_on_life(news_t* n, const server_t* server);
+void reporter_on_liveness(reporter_t* n, const server_t* server);
 /* Reports that the server has cached these prompt parts. */
-void news_tell_kept(news_t* n, const server_t* server, const cw_work_part_t* parts, uint32_t count);
+void reporter_announce_cached(reporter_t* n, const server_t* server, const cw_prompt_part_t* parts, uint32_t count);
 /* This host made an observation: sent at once, and a second time a moment later. */
-void news_on_mark(news_t* n, const cw_mark_t* observation);
-void news_tick(news_t* n, int64_t now_ms);
-news_stats_t news_stats(const news_t* n);
+void reporter_on_observation(reporter_t* n, const cw_quarantine_observation_t* observation);
+void reporter_tick(reporter_t* n, int64_t now_ms);
+reporter_stats_t reporter_stats(const reporter_t* n);
 
 #endif
--- a/gateway/news_marks.c
+++ b/gateway/news_marks.c
@@ -11,7 +11,8 @@
 #define OBSERVATION_RESEND_DELAY_MS 150 /* new ones are sent twice: one datagram in ten may be lost */
 #define STALL_MS 100 /* a longer delay means that this process stalled and datagrams waited in its socket */
 
-static void queue_observation(news_t* n, const cw_mark_t* observation, bool to_other_halls, int64_t due_ms) {
+static void queue_observation(reporter_t* n, const cw_quarantine_observation_t* observation, bool to_other_halls,
+                              int64_t due_ms) {
     if (n->pending_count < OBSERVATION_QUEUE_MAX) {
         n->pending[n->pending_count++] = (pending_observation_t){
             .observation = *observation, .to_other_halls = to_other_halls, .due_ms = due_ms, .stamped_ms = clock_ms()};
@@ -19,7 +20,7 @@
 }
 
 /* Sends the observations that are due, only those for the other halls or all, in as few datagrams as hold them. */
-static void send_due_observations(news_t* n, bool to_other_halls, void (*send)(news_t*, cw_load_message_t*)) {
+static void send_due_observations(reporter_t* n, bool to_other_halls, void (*send)(reporter_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
     int64_t now_ms = clock_ms();
     for (uint32_t i = 0; i < n->pending_count; i++) {
@@ -27,19 +28,19 @@
         if (item->due_ms > now_ms || (to_other_halls && !item->to_other_halls)) {
             continue;
         }
-        message.marks[message.mark_count] = item->observation;
-        message.marks[message.mark_count++].age_ms += (uint32_t)(now_ms - item->stamped_ms);
-        if (message.mark_count == CW_LOAD_MARKS) {
+        message.observations[message.observation_count] = item->observation;
+        message.observations[message.observation_count++].age_ms += (uint32_t)(now_ms - item->stamped_ms);
+        if (message.observation_count == CW_LOAD_OBSERVATIONS) {
             send(n, &message);
-            message.mark_count = 0;
+            message.observation_count = 0;
         }
     }
-    if (message.mark_count) {
+    if (message.observation_count) {
         send(n, &message);
     }
 }
 
-static void drop_sent_observations(news_t* n) {
+static void drop_sent_observations(reporter_t* n) {
     int64_t now_ms = clock_ms();
     uint32_t remaining = 0;
     for (uint32_t i = 0; i < n->pending_count; i++) {
@@ -50,64 +51,64 @@
     n->pending_count = remaining;
 }
 
-void news_tell_marks(news_t* n) {
+void reporter_send_observations(reporter_t* n) {
     if (!n->pending_count) {
         return;
     }
-    news_read_members(n);
+    reporter_refresh_peers(n);
     if (n->is_relay) {
-        send_due_observations(n, false, news_send_to_hall);
-        send_due_observations(n, true, news_send_to_other_halls);
+        send_due_observations(n, false, reporter_send_to_hall);
+        send_due_observations(n, true, reporter_send_to_other_halls);
     } else {
-        send_due_observations(n, true, news_send_to_relay);
+        send_due_observations(n, true, reporter_send_to_relay);
     }
     drop_sent_observations(n);
 }
 
 /* The ages of observations show which servers crashed at the same moment, so they must stay exact: the upper bound of
    the datagram's delay is added only after this process stalled. */
-void news_take_marks(news_t* n, const cw_load_message_t* message, uint32_t delay_ms) {
+void reporter_receive_observations(reporter_t* n, const cw_load_message_t* message, uint32_t delay_ms) {
     uint32_t stall_ms = delay_ms > STALL_MS ? delay_ms : 0;
-    for (uint32_t i = 0; i < message->mark_count; i++) {
-        cw_mark_t observation = message->marks[i];
+    for (uint32_t i = 0; i < message->observation_count; i++) {
+        cw_quarantine_observation_t observation = message->observations[i];
         observation.age_ms += observation.age_ms < UINT32_MAX - stall_ms ? stall_ms : 0;
-        if (n->desc.on_mark) {
-            n->desc.on_mark(n->desc.user_data, &observation);
+        if (n->desc.on_observation) {
+            n->desc.on_observation(n->desc.user_data, &observation);
         }
-        if (message->scope != CW_LOAD_LAST) {
-            queue_observation(n, &observation, message->scope == CW_LOAD_FOR_ALL, 0);
-            n->stats.passed_on++;
+        if (message->scope != CW_LOAD_NO_RELAY) {
+            queue_observation(n, &observation, message->scope == CW_LOAD_RELAY_TO_ALL, 0);
+            n->stats.forwarded++;
         }
     }
-    news_tell_marks(n);
+    reporter_send_observations(n);
 }
 
-void news_repeat_marks(news_t* n, int64_t now_ms) {
+void reporter_repeat_observations(reporter_t* n, int64_t now_ms) {
     if (n->rank >= OBSERVATION_REPEATER_RANKS ||
-        now_ms - n->observations_repeated_ms < OBSERVATION_REPEAT_INTERVAL_MS || !n->desc.marks) {
+        now_ms - n->observations_repeated_ms < OBSERVATION_REPEAT_INTERVAL_MS || !n->desc.observations) {
         return;
     }
-    cw_mark_t marks[CW_LOAD_MARKS];
-    uint32_t count = n->desc.marks(n->desc.user_data, &n->next_observation, marks, CW_LOAD_MARKS);
+    cw_quarantine_observation_t observations[CW_LOAD_OBSERVATIONS];
+    uint32_t count = n->desc.observations(n->desc.user_data, &n->next_observation, observations, CW_LOAD_OBSERVATIONS);
     for (uint32_t i = 0; i < count; i++) {
-        queue_observation(n, &marks[i], true, 0);
+        queue_observation(n, &observations[i], true, 0);
     }
     n->observations_repeated_ms = now_ms;
 }
 
 /* Callers reach a host within milliseconds of its start. Without the observations it would send suspect requests to
    more servers, so it gets all of them at once. */
-void news_tell_all_marks(news_t* n) {
+void reporter_resend_observations(reporter_t* n) {
     n->next_observation = 0;
     for (uint32_t i = 0; i < OBSERVATION_BURST_DATAGRAMS && (!i || n->next_observation); i++) {
         n->observations_repeated_ms = 0;
-        news_repeat_marks(n, clock_ms());
-        news_tell_marks(n);
+        reporter_repeat_observations(n, clock_ms());
+        reporter_send_observations(n);
     }
 }
 
-void news_on_mark(news_t* n, const cw_mark_t* observation) {
+void reporter_on_observation(reporter_t* n, const cw_quarantine_observation_t* observation) {
     queue_observation(n, observation, true, 0);
     queue_observation(n, observation, true, clock_ms() + OBSERVATION_RESEND_DELAY_MS);
-    news_flush_after(n, FLUSH_DELAY_MS);
+    reporter_flush_after(n, FLUSH_DELAY_MS);
 }
--- a/gateway/news_parts.h
+++ b/gateway/news_parts.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_NEWS_PARTS_H
-#define CW_GATEWAY_NEWS_PARTS_H
+#ifndef CW_GATEWAY_REPORTER_INTERNAL_H
+#define CW_GATEWAY_REPORTER_INTERNAL_H
 /*
     Shared by the source files of news.h: news_peers.c chooses the receivers and sends datagrams, news_marks.c sends and
     receives the observations about suspect requests, news.c sends and receives load.
@@ -11,14 +11,14 @@
 #define HOSTS_MAX 1024
 #define DIRTY_MAX 256
 #define QUEUE_MAX 512
-#define OBSERVATION_QUEUE_MAX (4 * CW_LOAD_MARKS) /* the others go out with the next repetition */
+#define OBSERVATION_QUEUE_MAX (4 * CW_LOAD_OBSERVATIONS) /* the others go out with the next repetition */
 #define FLUSH_DELAY_MS 1 /* before requests that began are reported, so that some share a datagram */
 
 /* A server whose load at this host changed and is not reported yet. */
 typedef struct dirty_t {
     uint64_t server;
     uint32_t part_count;
-    cw_work_part_t parts[CW_LOAD_PARTS];
+    cw_prompt_part_t parts[CW_LOAD_PARTS];
 } dirty_t;
 
 /* An entry that waits to be sent. */
@@ -29,7 +29,7 @@
 
 /* An observation that waits to be sent. */
 typedef struct pending_observation_t {
-    cw_mark_t observation;
+    cw_quarantine_observation_t observation;
     bool to_other_halls; /* as well as to the own hall */
     int64_t due_ms;      /* 0: at once */
     int64_t stamped_ms;  /* time for which observation.age_ms is valid */
@@ -37,7 +37,7 @@
 
 /* Another host that is alive. */
 typedef struct peer_t {
-    const cw_member_info_t* info; /* valid only while news_read_members runs */
+    const cw_member_info_t* info; /* valid only while reporter_refresh_peers runs */
     uint64_t id;
     bool leaving;
     struct sockaddr_in load; /* its load address */
@@ -49,8 +49,8 @@
     uint32_t relays; /* hosts of the range that are relays */
 } hall_range_t;
 
-struct news_t {
-    news_desc_t desc;
+struct reporter_t {
+    reporter_desc_t desc;
     uint64_t cluster;
     int fd;
     uint16_t load_port, share_port;
@@ -81,7 +81,7 @@
     int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
     int64_t sent_ms;                   /* of the last report or heartbeat */
     uint64_t random_count;             /* random numbers drawn so far */
-    news_stats_t stats;
+    reporter_stats_t stats;
 };
 
 typedef struct datagram_t {
@@ -92,30 +92,30 @@
 /* -- news.c --------------------------------------------------------------- */
 
 /* Schedules a flush of what is pending, unless one is scheduled already. */
-void news_flush_after(news_t* n, uint32_t ms);
+void reporter_flush_after(reporter_t* n, uint32_t ms);
 
 /* -- news_peers.c --------------------------------------------------------- */
 
 /* Rebuilds the list of peers if the membership changed. */
-void news_read_members(news_t* n);
+void reporter_refresh_peers(reporter_t* n);
 /* Encodes the message. It carries the source state of this daemon, also where its entries are other hosts'. */
-datagram_t news_datagram(news_t* n, cw_load_message_t* message, cw_load_scope_t scope);
-void news_send(news_t* n, const peer_t* peer, const datagram_t* d);
-void news_send_to_hall(news_t* n, cw_load_message_t* message);
+datagram_t reporter_encode(reporter_t* n, cw_load_message_t* message, cw_load_scope_t scope);
+void reporter_send(reporter_t* n, const peer_t* peer, const datagram_t* d);
+void reporter_send_to_hall(reporter_t* n, cw_load_message_t* message);
 /* Sends to one host of each other hall, which forwards to the rest of its hall: traffic between halls stays low. */
-void news_send_to_other_halls(news_t* n, cw_load_message_t* message);
+void reporter_send_to_other_halls(reporter_t* n, cw_load_message_t* message);
 /* Sends to a relay of the own hall, which forwards to all hosts. */
-void news_send_to_relay(news_t* n, cw_load_message_t* message);
+void reporter_send_to_relay(reporter_t* n, cw_load_message_t* message);
 
 /* -- news_marks.c --------------------------------------------------------- */
 
 /* Sends the observations that are due. */
-void news_tell_marks(news_t* n);
+void reporter_send_observations(reporter_t* n);
 /* Handles the observations of a received datagram. delay_ms: upper bound of its age. */
-void news_take_marks(news_t* n, const cw_load_message_t* message, uint32_t delay_ms);
+void reporter_receive_observations(reporter_t* n, const cw_load_message_t* message, uint32_t delay_ms);
 /* On the hosts of the first ranks: queues the next part of all valid observations, once an interval. */
-void news_repeat_marks(news_t* n, int64_t now_ms);
+void reporter_repeat_observations(reporter_t* n, int64_t now_ms);
 /* Sends all valid observations at once, for a host that just joined. */
-void news_tell_all_marks(news_t* n);
+void reporter_resend_observations(reporter_t* n);
 
 #endif
--- a/gateway/news_peers.c
+++ b/gateway/news_peers.c
@@ -13,7 +13,7 @@
 }
 
 static bool precedes(const cw_member_info_t* a, const cw_member_info_t* b) {
-    return can_relay(a) != can_relay(b) ? can_relay(a) : cw_relay_before(a, b);
+    return can_relay(a) != can_relay(b) ? can_relay(a) : cw_relay_ranks_before(a, b);
 }
 
 static int compare_peers(const void* left, const void* right) {
@@ -26,7 +26,7 @@
     return precedes(a, b) ? -1 : precedes(b, a);
 }
 
-static void add_peer(news_t* n, const cw_member_info_t* info) {
+static void add_peer(reporter_t* n, const cw_member_info_t* info) {
     peer_t* peer = &n->peers[n->peer_count];
     if (cw_addr_parse(info->peer, &peer->load, NULL) != CW_OK) {
         return;
@@ -39,7 +39,7 @@
 }
 
 /* Number of the hall's hosts that are relays. self: this host if it is in the hall, else NULL. */
-static uint32_t count_relays(const news_t* n, const hall_range_t* hall, const cw_member_info_t* self) {
+static uint32_t count_relays(const reporter_t* n, const hall_range_t* hall, const cw_member_info_t* self) {
     uint32_t links[HOSTS_MAX + 1];
     uint32_t count = 0;
     for (uint32_t i = 0; i < hall->count; i++) {
@@ -57,7 +57,7 @@
 }
 
 /* Groups the sorted peers by hall. */
-static void group_by_hall(news_t* n, const char* own_hall_name) {
+static void group_by_hall(reporter_t* n, const char* own_hall_name) {
     n->other_hall_count = 0;
     n->own_hall = (hall_range_t){0};
     for (uint32_t i = 0; i < n->peer_count;) {
@@ -77,7 +77,7 @@
 }
 
 /* Finds out whether this host is a relay of its hall, and how many of the others are. */
-static void set_own_role(news_t* n, const cw_member_info_t* self) {
+static void set_own_role(reporter_t* n, const cw_member_info_t* self) {
     uint32_t relays = count_relays(n, &n->own_hall, self);
     uint32_t preceding = 0;
     for (uint32_t i = 0; i < n->own_hall.count; i++) {
@@ -87,7 +87,7 @@
     n->own_hall.relays = relays - n->is_relay;
 }
 
-void news_read_members(news_t* n) {
+void reporter_refresh_peers(reporter_t* n) {
     if (!n->members || !n->members_changed) {
         return;
     }
@@ -107,7 +107,7 @@
 }
 
 /* The relay of the hall that receives this host's datagram. */
-static const peer_t* choose_relay(news_t* n, const hall_range_t* hall) {
+static const peer_t* choose_relay(reporter_t* n, const hall_range_t* hall) {
     uint64_t random = cw_mix(n->desc.host, ++n->random_count);
     uint32_t i = cw_relay_choose(&n->ids[hall->first], hall->relays, &n->plan, n->desc.host, random);
     return &n->peers[hall->first + i];
@@ -115,42 +115,42 @@
 
 /* -- sending -------------------------------------------------------------- */
 
-datagram_t news_datagram(news_t* n, cw_load_message_t* message, cw_load_scope_t scope) {
+datagram_t reporter_encode(reporter_t* n, cw_load_message_t* message, cw_load_scope_t scope) {
     datagram_t d;
     message->cluster = n->cluster;
     message->host = n->desc.host;
-    message->knowledge = n->desc.knowledge(n->desc.user_data);
+    message->source_state = n->desc.source_state(n->desc.user_data);
     message->scope = scope;
     d.size = cw_load_encode(message, d.bytes, sizeof(d.bytes));
     return d;
 }
 
-void news_send(news_t* n, const peer_t* peer, const datagram_t* d) {
+void reporter_send(reporter_t* n, const peer_t* peer, const datagram_t* d) {
     if (d->size) {
         sendto(n->fd, d->bytes, d->size, MSG_DONTWAIT, (const struct sockaddr*)&peer->load, sizeof(peer->load));
         n->stats.out++;
     }
 }
 
-void news_send_to_hall(news_t* n, cw_load_message_t* message) {
-    datagram_t d = news_datagram(n, message, CW_LOAD_LAST);
+void reporter_send_to_hall(reporter_t* n, cw_load_message_t* message) {
+    datagram_t d = reporter_encode(n, message, CW_LOAD_NO_RELAY);
     for (uint32_t i = 0; i < n->own_hall.count; i++) {
-        news_send(n, &n->peers[n->own_hall.first + i], &d);
+        reporter_send(n, &n->peers[n->own_hall.first + i], &d);
     }
 }
 
-void news_send_to_other_halls(news_t* n, cw_load_message_t* message) {
-    datagram_t to_forward = news_datagram(n, message, CW_LOAD_FOR_HALL);
-    datagram_t last = news_datagram(n, message, CW_LOAD_LAST);
+void reporter_send_to_other_halls(reporter_t* n, cw_load_message_t* message) {
+    datagram_t to_forward = reporter_encode(n, message, CW_LOAD_RELAY_TO_HALL);
+    datagram_t last = reporter_encode(n, message, CW_LOAD_NO_RELAY);
     for (uint32_t i = 0; i < n->other_hall_count; i++) {
         const hall_range_t* hall = &n->other_halls[i];
-        news_send(n, choose_relay(n, hall), hall->count == 1 ? &last : &to_forward);
+        reporter_send(n, choose_relay(n, hall), hall->count == 1 ? &last : &to_forward);
     }
 }
 
-void news_send_to_relay(news_t* n, cw_load_message_t* message) {
+void reporter_send_to_relay(reporter_t* n, cw_load_message_t* message) {
     if (n->own_hall.count) {
-        datagram_t d = news_datagram(n, message, CW_LOAD_FOR_ALL);
-        news_send(n, choose_relay(n, &n->own_hall), &d);
+        datagram_t d = reporter_encode(n, message, CW_LOAD_RELAY_TO_ALL);
+        reporter_send(n, choose_relay(n, &n->own_hall), &d);
     }
 }
--- a/gateway/pushback.c
+++ b/gateway/pushback.c
@@ -37,17 +37,17 @@
     const char* field = desc->dialect->fields.limit;
     const char* text = field ? cw_message_field(head, field) : NULL;
     int64_t now_ms = clock_ms();
-    double previous_per_s = cw_balance_limit_per_s(balance, now_ms, s->key);
+    double previous_per_s = cw_balance_rate_per_s(balance, now_ms, s->key);
     double per_s = NO_RATE_LIMIT;
-    if (text && !cw_pushback_limit(text, &per_s)) {
+    if (text && !cw_pushback_parse_rate(text, &per_s)) {
         log_malformed(s, field, text);
         return;
     }
     if (!text && head->status / 100 == 1) {
         return;
     }
-    if (cw_balance_limit(balance, now_ms, s->key, sent_ms, per_s)) {
-        server_log_limit(s, now_ms, previous_per_s, 0);
+    if (cw_balance_on_rate(balance, now_ms, s->key, sent_ms, per_s)) {
+        server_log_rate_limit(s, now_ms, previous_per_s, 0);
         notify_pushback(s);
     }
 }
@@ -76,12 +76,12 @@
     const char* field = desc->dialect->fields.retry_after;
     bool is_rejected = head->status == STATUS_UNAVAILABLE || head->status == STATUS_TOO_MANY;
     const char* text = is_rejected ? cw_message_field(head, field) : NULL;
-    uint32_t max_ms = desc->rest_max_ms ? desc->rest_max_ms : BACKOFF_MAX_MS;
+    uint32_t max_ms = desc->backoff_max_ms ? desc->backoff_max_ms : BACKOFF_MAX_MS;
     uint32_t backoff_ms = 0;
-    if (text && !cw_pushback_rest(text, max_ms, &backoff_ms)) {
+    if (text && !cw_pushback_parse_retry_after(text, max_ms, &backoff_ms)) {
         log_malformed(s, field, text);
     } else if (backoff_ms) {
-        cw_balance_rest(s->pool->balance, clock_ms(), s->key, backoff_ms);
+        cw_balance_back_off(s->pool->balance, clock_ms(), s->key, backoff_ms);
         cw_log(desc->log, CW_EVENT_SERVER_RESTS, "server=%s pool=%s rest_ms=%u", s->published.id, s->pool->name,
                backoff_ms);
     }
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -18,16 +18,17 @@
     upstreams_t* upstreams;
     uint32_t entries, keep_ms; /* as in cw_quarantine_desc_t */
     /* Publish the observation to the other daemons at once. */
-    void (*on_mark)(void* user_data, const cw_mark_t* observation);
+    void (*on_observation)(void* user_data, const cw_quarantine_observation_t* observation);
     /* The request is quarantined from now on; its queued and running exchanges at this daemon must be ended. */
-    void (*on_held)(void* user_data, const cw_fingerprint_t* request);
+    void (*on_quarantined)(void* user_data, const cw_fingerprint_t* request);
     void* user_data;
 } quarantine_desc_t;
 
 typedef struct quarantine_stats_t {
     cw_quarantine_stats_t requests;
-    uint64_t told, heard; /* observations of this daemon, and of other daemons, that were new when applied */
-    uint64_t held_back;   /* requests refused because they are quarantined */
+    uint64_t observations_sent,
+        observations_received;     /* observations of this daemon, and of other daemons, that were new when applied */
+    uint64_t requests_quarantined; /* requests refused because they are quarantined */
 } quarantine_stats_t;
 
 quarantine_t* quarantine_setup(const quarantine_desc_t* desc);
@@ -44,17 +45,17 @@
 /* The request got a complete response: clears it of all suspicion. */
 void quarantine_on_response(quarantine_t* q, const cw_fingerprint_t* request);
 /* The server sent data after its presumed crash. */
-void quarantine_on_alive(quarantine_t* q, const server_t* server);
+void quarantine_on_server_alive(quarantine_t* q, const server_t* server);
 /* Applies an observation of another daemon. */
-void quarantine_on_mark(quarantine_t* q, const cw_mark_t* observation);
+void quarantine_on_observation(quarantine_t* q, const cw_quarantine_observation_t* observation);
 /* Detects requests that have become quarantined. */
 void quarantine_tick(quarantine_t* q);
 /* Observations to publish again, from index *at on. */
-uint32_t quarantine_marks(quarantine_t* q, uint32_t* at, cw_mark_t* out, uint32_t max);
+uint32_t quarantine_observations(quarantine_t* q, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max);
 /* Writes the requests under suspicion as a JSON document. */
-void quarantine_write(quarantine_t* q, cw_buffer_t* out);
-/* An operator releases a request. fingerprint and workspace are in hex, as the log and quarantine_write show them. All
-   observations of the request are cleared, here and at the other daemons. False: it had none. */
+void quarantine_write_json(quarantine_t* q, cw_buffer_t* out);
+/* An operator releases a request. fingerprint and workspace are in hex, as the log and quarantine_write_json show them.
+   All observations of the request are cleared, here and at the other daemons. False: it had none. */
 bool quarantine_release(quarantine_t* q, const char* fingerprint, const char* workspace);
 quarantine_stats_t quarantine_stats(const quarantine_t* q);
 
--- a/gateway/request_head.c
+++ b/gateway/request_head.c
@@ -23,8 +23,8 @@
         (set->last_event && equals_ignoring_case(name, f->last_event))) {
         return true;
     }
-    for (const char* const* owned = f->owned; owned && *owned; owned++) {
-        if (equals_ignoring_case(name, *owned)) {
+    for (const char* const* reserved = f->reserved; reserved && *reserved; reserved++) {
+        if (equals_ignoring_case(name, *reserved)) {
             return true;
         }
     }
@@ -46,7 +46,7 @@
     cw_buffer_add(out, " HTTP/1.1\r\n", 11);
     for (uint32_t i = 0; i < request->field_count; i++) {
         const cw_field_t* field = &request->fields[i];
-        if (!cw_message_hop_field(request, field->name) && !is_dropped(d, set, field->name)) {
+        if (!cw_message_is_hop_by_hop(request, field->name) && !is_dropped(d, set, field->name)) {
             cw_message_add_field(out, field->name, field->value);
         }
     }
@@ -69,13 +69,13 @@
         cw_message_add_field(out, d->fields.last_event, set->last_event);
     }
     add_framing(out, request, set->body_size);
-    cw_message_add_end(out);
+    cw_message_end_head(out);
 }
 
 void response_fields_write(cw_buffer_t* out, const cw_message_t* response) {
     for (uint32_t i = 0; i < response->field_count; i++) {
         const cw_field_t* field = &response->fields[i];
-        if (!cw_message_hop_field(response, field->name)) {
+        if (!cw_message_is_hop_by_hop(response, field->name)) {
             cw_message_add_field(out, field->name, field->value);
         }
     }
@@ -123,7 +123,7 @@
 }
 
 /* Reads one "ID:TOKENS" of a list. Returns the text after it; NULL: it is malformed. */
-static const char* read_part(const char* text, cw_work_part_t* part) {
+static const char* read_part(const char* text, cw_prompt_part_t* part) {
     size_t length = strspn(text, HEX_DIGITS);
     if (!length || text[length] != ':') {
         return NULL;
@@ -132,15 +132,16 @@
     return read_count(text + length + 1, &part->tokens);
 }
 
-/* Reads a list of parts and keeps the first CW_WORK_PARTS. False: it is malformed. work NULL: only checks the list. */
+/* Reads a list of parts and keeps the first CW_PROMPT_PARTS. False: it is malformed. work NULL: only checks the list.
+ */
 static bool read_parts(cw_work_t* work, const char* text) {
     while (*text) {
-        cw_work_part_t part;
+        cw_prompt_part_t part;
         text = read_part(text, &part);
         if (!text || (*text && (*text != ',' || !text[1]))) {
             return false;
         }
-        if (work && work->part_count < CW_WORK_PARTS) {
+        if (work && work->part_count < CW_PROMPT_PARTS) {
             work->parts[work->part_count++] = part;
         }
         text += *text == ',';
@@ -177,7 +178,7 @@
     const dialect_fields_t* f = &d->fields;
     const char* const single_fields[] = {f->request_id, f->deadline_ms, f->key, f->tokens, f->parts, f->last_event};
     for (size_t i = 0; i < sizeof(single_fields) / sizeof(single_fields[0]); i++) {
-        if (single_fields[i] && cw_message_field_times(request, single_fields[i]) > 1) {
+        if (single_fields[i] && cw_message_count_field(request, single_fields[i]) > 1) {
             return single_fields[i];
         }
     }
--- a/gateway/seek.c
+++ b/gateway/seek.c
@@ -10,10 +10,10 @@
 
 /* Counts one more (by = 1) or one fewer (by = -1) queued request of this urgency. */
 static void update_waiting_count(const exchange_t* x, int by) {
-    uint32_t urgency = cw_work_turn_urgency(&x->work);
+    uint32_t urgency = cw_work_queue_urgency(&x->work);
     uint32_t* waiting = &x->pool->waiting[urgency];
     *waiting = (uint32_t)((int)*waiting + by);
-    cw_balance_waiting(x->pool->balance, clock_ms(), urgency, *waiting);
+    cw_balance_set_waiting(x->pool->balance, clock_ms(), urgency, *waiting);
 }
 
 void exchange_dequeue(exchange_t* x) {
@@ -28,15 +28,17 @@
     }
 }
 
-static cw_turn_t queue_key(const exchange_t* x) {
-    return (cw_turn_t){
-        .urgency = x->work.urgency, .light = x->work.light, .late = x->work.late, .arrived_ms = x->arrived_ms};
+static cw_queue_key_t queue_key(const exchange_t* x) {
+    return (cw_queue_key_t){.urgency = x->work.urgency,
+                            .is_light = x->work.is_light,
+                            .is_late = x->work.is_late,
+                            .arrived_ms = x->arrived_ms};
 }
 
 static bool precedes(const exchange_t* x, const exchange_t* y) {
-    cw_turn_t key_x = queue_key(x);
-    cw_turn_t key_y = queue_key(y);
-    return cw_turn_before(&key_x, &key_y);
+    cw_queue_key_t key_x = queue_key(x);
+    cw_queue_key_t key_y = queue_key(y);
+    return cw_queue_precedes(&key_x, &key_y);
 }
 
 static void enqueue(exchange_t* x) {
@@ -61,7 +63,7 @@
 }
 
 void exchange_refuse(exchange_t* x, const char* why) {
-    const cw_holding_t* holding = cw_balance_holding(x->pool->balance);
+    const cw_occupancy_t* holding = cw_balance_occupancy(x->pool->balance);
     const pool_t* pool = x->pool;
     const cw_choice_t* c = &x->choice;
     const server_t* best = c->server == CW_BALANCE_NONE ? NULL : upstreams_server(x->exchanges->desc.upstreams, c->id);
@@ -74,13 +76,14 @@
         "held_after=%u "
         "holds_ms=%.0f revision=%lld",
         x->id, why, x->route->name, pool->name, x->priority, x->work.urgency, best ? best->published.id : "-",
-        x->work.prompt_tokens, c->kept, c->wait_ms, c->read_ms, cw_balance_read_rate(pool->balance) * US_PER_MS,
-        x->route->target_ms, pool->ready, c->candidates, c->left_out.tried, c->left_out.away, c->left_out.cold,
-        c->left_out.resting, c->left_out.limited, c->left_out.suspected, c->left_out.no_place, c->reserved,
-        cw_balance_fullness(pool->balance, clock_ms()), c->age_ms, (long long)(clock_ms() - x->arrived_ms),
-        count_ahead(x), cw_holding_running(holding, 0, x->work.urgency),
-        cw_holding_running(holding, x->work.urgency + 1, CW_URGENCIES - 1), cw_holding_ms(holding, x->work.urgency),
-        (long long)x->catalog->revision);
+        x->work.prompt_tokens, c->cached_tokens, c->wait_ms, c->prefill_ms,
+        cw_balance_prefill_ms_per_token(pool->balance) * US_PER_MS, x->route->target_ms, pool->ready, c->candidates,
+        c->excluded.tried, c->excluded.unreachable, c->excluded.cold, c->excluded.backing_off, c->excluded.rate_limited,
+        c->excluded.suspected, c->excluded.no_slot, c->reserved_slots,
+        cw_balance_utilization(pool->balance, clock_ms()), c->age_ms, (long long)(clock_ms() - x->arrived_ms),
+        count_ahead(x), cw_occupancy_running(holding, 0, x->work.urgency),
+        cw_occupancy_running(holding, x->work.urgency + 1, CW_URGENCY_LEVELS - 1),
+        cw_occupancy_hold_ms(holding, x->work.urgency), (long long)x->catalog->revision);
     exchange_handle_event(x, CW_EV_REFUSED);
 }
 
@@ -107,13 +110,14 @@
 
 /* Only engines have slots that become free soon. Plain servers that can't be used are unreachable, and then a quick
    refusal serves the caller better than a wait. */
-static cw_turn_wait_t slot_wait(const exchange_t* x) {
+static cw_queue_wait_t slot_wait(const exchange_t* x) {
     const cw_balance_t* b = x->pool->balance;
-    return cw_turn_wait(&(cw_turn_ask_t){.now_ms = clock_ms(),
-                                         .leaves_ms = caller_gives_up_ms(x),
-                                         .target_ms = x->route->target_ms,
-                                         .shortest_target_ms = cw_balance_shortest_target(b),
-                                         .patient = !x->pool->memory_tokens || cw_balance_patient(b, &x->work)});
+    return cw_queue_wait(&(cw_queue_wait_desc_t){.now_ms = clock_ms(),
+                                                 .caller_gone_ms = caller_gives_up_ms(x),
+                                                 .target_ms = x->route->target_ms,
+                                                 .shortest_target_ms = cw_balance_shortest_target_ms(b),
+                                                 .is_delay_tolerant = !x->pool->memory_tokens ||
+                                                                      cw_balance_is_delay_tolerant(b, &x->work)});
 }
 
 /* Refuses a quarantined request, whatever its id. While the verdict is undecided, the request waits outside of the
@@ -121,14 +125,14 @@
 bool exchange_check_quarantine(exchange_t* x) {
     quarantine_t* quarantine = x->exchanges->desc.quarantine;
     x->verdict = quarantine_check(quarantine, &x->fingerprint);
-    x->work.spread = x->verdict.kind == CW_VERDICT_FREE ? 0 : x->fingerprint.content;
-    x->verdict_due_ms = x->verdict.kind == CW_VERDICT_WAIT ? clock_ms() + x->verdict.retry_ms : 0;
+    x->work.rendezvous_key = x->verdict.kind == CW_VERDICT_ALLOWED ? 0 : x->fingerprint.content_hash;
+    x->verdict_due_ms = x->verdict.kind == CW_VERDICT_PENDING ? clock_ms() + x->verdict.retry_ms : 0;
     if (x->verdict_due_ms) {
         exchange_dequeue(x); /* in the queue it would precede requests that can be sent */
         exchange_set_timer(x);
         return true;
     }
-    if (x->verdict.kind != CW_VERDICT_HELD) {
+    if (x->verdict.kind != CW_VERDICT_QUARANTINED) {
         return false;
     }
     quarantine_record_refusal(quarantine, &x->fingerprint, x->id, &x->verdict);
@@ -141,9 +145,9 @@
 /* Whether all untried servers are throttled (backoff or advertised rate) and none accepts a request from this host
    before x would be refused. opens_ms: time until the first one does, 0: unknown. */
 static bool are_all_throttled(const exchange_t* x, uint32_t opens_ms) {
-    const cw_left_out_t* left = &x->choice.left_out;
-    uint32_t throttled = left->resting + left->limited;
-    cw_turn_wait_t wait = x->is_queued ? x->wait : slot_wait(x);
+    const cw_excluded_t* left = &x->choice.excluded;
+    uint32_t throttled = left->backing_off + left->rate_limited;
+    cw_queue_wait_t wait = x->is_queued ? x->wait : slot_wait(x);
     bool is_in_time = opens_ms && clock_ms() + opens_ms < wait.until_ms;
     return throttled && left->tried + throttled >= x->pool->ready && !is_in_time;
 }
@@ -160,12 +164,12 @@
 
 /* The best server, without those that failed this request and those that crashed under an identical one. */
 static cw_choice_t choose_server(const exchange_t* x) {
-    uint64_t excluded[TRIED_SERVERS_MAX + CW_QUARANTINE_ENDS];
-    uint32_t count = x->tried_count + x->verdict.ruled_out;
+    uint64_t excluded[TRIED_SERVERS_MAX + CW_QUARANTINE_MAX_CRASHES];
+    uint32_t count = x->tried_count + x->verdict.excluded_count;
     memcpy(excluded, x->tried, x->tried_count * sizeof(*excluded));
-    memcpy(excluded + x->tried_count, x->verdict.lives, x->verdict.ruled_out * sizeof(*excluded));
+    memcpy(excluded + x->tried_count, x->verdict.incarnations, x->verdict.excluded_count * sizeof(*excluded));
     cw_choice_t c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, excluded, count);
-    if ((c.server == CW_BALANCE_NONE || c.late) && upstreams_expand_subset(x->pool, clock_ms())) {
+    if ((c.server == CW_BALANCE_NONE || c.is_late) && upstreams_expand_subset(x->pool, clock_ms())) {
         c = cw_balance_choose(x->pool->balance, clock_ms(), &x->work, excluded, count);
     }
     return c;
@@ -184,12 +188,12 @@
     x->choice = (cw_choice_t){.server = CW_BALANCE_NONE};
     x->retry_ms = 0;
     if (!x->is_queued) {
-        x->work.light = cw_balance_light(x->pool->balance, clock_ms(), &x->work);
+        x->work.is_light = cw_balance_is_light(x->pool->balance, clock_ms(), &x->work);
     }
     if (!e->is_refusing && !must_queue_behind(x)) {
         x->choice = choose_server(x);
     }
-    if (x->choice.late && !x->attempt_count) {
+    if (x->choice.is_late && !x->attempt_count) {
         x->retry_ms = (uint32_t)x->choice.wait_ms;
         exchange_refuse(x, "too much stands before it wherever a place is free");
         return;
@@ -202,24 +206,24 @@
         }
         return;
     }
-    bool all_tried = x->tried_count >= x->pool->ready || x->choice.left_out.tried >= x->pool->ready;
+    bool all_tried = x->tried_count >= x->pool->ready || x->choice.excluded.tried >= x->pool->ready;
     if (e->is_refusing || !x->pool->ready || all_tried) {
         exchange_refuse(x, e->is_refusing ? "this host is stopping" : "no server is left to try");
         return;
     }
-    uint32_t opens_ms = cw_balance_opens_in_ms(x->pool->balance, clock_ms());
+    uint32_t opens_ms = cw_balance_throttle_wait_ms(x->pool->balance, clock_ms());
     if (are_all_throttled(x, opens_ms)) {
         x->retry_ms = opens_ms;
         exchange_refuse(x, "all servers hold callers back");
         return;
     }
     if (!x->is_queued) {
-        x->work.late = false;
+        x->work.is_late = false;
         x->wait = slot_wait(x);
         enqueue(x);
         cw_log(e->desc.log, CW_EVENT_REQUEST_QUEUED, "id=%s pool=%s urgency=%u fullness=%.2f ahead=%u waiting=%u",
-               x->id, x->pool->name, x->work.urgency, cw_balance_fullness(x->pool->balance, clock_ms()), count_ahead(x),
-               e->stats.waiting);
+               x->id, x->pool->name, x->work.urgency, cw_balance_utilization(x->pool->balance, clock_ms()),
+               count_ahead(x), e->stats.waiting);
     }
     exchange_set_timer(x);
 }
@@ -236,11 +240,11 @@
 /* Tries one request of each kind (light, late, urgency). A late request may find no slot, because slots are reserved
    for other requests, while a light one behind it finds one. When a request finds none, the others of its kind would
    not either. */
-void exchanges_on_room(exchanges_t* e, pool_t* pool) {
-    bool failed_kinds[2][2][CW_URGENCIES] = {{{false}}}; /* no slot found, by light, late, urgency */
+void exchanges_on_slot_free(exchanges_t* e, pool_t* pool) {
+    bool failed_kinds[2][2][CW_URGENCY_LEVELS] = {{{false}}}; /* no slot found, by light, late, urgency */
     exchange_t* x = e->queue;
     while (x) {
-        bool* has_failed = &failed_kinds[x->work.light][x->work.late][x->work.urgency];
+        bool* has_failed = &failed_kinds[x->work.is_light][x->work.is_late][x->work.urgency];
         if (x->pool != pool || *has_failed) {
             x = x->next_queued;
             continue;
@@ -255,8 +259,8 @@
     pool_t* pool = x->pool;
     exchanges_t* e = x->exchanges;
     exchange_dequeue(x);
-    x->work.late = true;
+    x->work.is_late = true;
     enqueue(x);
     exchange_set_timer(x);
-    exchanges_on_room(e, pool); /* the late request no longer precedes them */
+    exchanges_on_slot_free(e, pool); /* the late request no longer precedes them */
 }
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -15,7 +15,7 @@
     {"host", "name", CW_SETTING_NAME, AT(name), NULL, 0, 0, "name of this host, unique in the cluster"},
     {"host", "hall", CW_SETTING_NAME, AT(hall), NULL, 0, 0, "hall that this host is in"},
     {"host", "cluster", CW_SETTING_NAME, AT(cluster), "chalkway", 0, 0, "peers of other clusters are refused"},
-    {"host", "first_start", CW_SETTING_COUNT_KIND, AT(first_start), "0", 0, 1,
+    {"host", "first_start", CW_SETTING_INTEGER, AT(first_start), "0", 0, 1,
      "1: the whole system starts for the first time, and there is no traffic yet"},
     {"listen", "callers", CW_SETTING_ADDRESS, AT(callers), NULL, 0, 0, "address for requests"},
     {"listen", "ready", CW_SETTING_ADDRESS, AT(ready), NULL, 0, 0, "address of the readiness check"},
@@ -27,7 +27,7 @@
     {"listen", "load", CW_SETTING_ADDRESS, AT(load), NULL, 0, 0, "address for load reports between hosts, UDP"},
     {"listen", "share", CW_SETTING_ADDRESS, AT(share), NULL, 0, 0, "address at which peers read the configuration"},
     {"peers", "seeds", CW_SETTING_TEXT, AT(seeds), "", 0, 0, "addresses to join, separated by commas"},
-    {"peers", "seed_port", CW_SETTING_COUNT_KIND, AT(seed_port), "0", 0, 65535,
+    {"peers", "seed_port", CW_SETTING_INTEGER, AT(seed_port), "0", 0, 65535,
      "port of the seeds' peer address where the seeds name another, 0: as named"},
     {"source", "address", CW_SETTING_ADDRESS, AT(source), NULL, 0, 0, "where the configuration is published"},
     {"source", "apply", CW_SETTING_MS, AT(apply_ms), "2s", 250, 600000,
@@ -37,19 +37,19 @@
     {"source", "close", CW_SETTING_MS, AT(close_ms), "0ms", 0, 600000,
      "time from the publication of a hall as closed until its servers must get no new requests, 0: halls are not "
      "closed"},
-    {"source", "read", CW_SETTING_MS, AT(read_ms), "0ms", 0, 60000,
+    {"source", "read", CW_SETTING_MS, AT(poll_age_ms), "0ms", 0, 60000,
      "age of configuration and servers at which the host of the first rank polls them, 0: a fifth of the shorter of "
      "apply and drain"},
     {"limits", "memory", CW_SETTING_BYTES, AT(memory_bytes), "256m", 1 << 24, 4294967295.0,
      "memory that the process may use"},
-    {"limits", "descriptors", CW_SETTING_COUNT_KIND, AT(descriptors), "4096", 64, 1000000,
+    {"limits", "descriptors", CW_SETTING_INTEGER, AT(descriptors), "4096", 64, 1000000,
      "file descriptors of the process"},
     {"limits", "link", CW_SETTING_NUMBER, AT(link_mbps), "0", 0, 1000000,
      "Mbit/s of this host's network, 0: not known; in large fleets the hosts with the fastest links relay load "
      "reports"},
-    {"limits", "servers", CW_SETTING_COUNT_KIND, AT(servers), "0", 0, 10000000,
+    {"limits", "servers", CW_SETTING_INTEGER, AT(servers), "0", 0, 10000000,
      "most servers of all pools together, 0: as many as fit a quarter of the memory"},
-    {"limits", "suspects", CW_SETTING_COUNT_KIND, AT(suspects), "4096", 64, 1000000,
+    {"limits", "suspects", CW_SETTING_INTEGER, AT(suspects), "4096", 64, 1000000,
      "most requests remembered because servers crashed while running them, at most a quarter of them of one workspace"},
     {"service", "lookup_keep", CW_SETTING_MS, AT(lookup_keep_ms), "1s", 100, 600000,
      "how long callers may keep a lookup response"},
@@ -62,7 +62,7 @@
     {"service", "hold", CW_SETTING_MS, AT(hold_ms), "30m", 1000, 86400000,
      "how long a server crash counts against the request that ran there; with three such servers the request is "
      "quarantined"},
-    {"service", "rest_max", CW_SETTING_MS, AT(rest_max_ms), "30m", 1000, 86400000,
+    {"service", "rest_max", CW_SETTING_MS, AT(backoff_max_ms), "30m", 1000, 86400000,
      "longest backoff that a server can request from this host (503 or 429 with Retry-After)"},
     {"log", "level", CW_SETTING_NAME, AT(log_level), "info", 0, 0, "debug, info, warn or error"},
     {"log", "format", CW_SETTING_NAME, AT(log_format), "text", 0, 0, "text or json"},
@@ -83,7 +83,7 @@
     return shortest_bound_ms(s) / POLLS_PER_BOUND;
 }
 
-uint32_t gateway_settings_late_ms(const gateway_settings_t* s) {
+uint32_t gateway_settings_last_rank_age_ms(const gateway_settings_t* s) {
     return (uint32_t)(shortest_bound_ms(s) * LAST_RANK_SHARE);
 }
 
@@ -96,10 +96,10 @@
     memset(settings, 0, sizeof(*settings));
     cw_settings_read(path, table, sizeof(table) / sizeof(table[0]), settings, errors);
     if (settings->log_level[0]) {
-        cw_settings_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
-        cw_settings_choice(path, "log", "format", settings->log_format, " text json ", errors);
+        cw_settings_check_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
+        cw_settings_check_choice(path, "log", "format", settings->log_format, " text json ", errors);
     }
     settings->servers = settings->servers ? settings->servers : default_max_servers(settings);
-    settings->read_ms = settings->read_ms ? settings->read_ms : default_poll_age_ms(settings);
+    settings->poll_age_ms = settings->poll_age_ms ? settings->poll_age_ms : default_poll_age_ms(settings);
     return errors->count ? CW_ERR_INVALID : CW_OK;
 }
--- a/gateway/settings.h
+++ b/gateway/settings.h
@@ -22,8 +22,8 @@
     uint32_t seed_port;
     /* [source] */
     char source[CW_NAME_MAX];
-    uint32_t servers; /* 0 in the file: computed from the memory */
-    uint32_t read_ms; /* 0 in the file: computed from apply_ms and drain_ms */
+    uint32_t servers;     /* 0 in the file: computed from the memory */
+    uint32_t poll_age_ms; /* 0 in the file: computed from apply_ms and drain_ms */
     uint32_t apply_ms;
     uint32_t drain_ms;
     uint32_t close_ms;
@@ -39,7 +39,7 @@
     double retry_ratio;
     double retry_slack;
     uint32_t hold_ms;
-    uint32_t rest_max_ms;
+    uint32_t backoff_max_ms;
     /* [log] */
     char log_level[CW_NAME_MAX];
     char log_format[CW_NAME_MAX];
@@ -50,6 +50,6 @@
 /* Reads and validates the file. Fails with every fault of the file in errors. */
 cw_status_t gateway_settings_load(const char* path, gateway_settings_t* settings, cw_settings_errors_t* errors);
 /* Age of the configuration or the list of servers at which even the host of the last rank polls the source. */
-uint32_t gateway_settings_late_ms(const gateway_settings_t* settings);
+uint32_t gateway_settings_last_rank_age_ms(const gateway_settings_t* settings);
 
 #endif
--- a/gateway/sync.c
+++ b/gateway/sync.c
@@ -22,7 +22,7 @@
     fetch_t* f = user;
     (void)status;
     (void)content_type;
-    const char* field = f->sync->desc.source->life_field;
+    const char* field = f->sync->desc.source->epoch_field;
     const char* epoch = f->is_source && field ? cw_call_header(f->call, field) : NULL;
     cw_copy(f->epoch, sizeof(f->epoch), epoch ? epoch : "");
 }
@@ -32,11 +32,11 @@
     cw_buffer_t body = f->body;
     f->body = (cw_buffer_t){0};
     f->call = NULL;
-    cw_life_verdict_t epoch = result->whole && f->epoch[0] ? sync_hear_life(f->sync, f->epoch) : CW_LIFE_SAME;
-    if (epoch == CW_LIFE_OLDER) {
+    cw_epoch_verdict_t epoch = result->whole && f->epoch[0] ? sync_check_epoch(f->sync, f->epoch) : CW_EPOCH_SAME;
+    if (epoch == CW_EPOCH_OLDER) {
         f->on_failure(f->sync, "a response of an earlier epoch");
-    } else if (epoch == CW_LIFE_NEWER && f == &f->sync->servers) {
-        sync_read_whole(f->sync); /* the request named a revision of the previous epoch */
+    } else if (epoch == CW_EPOCH_NEWER && f == &f->sync->servers) {
+        sync_poll_full_list(f->sync); /* the request named a revision of the previous epoch */
     } else if (result->whole) {
         f->on_response(f->sync, result->status, cw_buffer_text(&body), body.size);
     } else {
@@ -45,13 +45,13 @@
     cw_buffer_free(&body);
 }
 
-void sync_fetch(fetch_t* f, const char* address, const char* path, uint32_t timeout_ms) {
+void sync_begin_fetch(fetch_t* f, const char* address, const char* path, uint32_t timeout_ms) {
     char url[512];
     snprintf(url, sizeof(url), "http://%s%s", address, path);
     cw_copy(f->address, sizeof(f->address), address);
     f->epoch[0] = 0;
     f->call = cw_client_call(f->client, &(cw_call_desc_t){.url = url,
-                                                          .connect_ms = CALL_TIMEOUT_MS,
+                                                          .connect_timeout_ms = CALL_TIMEOUT_MS,
                                                           .timeout_ms = timeout_ms,
                                                           .on_head = on_head,
                                                           .on_data = on_data,
@@ -59,7 +59,7 @@
                                                           .user_data = f});
 }
 
-void sync_fetch_cancel(fetch_t* f) {
+void sync_cancel_fetch(fetch_t* f) {
     if (f->call) {
         cw_call_cancel(f->call);
         f->call = NULL;
@@ -67,20 +67,20 @@
     }
 }
 
-uint64_t sync_draw(sync_t* s) {
+uint64_t sync_random(sync_t* s) {
     return cw_mix(s->desc.seed, ++s->random_count);
 }
 
-void sync_fetch_ok(fetch_t* f) {
+void sync_reset_backoff(fetch_t* f) {
     f->failures = 0;
     f->not_before_ms = 0;
 }
 
 /* -- applying documents --------------------------------------------------- */
 
-void sync_adopt_catalog(sync_t* s, char* text, const char* from) {
+void sync_apply_catalog(sync_t* s, char* text, const char* from) {
     cw_error_t err = {0};
-    cw_catalog_t* catalog = cw_catalog_read(text, strlen(text), &err);
+    cw_catalog_t* catalog = cw_catalog_parse(text, strlen(text), &err);
     if (!catalog) {
         cw_log(s->desc.log, CW_EVENT_CONFIG_INVALID, "peer=%s step=%s reason=\"%s\" revision=%lld", from, err.step,
                err.message, (long long)sync_revision(s));
@@ -103,7 +103,7 @@
 }
 
 /* Logs invalid entries. Entries within REFUSALS_LOG_INTERVAL_MS of the last line are counted in the next one. */
-static void log_refused_entries(sync_t* s, const cw_refused_t* refused) {
+static void log_refused_entries(sync_t* s, const cw_refused_entries_t* refused) {
     int64_t now_ms = clock_ms();
     s->stats.entries_refused += refused->count;
     s->unlogged_refusals += refused->count;
@@ -118,41 +118,41 @@
 
 /* A source that was restored from a copy lacks halls that were closed after the copy was made. They stay closed until
    the operator had time to close them again. */
-static void keep_previous_closed(sync_t* s, cw_closed_t* closed) {
+static void keep_previous_closed(sync_t* s, cw_closed_halls_t* closed) {
     for (uint32_t i = 0; i < s->previous_closed.count && clock_ms() < s->previous_closed_until_ms; i++) {
-        cw_closed_add(closed, s->previous_closed.halls[i]); /* fails when CW_CLOSED_MAX halls are closed */
+        cw_closed_halls_add(closed, s->previous_closed.halls[i]); /* fails when CW_CLOSED_MAX halls are closed */
     }
 }
 
-void sync_adopt_servers(sync_t* s, cw_servers_t* list, int64_t true_ms) {
-    if (true_ms < s->list_confirmed_ms) {
+void sync_apply_servers(sync_t* s, cw_servers_t* list, int64_t confirmed_ms) {
+    if (confirmed_ms < s->list_confirmed_ms) {
         cw_servers_free(list);
         return;
     }
     bool first = s->list_confirmed_ms == NEVER;
-    bool after_outage = !first && (true_ms - s->list_confirmed_ms >= OUTAGE_MS || s->awaits_epoch_list);
+    bool after_outage = !first && (confirmed_ms - s->list_confirmed_ms >= OUTAGE_MS || s->awaits_epoch_list);
     s->awaits_epoch_list = false;
     if (list->closed.at < s->list.closed.at) {
         list->closed = s->list.closed; /* read later than this list's */
     }
     keep_previous_closed(s, &list->closed);
-    cw_servers_drop_unstarted(list);
+    cw_servers_refuse_without_start(list);
     log_refused_entries(s, &list->refused);
     cw_servers_sort(list);
     bool same = !first && cw_servers_equal(&s->list, list);
-    cw_changes_note(&s->changes, &s->list, list);
+    cw_changes_record(&s->changes, &s->list, list);
     cw_servers_free(&s->list);
     s->list = *list;
     *list = (cw_servers_t){0};
-    s->list_id = cw_servers_id(&s->list);
-    s->list_confirmed_ms = true_ms;
+    s->list_id = cw_servers_hash(&s->list);
+    s->list_confirmed_ms = confirmed_ms;
     cw_pull_cancel(&s->servers_pull);
     if (!same) {
         s->desc.on_servers(s->desc.user_data, &s->list, after_outage);
     }
 }
 
-void sync_refuse_answer(sync_t* s, const char* from, const cw_error_t* err) {
+void sync_log_invalid_response(sync_t* s, const char* from, const cw_error_t* err) {
     cw_log(s->desc.log, CW_EVENT_CONFIG_INVALID, "peer=%s step=%s reason=\"%s\" revision=%lld", from, err->step,
            err->message, (long long)sync_revision(s));
 }
@@ -164,11 +164,11 @@
     s->poller.daemons = daemons;
 }
 
-uint32_t sync_age(int64_t true_ms, int64_t now_ms) {
-    return true_ms == NEVER || now_ms - true_ms > UINT32_MAX ? UINT32_MAX : (uint32_t)(now_ms - true_ms);
+uint32_t sync_age_ms(int64_t confirmed_ms, int64_t now_ms) {
+    return confirmed_ms == NEVER || now_ms - confirmed_ms > UINT32_MAX ? UINT32_MAX : (uint32_t)(now_ms - confirmed_ms);
 }
 
-bool sync_ready(const sync_t* s) {
+bool sync_is_ready(const sync_t* s) {
     return s->active_catalog && s->list_confirmed_ms != NEVER;
 }
 
@@ -184,21 +184,22 @@
     sync_stats_t stats = s->stats;
     stats.revision = sync_revision(s);
     stats.servers_age_ms = s->list_confirmed_ms == NEVER ? -1 : clock_ms() - s->list_confirmed_ms;
-    stats.source_lost = s->is_unavailable;
+    stats.is_source_lost = s->is_unavailable;
     return stats;
 }
 
 void sync_tick(sync_t* s, int64_t now_ms) {
-    sync_pull_due(s, now_ms);
-    bool list_offered = s->list_confirmed_ms == NEVER && sync_is_offered(s, &s->peer_servers, &s->servers_pull, now_ms);
-    bool catalog_offered = !s->active_catalog && sync_is_offered(s, &s->peer_catalog, &s->catalog_pull, now_ms);
+    sync_run_due_pulls(s, now_ms);
+    bool list_offered =
+        s->list_confirmed_ms == NEVER && sync_is_offered_by_peer(s, &s->peer_servers, &s->servers_pull, now_ms);
+    bool catalog_offered = !s->active_catalog && sync_is_offered_by_peer(s, &s->peer_catalog, &s->catalog_pull, now_ms);
     if (!s->servers.call && now_ms >= s->servers.not_before_ms && !list_offered &&
-        cw_reader_due(&s->poller, s->list_confirmed_ms, now_ms)) {
-        sync_read_servers(s, now_ms);
+        cw_poll_is_due(&s->poller, s->list_confirmed_ms, now_ms)) {
+        sync_poll_servers(s, now_ms);
     }
     if (!s->catalog.call && now_ms >= s->catalog.not_before_ms && !catalog_offered &&
-        cw_reader_due(&s->poller, s->catalog_confirmed_ms, now_ms)) {
-        sync_read_catalog(s);
+        cw_poll_is_due(&s->poller, s->catalog_confirmed_ms, now_ms)) {
+        sync_poll_catalog(s);
     }
 }
 
@@ -213,18 +214,18 @@
         abort();
     }
     s->desc = *desc;
-    s->poller = (cw_reader_t){.read_ms = desc->read_ms,
-                              .late_ms = desc->late_ms,
-                              .daemons = 1,
-                              .started_ms = clock_ms(),
-                              .nobody_calls = desc->nobody_calls,
-                              .seed = desc->seed};
+    s->poller = (cw_poll_t){.poll_age_ms = desc->poll_age_ms,
+                            .last_rank_poll_age_ms = desc->last_rank_poll_age_ms,
+                            .daemons = 1,
+                            .started_ms = clock_ms(),
+                            .is_first_start = desc->is_first_start,
+                            .seed = desc->seed};
     s->list_confirmed_ms = s->catalog_confirmed_ms = s->incoming_started_ms = s->closed_read_ms = NEVER;
     s->share_httpd =
         cw_httpd_setup(&(cw_httpd_desc_t){.loop = desc->loop,
                                           .address = desc->share,
                                           .max_connections = desc->share_connections ? desc->share_connections : 64,
-                                          .idle_s = 10,
+                                          .idle_timeout_s = 10,
                                           .on_request = sync_on_share_request,
                                           .user_data = s},
                        err);
@@ -233,18 +234,18 @@
         return NULL;
     }
     s->client = cw_client_setup(desc->loop, 8);
-    init_fetch(s, &s->catalog, sync_on_catalog_answer, sync_on_catalog_failure);
-    init_fetch(s, &s->servers, sync_on_servers_answer, sync_on_servers_failure);
+    init_fetch(s, &s->catalog, sync_on_catalog_response, sync_on_catalog_failure);
+    init_fetch(s, &s->servers, sync_on_servers_response, sync_on_servers_failure);
     s->catalog.is_source = s->servers.is_source = true;
-    init_fetch(s, &s->peer_catalog, sync_on_peer_catalog, sync_on_peer_catalog_failure);
-    init_fetch(s, &s->peer_servers, sync_on_peer_servers, sync_on_peer_servers_failure);
+    init_fetch(s, &s->peer_catalog, sync_on_peer_catalog_response, sync_on_peer_catalog_failure);
+    init_fetch(s, &s->peer_servers, sync_on_peer_servers_response, sync_on_peer_servers_failure);
     return s;
 }
 
 void sync_shutdown(sync_t* s) {
     fetch_t* const fetches[] = {&s->catalog, &s->servers, &s->peer_catalog, &s->peer_servers};
     for (size_t i = 0; i < sizeof(fetches) / sizeof(fetches[0]); i++) {
-        sync_fetch_cancel(fetches[i]);
+        sync_cancel_fetch(fetches[i]);
     }
     cw_client_shutdown(s->client);
     cw_httpd_shutdown(s->share_httpd);
--- a/gateway/sync.h
+++ b/gateway/sync.h
@@ -31,14 +31,14 @@
     struct ev_loop* loop;
     const cw_log_t* log;
     const source_t* source;
-    const char* address;        /* of the source */
-    const char* share;          /* address at which peers read the documents */
-    uint32_t share_connections; /* most connections of peers, default 64 */
-    uint64_t seed;              /* of this host; spreads the polls of daemons that start together */
-    uint32_t closed_ms;         /* age at which the closed halls are polled along with the servers, 0: never */
-    uint32_t read_ms;           /* age at which the daemon of the first rank polls again */
-    uint32_t late_ms;           /* age at which the daemon of the last rank does, 0: see chalkway_reader.h */
-    bool nobody_calls;          /* the whole system starts for the first time, there is no traffic yet */
+    const char* address;            /* of the source */
+    const char* share;              /* address at which peers read the documents */
+    uint32_t share_connections;     /* most connections of peers, default 64 */
+    uint64_t seed;                  /* of this host; spreads the polls of daemons that start together */
+    uint32_t closed_poll_age_ms;    /* age at which the closed halls are polled along with the servers, 0: never */
+    uint32_t poll_age_ms;           /* age at which the daemon of the first rank polls again */
+    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank does, 0: see chalkway_reader.h */
+    bool is_first_start;            /* the whole system starts for the first time, there is no traffic yet */
     /* The configuration changed. */
     void (*on_catalog)(void* user_data, cw_catalog_t* catalog);
     /* The list of servers changed. after_outage: the list before was not confirmed by the source for long, or is of an
@@ -52,20 +52,20 @@
     uint64_t entries_refused; /* invalid entries in lists of servers */
     int64_t revision;
     int64_t servers_age_ms; /* since the list was last known to be current, -1: no list yet */
-    bool source_lost;       /* the last call to the source failed */
+    bool is_source_lost;    /* the last call to the source failed */
 } sync_stats_t;
 
 sync_t* sync_setup(const sync_desc_t* desc, cw_error_t* err);
 void sync_shutdown(sync_t* s);
 /* Whether there are a configuration and a list of servers. */
-bool sync_ready(const sync_t* s);
+bool sync_is_ready(const sync_t* s);
 /* Revision of the active configuration, 0: none yet. */
 int64_t sync_revision(const sync_t* s);
 /* The source state of this daemon, to be sent to the peers. */
-cw_knowledge_t sync_knowledge(const sync_t* s);
+cw_source_state_t sync_source_state(const sync_t* s);
 /* A peer's source state was received: ages are adjusted, and newer documents will be fetched from peers. share: address
    at which the peer serves its documents; far: the peer is in another hall. */
-void sync_on_peer(sync_t* s, const char* share, bool far, const cw_knowledge_t* knowledge);
+void sync_on_peer_state(sync_t* s, const char* share, bool far, const cw_source_state_t* source_state);
 /* rank: of this daemon among those that are alive, 0 first; daemons: most that were known at once. */
 void sync_set_rank(sync_t* s, uint32_t rank, uint32_t daemons);
 void sync_tick(sync_t* s, int64_t now_ms);
--- a/gateway/sync_parts.h
+++ b/gateway/sync_parts.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_SYNC_PARTS_H
-#define CW_GATEWAY_SYNC_PARTS_H
+#ifndef CW_GATEWAY_SYNC_INTERNAL_H
+#define CW_GATEWAY_SYNC_INTERNAL_H
 /*
     Shared by the source files of sync.h: sync.c applies documents and decides when to poll, sync_source.c polls the
     source, sync_peers.c fetches from peers and serves them.
@@ -14,7 +14,7 @@
 #include "sync.h"
 
 #define CALL_TIMEOUT_MS 1000 /* of a call to the source or a peer */
-#define NEVER CW_READER_NEVER
+#define NEVER CW_POLL_NEVER
 
 /* Calls of one kind to the source or to peers, one at a time. */
 typedef struct fetch_t {
@@ -53,16 +53,16 @@
     bool has_full_list; /* the active list came in full, to this daemon or a peer; false: read it in full again */
     uint32_t delta_poll_count; /* polls for changes since the last full list */
     uint64_t list_id;
-    cw_changes_t changes;        /* recent changes of the active list, to be served to peers */
-    bool needs_full_list;        /* from a peer, since its changes did not lead to its list */
-    int64_t list_confirmed_ms;   /* when the active list was last known to be current at the source, NEVER: no list */
-    cw_life_t epoch;             /* of the source */
-    bool awaits_epoch_list;      /* the active list is of an earlier epoch */
-    cw_closed_t previous_closed; /* halls that were closed in the epoch before */
-    int64_t previous_closed_until_ms; /* they stay closed until then */
-    int64_t epoch_logged_ms;          /* last log line on an invalid epoch */
+    cw_changes_t changes;      /* recent changes of the active list, to be served to peers */
+    bool needs_full_list;      /* from a peer, since its changes did not lead to its list */
+    int64_t list_confirmed_ms; /* when the active list was last known to be current at the source, NEVER: no list */
+    cw_epoch_t epoch;          /* of the source */
+    bool awaits_epoch_list;    /* the active list is of an earlier epoch */
+    cw_closed_halls_t previous_closed; /* halls that were closed in the epoch before */
+    int64_t previous_closed_until_ms;  /* they stay closed until then */
+    int64_t epoch_logged_ms;           /* last log line on an invalid epoch */
     cw_pull_t catalog_pull, servers_pull;
-    cw_reader_t poller;
+    cw_poll_t poller;
     uint64_t random_count; /* random numbers drawn so far */
     bool is_unavailable;   /* the last call to the source failed */
     sync_stats_t stats;
@@ -72,46 +72,46 @@
 
 /* -- sync.c ---------------------------------------------------------------- */
 
-void sync_fetch(fetch_t* f, const char* address, const char* path, uint32_t timeout_ms);
-void sync_fetch_cancel(fetch_t* f);
+void sync_begin_fetch(fetch_t* f, const char* address, const char* path, uint32_t timeout_ms);
+void sync_cancel_fetch(fetch_t* f);
 /* The call succeeded: the next one needs no backoff. */
-void sync_fetch_ok(fetch_t* f);
+void sync_reset_backoff(fetch_t* f);
 /* A random number. */
-uint64_t sync_draw(sync_t* s);
-/* Age of a document that was current at true_ms, in the form that is sent to peers. */
-uint32_t sync_age(int64_t true_ms, int64_t now_ms);
+uint64_t sync_random(sync_t* s);
+/* Age of a document that was current at confirmed_ms, in the form that is sent to peers. */
+uint32_t sync_age_ms(int64_t confirmed_ms, int64_t now_ms);
 /* Makes a native document the active configuration, unless it is older. Takes ownership of the text. */
-void sync_adopt_catalog(sync_t* s, char* text, const char* from);
-/* Makes a list that was current at true_ms the active one, unless it is older. Takes ownership of the list. */
-void sync_adopt_servers(sync_t* s, cw_servers_t* list, int64_t true_ms);
+void sync_apply_catalog(sync_t* s, char* text, const char* from);
+/* Makes a list that was current at confirmed_ms the active one, unless it is older. Takes ownership of the list. */
+void sync_apply_servers(sync_t* s, cw_servers_t* list, int64_t confirmed_ms);
 /* Logs a response that can't be used. */
-void sync_refuse_answer(sync_t* s, const char* from, const cw_error_t* err);
+void sync_log_invalid_response(sync_t* s, const char* from, const cw_error_t* err);
 
 /* -- sync_source.c --------------------------------------------------------- */
 
-void sync_read_catalog(sync_t* s);
+void sync_poll_catalog(sync_t* s);
 /* Requests the changes, or the next page of the full list. */
-void sync_read_servers(sync_t* s, int64_t now_ms);
+void sync_poll_servers(sync_t* s, int64_t now_ms);
 /* Requests the first page of the full list. */
-void sync_read_whole(sync_t* s);
+void sync_poll_full_list(sync_t* s);
 /* Discards the list that is being read. */
-void sync_drop_pages(sync_t* s);
+void sync_discard_pending(sync_t* s);
 /* Checks the epoch that a response of the source names, and switches to it if it is newer. */
-cw_life_verdict_t sync_hear_life(sync_t* s, const char* epoch);
-void sync_on_catalog_answer(sync_t* s, unsigned status, const char* body, size_t size);
+cw_epoch_verdict_t sync_check_epoch(sync_t* s, const char* epoch);
+void sync_on_catalog_response(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_catalog_failure(sync_t* s, const char* why);
-void sync_on_servers_answer(sync_t* s, unsigned status, const char* body, size_t size);
+void sync_on_servers_response(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_servers_failure(sync_t* s, const char* why);
 
 /* -- sync_peers.c ---------------------------------------------------------- */
 
 /* Fetches documents that peers offered, when the fetch is due. */
-void sync_pull_due(sync_t* s, int64_t now_ms);
+void sync_run_due_pulls(sync_t* s, int64_t now_ms);
 /* Shortly after the start: a peer offered the missing document, the fetch is pending or running, and none failed. */
-bool sync_is_offered(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms);
-void sync_on_peer_catalog(sync_t* s, unsigned status, const char* body, size_t size);
+bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms);
+void sync_on_peer_catalog_response(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_peer_catalog_failure(sync_t* s, const char* why);
-void sync_on_peer_servers(sync_t* s, unsigned status, const char* body, size_t size);
+void sync_on_peer_servers_response(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_peer_servers_failure(sync_t* s, const char* why);
 void sync_on_share_request(cw_exchange_t* x, void* user);
 
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -13,7 +13,7 @@
 /* Sets the retry backoff after a failed call to a peer: short and independent of the rank, since another peer is asked
    next. */
 static void schedule_peer_retry(fetch_t* f) {
-    f->not_before_ms = clock_ms() + cw_reader_pause_ms(&(cw_reader_t){0}, ++f->failures, sync_draw(f->sync));
+    f->not_before_ms = clock_ms() + cw_poll_backoff_ms(&(cw_poll_t){0}, ++f->failures, sync_random(f->sync));
 }
 
 /* -- peers ---------------------------------------------------------------- */
@@ -23,10 +23,10 @@
     schedule_peer_retry(&s->peer_catalog);
 }
 
-void sync_on_peer_catalog(sync_t* s, unsigned status, const char* body, size_t size) {
-    sync_fetch_ok(&s->peer_catalog);
+void sync_on_peer_catalog_response(sync_t* s, unsigned status, const char* body, size_t size) {
+    sync_reset_backoff(&s->peer_catalog);
     if (status == 200 && size) {
-        sync_adopt_catalog(s, strndup(body, size), s->peer_catalog.address);
+        sync_apply_catalog(s, strndup(body, size), s->peer_catalog.address);
     }
 }
 
@@ -38,7 +38,7 @@
 /* Reads a peer's changes and applies them to a copy of the active list. */
 static cw_status_t read_peer_delta(sync_t* s, cw_servers_t* list, const char* body, size_t size, cw_error_t* err) {
     cw_delta_t delta = {0};
-    if (cw_delta_read(&delta, body, size, err) != CW_OK) {
+    if (cw_delta_from_json(&delta, body, size, err) != CW_OK) {
         return CW_ERR_INVALID;
     }
     cw_servers_copy(list, &s->list);
@@ -56,9 +56,9 @@
 /* A newer full list of a peer counts as if it were read here in full, so the next poll asks for changes only. Pages of
    the same list that are being read meanwhile are discarded. */
 static void apply_peer_list(sync_t* s, cw_servers_t* list, cw_changes_t* changes, bool delta) {
-    int64_t true_ms = clock_ms() - list->age_ms;
-    bool newer = true_ms >= s->list_confirmed_ms;
-    sync_adopt_servers(s, list, true_ms);
+    int64_t confirmed_ms = clock_ms() - list->age_ms;
+    bool newer = confirmed_ms >= s->list_confirmed_ms;
+    sync_apply_servers(s, list, confirmed_ms);
     if (newer && !delta) {
         s->has_full_list = true;
     }
@@ -68,58 +68,60 @@
         *changes = (cw_changes_t){0};
     }
     cw_changes_free(changes);
-    if (newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && true_ms >= s->incoming_started_ms) {
-        sync_fetch_cancel(&s->servers);
-        sync_drop_pages(s);
-        sync_fetch_ok(&s->servers);
+    if (newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && confirmed_ms >= s->incoming_started_ms) {
+        sync_cancel_fetch(&s->servers);
+        sync_discard_pending(s);
+        sync_reset_backoff(&s->servers);
     }
 }
 
-void sync_on_peer_servers(sync_t* s, unsigned status, const char* body, size_t size) {
+void sync_on_peer_servers_response(sync_t* s, unsigned status, const char* body, size_t size) {
     cw_servers_t list = {0};
     cw_changes_t changes = {0};
     cw_error_t err = {0};
-    sync_fetch_ok(&s->peer_servers);
+    sync_reset_backoff(&s->peer_servers);
     if (status != 200) {
         return;
     }
     s->needs_full_list = false;
-    bool delta = cw_delta_is(body, size);
-    cw_status_t read = delta                      ? read_peer_delta(s, &list, body, size, &err)
-                       : cw_packed_is(body, size) ? cw_packed_read(&list, &changes, body, size, &err)
-                                                  : cw_servers_read(&list, body, size, &err);
+    bool delta = cw_delta_is_json(body, size);
+    cw_status_t read = delta                             ? read_peer_delta(s, &list, body, size, &err)
+                       : cw_packed_has_magic(body, size) ? cw_packed_decode(&list, &changes, body, size, &err)
+                                                         : cw_servers_from_json(&list, body, size, &err);
     if (read != CW_OK) {
-        sync_refuse_answer(s, s->peer_servers.address, &err);
+        sync_log_invalid_response(s, s->peer_servers.address, &err);
         return;
     }
     apply_peer_list(s, &list, &changes, delta);
 }
 
 /* Notes that a peer offers a newer document. */
-static void note_offer(sync_t* s, const fetch_t* f, cw_pull_t* pull, const char* peer, bool far, uint64_t version) {
+static void note_offer(sync_t* s, const fetch_t* f, cw_pull_t* pull, const char* peer, bool is_remote,
+                       uint64_t version) {
     int64_t now_ms = clock_ms();
     if (f->call || now_ms < f->not_before_ms) {
         return;
     }
-    cw_pull_told(pull, &(cw_pull_offer_t){.now_ms = now_ms,
-                                          .version = version,
-                                          .peer = peer,
-                                          .far = far,
-                                          .daemons = s->poller.daemons,
-                                          .draw = sync_draw(s)});
+    cw_pull_add_offer(pull, &(cw_pull_offer_t){.now_ms = now_ms,
+                                               .version = version,
+                                               .peer = peer,
+                                               .is_remote = is_remote,
+                                               .daemons = s->poller.daemons,
+                                               .random = sync_random(s)});
 }
 
 /* Starts the fetch from a peer when it is due. */
-static void run_pull(sync_t* s, fetch_t* f, cw_pull_t* wanted, const char* path, uint32_t timeout_ms, int64_t now_ms) {
-    const char* peer = cw_pull_due(wanted, now_ms);
+static void run_pull(sync_t* s, fetch_t* f, cw_pull_t* is_wanted, const char* path, uint32_t timeout_ms,
+                     int64_t now_ms) {
+    const char* peer = cw_pull_due(is_wanted, now_ms);
     if (peer) {
         s->stats.peer_calls++;
-        sync_fetch(f, peer, path, timeout_ms);
+        sync_begin_fetch(f, peer, path, timeout_ms);
     }
 }
 
-bool sync_is_offered(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms) {
-    return (wanted->wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
+bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* is_wanted, int64_t now_ms) {
+    return (is_wanted->is_wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
 }
 
 /* Writes the path at which a peer's list is read. Returns whether it asks only for the changes since the active list.
@@ -134,7 +136,7 @@
     return changes;
 }
 
-void sync_pull_due(sync_t* s, int64_t now_ms) {
+void sync_run_due_pulls(sync_t* s, int64_t now_ms) {
     char path[64];
     bool changes = peer_servers_path(s, path, sizeof(path));
     run_pull(s, &s->peer_catalog, &s->catalog_pull, "/catalog", CALL_TIMEOUT_MS, now_ms);
@@ -142,12 +144,12 @@
              now_ms);
 }
 
-void sync_on_peer(sync_t* s, const char* share, bool far, const cw_knowledge_t* k) {
+void sync_on_peer_state(sync_t* s, const char* share, bool is_remote, const cw_source_state_t* k) {
     int64_t now_ms = clock_ms();
     int64_t catalog_confirmed_ms = now_ms - k->revision_age_ms;
     int64_t list_confirmed_ms = now_ms - k->servers_age_ms;
     if ((int64_t)k->revision > sync_revision(s)) {
-        note_offer(s, &s->peer_catalog, &s->catalog_pull, share, far, k->revision);
+        note_offer(s, &s->peer_catalog, &s->catalog_pull, share, is_remote, k->revision);
     } else if (k->revision && (int64_t)k->revision == sync_revision(s) &&
                catalog_confirmed_ms > s->catalog_confirmed_ms) {
         s->catalog_confirmed_ms = catalog_confirmed_ms;
@@ -155,16 +157,16 @@
     if (k->servers && k->servers == s->list_id) {
         s->list_confirmed_ms = list_confirmed_ms > s->list_confirmed_ms ? list_confirmed_ms : s->list_confirmed_ms;
     } else if (k->servers && list_confirmed_ms > s->list_confirmed_ms) {
-        note_offer(s, &s->peer_servers, &s->servers_pull, share, far, k->servers);
+        note_offer(s, &s->peer_servers, &s->servers_pull, share, is_remote, k->servers);
     }
 }
 
-cw_knowledge_t sync_knowledge(const sync_t* s) {
+cw_source_state_t sync_source_state(const sync_t* s) {
     int64_t now_ms = clock_ms();
-    return (cw_knowledge_t){.revision = (uint64_t)sync_revision(s),
-                            .servers = s->list_id,
-                            .revision_age_ms = sync_age(s->catalog_confirmed_ms, now_ms),
-                            .servers_age_ms = sync_age(s->list_confirmed_ms, now_ms)};
+    return (cw_source_state_t){.revision = (uint64_t)sync_revision(s),
+                               .servers = s->list_id,
+                               .revision_age_ms = sync_age_ms(s->catalog_confirmed_ms, now_ms),
+                               .servers_age_ms = sync_age_ms(s->list_confirmed_ms, now_ms)};
 }
 
 /* -- serving peers -------------------------------------------------------- */
@@ -174,14 +176,14 @@
 static char* encode_servers(sync_t* s, const char* since, bool packed, size_t* size) {
     cw_delta_t delta = {0};
     char* text = NULL;
-    s->list.age_ms = sync_age(s->list_confirmed_ms, clock_ms());
-    if (since && cw_changes_since(&s->changes, &s->list, strtoll(since, NULL, 10), &delta)) {
+    s->list.age_ms = sync_age_ms(s->list_confirmed_ms, clock_ms());
+    if (since && cw_changes_get_delta(&s->changes, &s->list, strtoll(since, NULL, 10), &delta)) {
         delta.age_ms = s->list.age_ms;
-        text = cw_delta_text(&delta);
+        text = cw_delta_to_json(&delta);
     } else if (packed) {
-        return cw_packed_write(&s->list, &s->changes, size);
+        return cw_packed_encode(&s->list, &s->changes, size);
     } else {
-        text = cw_servers_text(&s->list);
+        text = cw_servers_to_json(&s->list);
     }
     cw_delta_free(&delta);
     *size = strlen(text);
@@ -200,7 +202,7 @@
     } else if (strcmp(path, "/servers") == 0 && s->list_confirmed_ms != NEVER) {
         size_t size = 0;
         char* text = encode_servers(s, cw_exchange_arg(x, "since"), cw_exchange_arg(x, "packed") != NULL, &size);
-        cw_exchange_reply(x, 200, cw_packed_is(text, size) ? &msgpack : &json, 1, text, size);
+        cw_exchange_reply(x, 200, cw_packed_has_magic(text, size) ? &msgpack : &json, 1, text, size);
         free(text);
     } else {
         cw_exchange_reply(x, 404, NULL, 0, "", 0);
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -15,7 +15,7 @@
 
 /* Sets the retry backoff after a failed call to the source. */
 static void schedule_retry(fetch_t* f) {
-    f->not_before_ms = clock_ms() + cw_reader_pause_ms(&f->sync->poller, ++f->failures, sync_draw(f->sync));
+    f->not_before_ms = clock_ms() + cw_poll_backoff_ms(&f->sync->poller, ++f->failures, sync_random(f->sync));
 }
 
 static void on_source_failure(sync_t* s, fetch_t* f, const char* why) {
@@ -41,8 +41,8 @@
     on_source_failure(s, &s->catalog, why);
 }
 
-void sync_on_catalog_answer(sync_t* s, unsigned status, const char* body, size_t size) {
-    source_news_t update = {0};
+void sync_on_catalog_response(sync_t* s, unsigned status, const char* body, size_t size) {
+    source_update_t update = {0};
     cw_error_t err = {0};
     if (status != 200) {
         char why[32];
@@ -51,30 +51,30 @@
         return;
     }
     if (s->desc.source->read_catalog(body, size, s->catalog_version, &update, &err) != CW_OK) {
-        sync_refuse_answer(s, s->desc.address, &err);
+        sync_log_invalid_response(s, s->desc.address, &err);
         free(update.catalog);
         schedule_retry(&s->catalog);
         return;
     }
     on_source_success(s);
-    sync_fetch_ok(&s->catalog);
-    s->catalog_version = update.mark;
+    sync_reset_backoff(&s->catalog);
+    s->catalog_version = update.version;
     if (update.catalog) {
-        sync_adopt_catalog(s, update.catalog, s->desc.address);
+        sync_apply_catalog(s, update.catalog, s->desc.address);
     }
     s->catalog_confirmed_ms = clock_ms();
 }
 
-void sync_read_catalog(sync_t* s) {
+void sync_poll_catalog(sync_t* s) {
     char path[256];
     s->stats.source_calls++;
     s->desc.source->catalog_path(path, sizeof(path), s->catalog_version);
-    sync_fetch(&s->catalog, s->desc.address, path, CALL_TIMEOUT_MS);
+    sync_begin_fetch(&s->catalog, s->desc.address, path, CALL_TIMEOUT_MS);
 }
 
 /* -- the source: servers -------------------------------------------------- */
 
-void sync_drop_pages(sync_t* s) {
+void sync_discard_pending(sync_t* s) {
     cw_servers_free(&s->incoming);
     s->page_after[0] = 0;
     s->page_count = 0;
@@ -87,7 +87,7 @@
    list. */
 static void keep_complete_pages(sync_t* s) {
     if (s->asks_for_changes || !s->page_after[0]) {
-        sync_drop_pages(s);
+        sync_discard_pending(s);
     }
 }
 
@@ -95,7 +95,7 @@
     char path[512];
     s->stats.source_calls++;
     s->desc.source->servers_path(path, sizeof(path), s->page_after);
-    sync_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
+    sync_begin_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
 }
 
 static void request_changes(sync_t* s) {
@@ -107,18 +107,18 @@
     s->changes_from = s->list.at;
     cw_servers_copy(&s->incoming, &s->list); /* the active list may be another one when the response comes */
     s->desc.source->changes_path(path, sizeof(path), s->list.at);
-    sync_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
+    sync_begin_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
 }
 
-void sync_read_whole(sync_t* s) {
-    sync_drop_pages(s);
+void sync_poll_full_list(sync_t* s) {
+    sync_discard_pending(s);
     s->incoming_started_ms = clock_ms();
     request_page(s);
 }
 
 /* Changes cost one call, the full list one call for each page. The list to which the changes apply may also be a peer's
    full list. */
-void sync_read_servers(sync_t* s, int64_t now_ms) {
+void sync_poll_servers(sync_t* s, int64_t now_ms) {
     bool can_poll_changes =
         s->desc.source->changes_path && s->list_confirmed_ms != NEVER && s->list.at && s->full_page_count != 1;
     if (s->incoming_started_ms != NEVER && now_ms - s->incoming_started_ms < PARTIAL_LIST_MAX_AGE_MS) {
@@ -126,10 +126,10 @@
         return;
     }
     if (can_poll_changes && s->has_full_list && s->delta_poll_count < DELTA_POLLS_MAX) {
-        sync_drop_pages(s);
+        sync_discard_pending(s);
         request_changes(s);
     } else {
-        sync_read_whole(s);
+        sync_poll_full_list(s);
     }
 }
 
@@ -147,62 +147,62 @@
     s->previous_closed = s->list.closed;
     s->previous_closed_until_ms = clock_ms() + RESTORED_CLOSED_HOLD_MS;
     s->list.closed.at = 0;
-    sync_fetch_cancel(&s->servers);
-    sync_drop_pages(s);
+    sync_cancel_fetch(&s->servers);
+    sync_discard_pending(s);
 }
 
-cw_life_verdict_t sync_hear_life(sync_t* s, const char* epoch) {
+cw_epoch_verdict_t sync_check_epoch(sync_t* s, const char* epoch) {
     int64_t previous = s->epoch.number;
-    cw_life_verdict_t verdict = cw_life_hear(&s->epoch, epoch);
+    cw_epoch_verdict_t verdict = cw_epoch_observe(&s->epoch, epoch);
     int64_t now_ms = clock_ms();
-    bool is_invalid = verdict == CW_LIFE_OLDER || verdict == CW_LIFE_MALFORMED;
-    if (verdict == CW_LIFE_NEWER) {
+    bool is_invalid = verdict == CW_EPOCH_OLDER || verdict == CW_EPOCH_MALFORMED;
+    if (verdict == CW_EPOCH_NEWER) {
         begin_epoch(s, previous);
     } else if (is_invalid && (!s->epoch_logged_ms || now_ms - s->epoch_logged_ms >= EPOCH_LOG_INTERVAL_MS)) {
         cw_log(s->desc.log, CW_EVENT_SOURCE_LIFE_ODD, "peer=%s life=\"%s\" verdict=%s known=%lld", s->desc.address,
-               epoch, verdict == CW_LIFE_OLDER ? "older" : "malformed", (long long)s->epoch.number);
+               epoch, verdict == CW_EPOCH_OLDER ? "older" : "malformed", (long long)s->epoch.number);
         s->epoch_logged_ms = now_ms;
     }
     return verdict;
 }
 
 static void apply_incoming(sync_t* s) {
-    sync_fetch_ok(&s->servers);
-    sync_adopt_servers(s, &s->incoming, s->incoming_started_ms);
-    sync_drop_pages(s);
+    sync_reset_backoff(&s->servers);
+    sync_apply_servers(s, &s->incoming, s->incoming_started_ms);
+    sync_discard_pending(s);
 }
 
 /* Requests the closed halls if the known ones are too old: the last call of a poll. Returns whether it did. */
 static bool request_closed(sync_t* s) {
-    bool due = s->closed_read_ms == NEVER || clock_ms() - s->closed_read_ms >= (int64_t)s->desc.closed_ms;
-    if (!s->desc.closed_ms || !s->desc.source->closed_path || !due) {
+    bool due = s->closed_read_ms == NEVER || clock_ms() - s->closed_read_ms >= (int64_t)s->desc.closed_poll_age_ms;
+    if (!s->desc.closed_poll_age_ms || !s->desc.source->closed_path || !due) {
         return false;
     }
     char path[256];
     s->stats.source_calls++;
     s->asks_for_closed = true;
     s->desc.source->closed_path(path, sizeof(path));
-    sync_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
+    sync_begin_fetch(&s->servers, s->desc.address, path, CALL_TIMEOUT_MS);
     return true;
 }
 
 /* The servers are applied without the closed halls, which stay as they are. */
 static void on_closed_failure(sync_t* s, const char* why) {
-    sync_adopt_servers(s, &s->incoming, s->incoming_started_ms);
-    sync_drop_pages(s);
+    sync_apply_servers(s, &s->incoming, s->incoming_started_ms);
+    sync_discard_pending(s);
     on_source_failure(s, &s->servers, why);
 }
 
 static void on_closed_response(sync_t* s, const char* body, size_t size) {
-    cw_closed_t closed = {0};
+    cw_closed_halls_t closed = {0};
     cw_error_t err = {0};
     if (s->desc.source->read_closed(body, size, &closed, &err) != CW_OK) {
-        sync_refuse_answer(s, s->desc.address, &err);
+        sync_log_invalid_response(s, s->desc.address, &err);
         on_closed_failure(s, err.message);
         return;
     }
     if (err.status != CW_OK) {
-        sync_refuse_answer(s, s->desc.address, &err); /* some halls were left out */
+        sync_log_invalid_response(s, s->desc.address, &err); /* some halls were left out */
     }
     s->closed_read_ms = clock_ms();
     s->incoming.closed = closed;
@@ -218,11 +218,11 @@
     on_source_failure(s, &s->servers, why);
 }
 
-void sync_on_servers_answer(sync_t* s, unsigned status, const char* body, size_t size) {
-    source_news_t update = {0};
+void sync_on_servers_response(sync_t* s, unsigned status, const char* body, size_t size) {
+    source_update_t update = {0};
     cw_error_t err = {0};
     if (s->asks_for_changes && status == STATUS_GONE) {
-        sync_read_whole(s);
+        sync_poll_full_list(s);
         return;
     }
     if (status != 200) {
@@ -238,15 +238,15 @@
     cw_status_t read = s->asks_for_changes ? s->desc.source->read_changes(body, size, &s->incoming, &err)
                                            : s->desc.source->read_servers(body, size, &s->incoming, &update, &err);
     if (read != CW_OK) {
-        sync_refuse_answer(s, s->desc.address, &err);
-        sync_drop_pages(s);
+        sync_log_invalid_response(s, s->desc.address, &err);
+        sync_discard_pending(s);
         s->has_full_list = false;
         schedule_retry(&s->servers);
         return;
     }
     on_source_success(s);
     if (s->asks_for_changes && s->incoming.at == s->changes_from) {
-        sync_read_whole(s); /* without even a heartbeat: other changes may be missing too */
+        sync_poll_full_list(s); /* without even a heartbeat: other changes may be missing too */
         return;
     }
     s->page_count++;
--- a/gateway/transfer.c
+++ b/gateway/transfer.c
@@ -17,7 +17,7 @@
 
 bool exchange_may_retry(const exchange_t* x) {
     return x->fsm.repeatable && x->fsm.attempts < x->fsm.max_attempts && (!x->is_head_sent || x->is_resumable_stream) &&
-           cw_retry_window_has(&x->pool->retries, clock_ms());
+           cw_retry_window_has_room(&x->pool->retries, clock_ms());
 }
 
 /* Sets the time at which an attempt without a response counts as stalled. Only a request that may be retried is given
@@ -28,10 +28,10 @@
         return;
     }
     double target_ms = x->route->target_ms;
-    double limit_ms =
-        x->route->kind == CW_ROUTE_STREAM
-            ? STREAM_STALL_TARGETS * target_ms + STREAM_STALL_EXPECTED_FACTOR * (x->choice.wait_ms + x->choice.read_ms)
-            : CALL_STALL_TARGET_SHARE * target_ms;
+    double limit_ms = x->route->kind == CW_ROUTE_STREAM
+                          ? STREAM_STALL_TARGETS * target_ms +
+                                STREAM_STALL_EXPECTED_FACTOR * (x->choice.wait_ms + x->choice.prefill_ms)
+                          : CALL_STALL_TARGET_SHARE * target_ms;
     x->stall_at_ms = x->sent_ms + (int64_t)limit_ms;
 }
 
@@ -43,7 +43,7 @@
 
 static void send_request(exchange_t* x) {
     exchanges_t* e = x->exchanges;
-    const cw_message_t* request = caller_message(x->caller);
+    const cw_message_t* request = caller_request(x->caller);
     const cw_buffer_t* body = caller_body(x->caller);
     int64_t now_ms = clock_ms();
     int64_t left_ms = x->deadline_ms - now_ms;
@@ -52,12 +52,12 @@
     }
     exchange_handle_event(x, CW_EV_SENDING);
     x->attempt_count++;
-    e->stats.repeats += x->attempt_count > 1;
+    e->stats.retries_sent += x->attempt_count > 1;
     x->has_reserved_retry = false;
     e->stats.sends++;
     x->sent_ms = now_ms;
     bool is_resuming = x->is_head_sent && x->events.last_id[0];
-    e->stats.resumed += is_resuming;
+    e->stats.streams_resumed += is_resuming;
     request_head_t set = {.request_id = x->id,
                           .workspace = x->workspace ? x->workspace->name : NULL,
                           .server = x->server->published.id,
@@ -69,13 +69,13 @@
                           .body_size = body->size};
     cw_buffer_t head = {0};
     request_head_write(&head, e->desc.dialect, request, &set);
-    bool bodiless = strcmp(request->method, "HEAD") == 0;
+    bool is_bodiless = strcmp(request->method, "HEAD") == 0;
     if (request->framing == CW_FRAMING_CHUNKED) {
         cw_message_add_chunk(&head, cw_buffer_text(body), body->size);
         cw_message_add_last_chunk(&head);
-        upstream_conn_send(x->conn, x->id, bodiless, &head, NULL, 0);
+        upstream_conn_send(x->conn, x->id, is_bodiless, &head, NULL, 0);
     } else {
-        upstream_conn_send(x->conn, x->id, bodiless, &head, cw_buffer_text(body), body->size);
+        upstream_conn_send(x->conn, x->id, is_bodiless, &head, cw_buffer_text(body), body->size);
     }
     cw_buffer_free(&head);
     exchange_set_timer(x);
@@ -91,9 +91,9 @@
 
 static void conn_on_open(void* owner) {
     exchange_t* x = owner;
-    if (x->server->left) {
+    if (x->server->is_retired) {
         reassign(x, "the server leaves");
-    } else if (cw_balance_rests(x->pool->balance, clock_ms(), x->server->key)) {
+    } else if (cw_balance_is_backing_off(x->pool->balance, clock_ms(), x->server->key)) {
         reassign(x, "the server wants rest");
     } else {
         send_request(x);
@@ -106,9 +106,9 @@
     if (is_misdirected) {
         cw_log(x->exchanges->desc.log, CW_EVENT_SERVER_LEAVES,
                "server=%s pool=%s reason=\"another server has its address\"", x->server_id, x->pool->name);
-        upstreams_leaves(x->exchanges->desc.upstreams, clock_ms(), x->server);
+        upstreams_mark_retired(x->exchanges->desc.upstreams, clock_ms(), x->server);
     }
-    x->retry_ms = cw_balance_opens_in_ms(x->pool->balance, clock_ms());
+    x->retry_ms = cw_balance_throttle_wait_ms(x->pool->balance, clock_ms());
     exchange_fail_attempt(x, CW_EV_REJECTED, is_misdirected ? CW_TRY_CANCELLED : CW_TRY_FULL,
                           is_misdirected ? "another server has the address" : "the server has no room");
 }
@@ -117,18 +117,18 @@
 static void store_head(exchange_t* x, const cw_message_t* head) {
     cw_buffer_free(&x->head_fields);
     response_fields_write(&x->head_fields, head);
-    x->head_framing = head->framing == CW_FRAMING_CLOSE ? CW_FRAMING_CHUNKED : head->framing;
+    x->head_framing = head->framing == CW_FRAMING_UNTIL_CLOSE ? CW_FRAMING_CHUNKED : head->framing;
     x->head_length = head->length;
     x->status = head->status;
     bool events = x->head_framing == CW_FRAMING_CHUNKED && head->status / 100 == 2;
-    x->fsm.resumable = x->route->kind == CW_ROUTE_STREAM && x->route->resume && events;
+    x->fsm.resumable = x->route->kind == CW_ROUTE_STREAM && x->route->is_resumable && events;
     x->is_resumable_stream = x->fsm.resumable;
 }
 
 void exchange_send_head(exchange_t* x, caller_t* caller) {
     if (!x->is_head_sent) {
         x->is_head_sent = true;
-        caller_begin(caller, x->status, cw_buffer_text(&x->head_fields), x->head_framing, x->head_length);
+        caller_begin_response(caller, x->status, cw_buffer_text(&x->head_fields), x->head_framing, x->head_length);
         cw_buffer_free(&x->head_fields);
     }
 }
@@ -142,15 +142,16 @@
     }
     bool is_signed = !f->signature || cw_message_field(head, f->signature);
     if (!is_signed || !cw_message_field(head, f->request_id)) {
-        exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "the answer lacks its signature or the request's id");
+        exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_FAILED,
+                              "the answer lacks its signature or the request's id");
         return;
     }
     x->is_server_error = head->status >= 500;
     if ((x->is_server_error && exchange_may_retry(x)) || (x->is_head_sent && head->status != x->status)) {
-        exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "the server answered with a failure");
+        exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_FAILED, "the server answered with a failure");
         return;
     }
-    exchange_handle_event(x, CW_EV_HEAD);
+    exchange_handle_event(x, CW_EV_RESPONSE_HEAD);
     if (x->caller && !x->is_head_sent) {
         store_head(x, head);
     }
@@ -160,28 +161,28 @@
    last one logged. */
 static void log_prefill_rate(const exchange_t* x, int64_t now_ms) {
     pool_t* pool = x->pool;
-    double read_ms = cw_balance_read_rate(pool->balance);
-    double rate_change = pool->logged_prefill_ms > 0 ? read_ms / pool->logged_prefill_ms : INFINITY;
+    double prefill_ms = cw_balance_prefill_ms_per_token(pool->balance);
+    double rate_change = pool->logged_prefill_ms > 0 ? prefill_ms / pool->logged_prefill_ms : INFINITY;
     if (!pool->slots || (rate_change < PREFILL_RATE_LOG_FACTOR && rate_change > 1 / PREFILL_RATE_LOG_FACTOR)) {
         return;
     }
     cw_log(x->exchanges->desc.log, CW_EVENT_PACE_LEARNED,
            "pool=%s read_us=%.1f was_us=%.1f id=%s server=%s prompt=%u fresh=%u wait_ms=%.0f took_ms=%lld", pool->name,
-           read_ms * US_PER_MS, pool->logged_prefill_ms * US_PER_MS, x->id, x->server_id, x->work.prompt_tokens,
-           x->run.fresh_tokens, x->run.found_ms, (long long)(now_ms - x->run.begun_ms));
-    pool->logged_prefill_ms = read_ms;
+           prefill_ms * US_PER_MS, pool->logged_prefill_ms * US_PER_MS, x->id, x->server_id, x->work.prompt_tokens,
+           x->run.uncached_tokens, x->run.backlog_ahead_ms, (long long)(now_ms - x->run.begun_ms));
+    pool->logged_prefill_ms = prefill_ms;
 }
 
 static void handle_first_byte(exchange_t* x) {
     int64_t now_ms = clock_ms();
     x->has_first_byte = true;
     x->first_ms = x->first_ms ? x->first_ms : now_ms;
-    bool was_suspected = cw_balance_first(x->pool->balance, now_ms, &x->run);
+    bool was_suspected = cw_balance_on_first_byte(x->pool->balance, now_ms, &x->run);
     log_prefill_rate(x, now_ms);
-    x->exchanges->desc.on_load(x->exchanges->desc.user_data, x->server, NULL);
+    x->exchanges->desc.on_load_changed(x->exchanges->desc.user_data, x->server, NULL);
     if (was_suspected) {
-        server_log_life(x->server, now_ms, true, 0);
-        x->exchanges->desc.on_life(x->exchanges->desc.user_data, x->server);
+        server_log_suspicion(x->server, now_ms, true, 0);
+        x->exchanges->desc.on_liveness_changed(x->exchanges->desc.user_data, x->server);
     }
 }
 
@@ -195,8 +196,8 @@
     x->last_byte_ms = now_ms;
     exchange_send_head(x, x->caller);
     caller_write(x->caller, data, size);
-    exchange_handle_event(x, CW_EV_DELIVERED_PART);
-    if (caller_unsent(x->caller) > UNSENT_MAX_BYTES) {
+    exchange_handle_event(x, CW_EV_BODY_FORWARDED);
+    if (caller_unsent_bytes(x->caller) > UNSENT_MAX_BYTES) {
         upstream_conn_pause(x->conn, true);
     }
 }
@@ -206,14 +207,14 @@
     if (!x->has_first_byte) {
         handle_first_byte(x);
     } else if (x->route->kind == CW_ROUTE_STREAM) {
-        cw_balance_event(x->pool->balance, clock_ms(), &x->run);
+        cw_balance_on_event(x->pool->balance, clock_ms(), &x->run);
     }
     if (!x->is_resumable_stream) {
         forward_body(x, data, size);
         return;
     }
-    cw_events_feed(&x->events, data, size);
-    for (cw_bytes_view_t whole = cw_events_take(&x->events); whole.size; whole = cw_events_take(&x->events)) {
+    cw_sse_feed(&x->events, data, size);
+    for (cw_bytes_view_t whole = cw_sse_take(&x->events); whole.size; whole = cw_sse_take(&x->events)) {
         forward_body(x, whole.data, whole.size);
     }
     arm_next_event_timeout(x);
@@ -222,22 +223,22 @@
 
 static void conn_on_complete(void* owner) {
     exchange_t* x = owner;
-    if (x->is_resumable_stream && cw_events_partial(&x->events)) {
-        exchange_fail_attempt(x, CW_EV_BROKEN, CW_TRY_FAILED, "the stream ended within an event");
+    if (x->is_resumable_stream && cw_sse_has_partial(&x->events)) {
+        exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED, CW_TRY_FAILED, "the stream ended within an event");
         return;
     }
     x->result = x->is_server_error ? CW_TRY_FAILED : CW_TRY_SERVED;
     quarantine_on_response(x->exchanges->desc.quarantine, &x->fingerprint);
     upstream_conn_release(x->conn);
     x->conn = NULL;
-    exchange_handle_event(x, CW_EV_END);
+    exchange_handle_event(x, CW_EV_RESPONSE_END);
 }
 
 /* Whether the server is presumed to have crashed while it ran the request. A leaving server may close connections with
    running requests, and a lost network path says nothing about the server. */
 static bool is_presumed_crash(const exchange_t* x, upstream_conn_failure_t failure) {
     bool is_sent = x->fsm.state != CW_REQ_CONNECTING;
-    return is_sent && (failure == UPSTREAM_CONN_RESET || failure == UPSTREAM_CONN_CLOSED) && !x->server->left;
+    return is_sent && (failure == UPSTREAM_CONN_RESET || failure == UPSTREAM_CONN_CLOSED) && !x->server->is_retired;
 }
 
 static void conn_on_broken(void* owner, upstream_conn_failure_t failure) {
@@ -255,8 +256,8 @@
     } else if (x->fsm.state == CW_REQ_CONNECTING) {
         exchange_fail_attempt(x, CW_EV_CONNECT_FAILED, CW_TRY_CANCELLED, reasons[failure]);
     } else {
-        exchange_fail_attempt(x, CW_EV_BROKEN, failure == UPSTREAM_CONN_MALFORMED ? CW_TRY_FAILED : CW_TRY_BROKEN,
-                              reasons[failure]);
+        exchange_fail_attempt(x, CW_EV_UPSTREAM_FAILED,
+                              failure == UPSTREAM_CONN_MALFORMED ? CW_TRY_FAILED : CW_TRY_BROKEN, reasons[failure]);
     }
 }
 
@@ -273,7 +274,8 @@
     x->run = cw_balance_begin(x->pool->balance, now_ms, choice->server, &x->work);
     x->server = upstreams_server(e->desc.upstreams, x->run.id);
     cw_copy(x->server_id, sizeof(x->server_id), x->server->published.id);
-    const server_t* cache_holder = choice->from ? upstreams_server(e->desc.upstreams, choice->from) : NULL;
+    const server_t* cache_holder =
+        choice->fetch_source ? upstreams_server(e->desc.upstreams, choice->fetch_source) : NULL;
     cw_copy(x->fetch_from, sizeof(x->fetch_from), cache_holder ? cache_holder->published.address : "");
     x->has_first_byte = x->is_server_error = false;
     x->sent_ms = 0;
@@ -288,15 +290,15 @@
         "wait_ms=%.0f "
         "read_ms=%.0f prompt=%u kept=%u moved=%u again=%u running=%u streaming=%u pace=%.2f age_ms=%u waited_ms=%lld "
         "last_event=%s",
-        x->id, (unsigned long long)x->fingerprint.content, x->server_id, x->route->name,
+        x->id, (unsigned long long)x->fingerprint.content_hash, x->server_id, x->route->name,
         (long long)x->catalog->revision, x->priority, x->work.urgency, choice->candidates, choice->cost_ms,
-        choice->wait_ms, choice->read_ms, x->work.prompt_tokens, choice->kept, choice->moved, choice->again,
-        choice->running, choice->streaming, choice->pace, choice->age_ms, (long long)(now_ms - x->arrived_ms),
-        x->events.last_id[0] ? x->events.last_id : "-");
+        choice->wait_ms, choice->prefill_ms, x->work.prompt_tokens, choice->cached_tokens, choice->fetched_tokens,
+        choice->recomputed_tokens, choice->running, choice->streaming, choice->interval_ratio, choice->age_ms,
+        (long long)(now_ms - x->arrived_ms), x->events.last_id[0] ? x->events.last_id : "-");
     x->sent_ms = now_ms;
-    x->expected_ms = (double)(now_ms - x->arrived_ms) + choice->wait_ms + choice->read_ms;
+    x->expected_ms = (double)(now_ms - x->arrived_ms) + choice->wait_ms + choice->prefill_ms;
     arm_first_byte_timeout(x);
-    e->desc.on_load(e->desc.user_data, x->server, &x->work);
+    e->desc.on_load_changed(e->desc.user_data, x->server, &x->work);
     x->conn = upstream_conn_acquire(x->server, &conn_handlers, x, !x->fsm.repeatable);
     if (!x->conn) {
         exchange_fail_attempt(x, CW_EV_CONNECT_FAILED, CW_TRY_FULL, "no connection may be had");
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -60,7 +60,7 @@
 }
 
 static void server_free_if_unused(pool_t* pool, server_t* s) {
-    if (!s->gone || s->is_listed || s->open || s->is_probing ||
+    if (!s->is_removed || s->is_listed || s->conn_count || s->is_probing ||
         cw_balance_find(pool->balance, s->key) != CW_BALANCE_NONE) {
         return;
     }
@@ -90,10 +90,10 @@
     pool->balance = cw_balance_setup(&(cw_balance_desc_t){.hall = u->desc.hall,
                                                           .seed = u->desc.host,
                                                           .max_servers = u->desc.max_servers,
-                                                          .is_mine = u->desc.is_mine,
+                                                          .owns_server = u->desc.owns_server,
                                                           .user_data = u->desc.user_data});
     cw_balance_set_fleet(pool->balance, clock_ms(), &u->fleet);
-    pool->subset.least = SUBSET_MIN_SERVERS;
+    pool->subset.min_servers = SUBSET_MIN_SERVERS;
     pool->retries = (cw_retry_window_t){.ratio = u->desc.retry_ratio * RETRY_BUDGET_SHARE,
                                         .slack = u->desc.retry_slack * RETRY_BUDGET_SHARE,
                                         .window_ms = u->desc.retry_window_ms,
@@ -111,7 +111,7 @@
 static uint32_t pool_count_listed(const pool_t* pool) {
     uint32_t count = 0;
     for (const server_t* s = pool->servers; s; s = s->next) {
-        count += !s->gone && !s->is_hall_closed;
+        count += !s->is_removed && !s->is_hall_closed;
     }
     return count;
 }
@@ -119,30 +119,30 @@
 /* Sets the servers that the balancer may choose: of a large pool a subset, which is the same at all hosts. */
 static void pool_update_servers(pool_t* pool, int64_t now_ms) {
     pool->listed = pool_count_listed(pool);
-    cw_subset_fit(&pool->subset, now_ms, pool->listed);
+    cw_subset_resize(&pool->subset, now_ms, pool->listed);
     cw_server_spec_t* specs = calloc(pool->listed + 1, sizeof(*specs));
     if (!specs) {
         abort();
     }
     uint32_t count = 0;
     for (server_t* s = pool->servers; s; s = s->next) {
-        if (!s->gone && !s->is_hall_closed && cw_subset_has(&pool->subset, s->key)) {
+        if (!s->is_removed && !s->is_hall_closed && cw_subset_has(&pool->subset, s->key)) {
             specs[count++] = (cw_server_spec_t){.id = s->key,
                                                 .hall = cw_name_id(s->published.hall),
                                                 .slots = pool->slots ? pool->slots : s->published.slots,
                                                 .memory_tokens = pool->memory_tokens,
-                                                .move_ms = pool->move_ms,
+                                                .fetch_ms_per_token = pool->fetch_ms_per_token,
                                                 .cold_ms = s->published.cold_ms,
                                                 .cold_per_s = pool->cold_per_s};
         }
     }
     pool->ready = count;
-    cw_balance_set(pool->balance, now_ms, specs, count);
+    cw_balance_set_servers(pool->balance, now_ms, specs, count);
     free(specs);
 }
 
 bool upstreams_expand_subset(pool_t* pool, int64_t now_ms) {
-    if (!cw_subset_widen(&pool->subset, now_ms)) {
+    if (!cw_subset_expand(&pool->subset, now_ms)) {
         return false;
     }
     uint32_t before = pool->ready;
@@ -186,7 +186,7 @@
 
 /* A new server of the pool. NULL: its address is invalid, or max_servers are known. */
 static server_t* server_new(upstreams_t* u, const cw_server_t* published) {
-    uint64_t key = cw_server_life(published);
+    uint64_t key = cw_server_incarnation_id(published);
     struct sockaddr_in address;
     if (cw_addr_parse(published->address, &address, NULL) != CW_OK) {
         return NULL;
@@ -207,7 +207,7 @@
     s->key = key;
     s->id_hash = cw_name_id(published->id);
     s->published.started_ms = published->started_ms;
-    s->is_leaving = s->left = s->gone = was_leaving(u, key);
+    s->is_leaving = s->is_retired = s->is_removed = was_leaving(u, key);
     cw_map_put(&u->by_key, key, index);
     cw_map_put(&u->by_name, s->id_hash, index);
     s->pool = pool_get(u, published->pool);
@@ -258,18 +258,18 @@
     }
     log_restart(u, current, published->started_ms, at);
     *changed = true;
-    current->left = current->gone = true;
-    server_t* known = upstreams_server(u, cw_server_life(published));
+    current->is_retired = current->is_removed = true;
+    server_t* known = upstreams_server(u, cw_server_incarnation_id(published));
     if (!known) {
         return server_new(u, published);
     }
-    known->left = known->is_leaving; /* another writer's entry had retired it; the source lists it as alive */
+    known->is_retired = known->is_leaving; /* another writer's entry had retired it; the source lists it as alive */
     cw_map_put(&u->by_name, known->id_hash, cw_map_get(&u->by_key, known->key));
     return known;
 }
 
 /* Applies the list entry of a server. Returns whether the server is new or its availability changed. */
-static bool server_update(upstreams_t* u, const cw_server_t* published, const cw_closed_t* closed, int64_t at) {
+static bool server_update(upstreams_t* u, const cw_server_t* published, const cw_closed_halls_t* closed, int64_t at) {
     const pool_t* pool = upstreams_pool(u, published->pool);
     if (u->is_configured && (!pool || !pool->is_declared)) {
         return false;
@@ -284,16 +284,16 @@
     if (!is_same_incarnation(s, published)) {
         return changed; /* the late entry of an earlier incarnation is ignored */
     }
-    bool was_available = !s->gone && !s->is_hall_closed;
+    bool was_available = !s->is_removed && !s->is_hall_closed;
     int64_t started_ms = s->published.started_ms;
     s->published = *published;
     s->published.started_ms = published->started_ms ? published->started_ms : started_ms;
     s->listed_revision = at > s->listed_revision ? at : s->listed_revision;
-    s->is_hall_closed = cw_closed_has(closed, published->hall);
+    s->is_hall_closed = cw_closed_halls_contains(closed, published->hall);
     s->is_leaving = s->is_leaving || published->leaving;
-    s->left = s->left || s->is_leaving;
-    s->gone = s->left;
-    return changed || (!s->gone && !s->is_hall_closed) != was_available;
+    s->is_retired = s->is_retired || s->is_leaving;
+    s->is_removed = s->is_retired;
+    return changed || (!s->is_removed && !s->is_hall_closed) != was_available;
 }
 
 /* Before a list is applied: marks all servers as missing from it. */
@@ -309,8 +309,8 @@
 static uint32_t pool_expire(pool_t* pool, int64_t now_ms) {
     uint32_t expired = 0;
     for (server_t* s = pool->servers; s; s = s->next) {
-        if (!s->gone && !s->is_listed && now_ms >= s->expires_at_ms) {
-            s->gone = true;
+        if (!s->is_removed && !s->is_listed && now_ms >= s->expires_at_ms) {
+            s->is_removed = true;
             expired++;
         }
     }
@@ -333,10 +333,10 @@
         pool_update_servers(pool, now_ms);
         for (server_t* s = pool->servers; s;) {
             server_t* next = s->next;
-            if (s->gone || !s->is_listed) {
+            if (s->is_removed || !s->is_listed) {
                 server_watch(s);
             }
-            if (s->gone) {
+            if (s->is_removed) {
                 upstream_conn_close_idle(s, now_ms, true);
                 server_free_if_unused(pool, s);
             }
@@ -346,11 +346,11 @@
     return changes;
 }
 
-void upstreams_leaves(upstreams_t* u, int64_t now_ms, server_t* s) {
+void upstreams_mark_retired(upstreams_t* u, int64_t now_ms, server_t* s) {
     (void)u;
-    s->left = true;
-    if (!s->gone) {
-        s->gone = true;
+    s->is_retired = true;
+    if (!s->is_removed) {
+        s->is_removed = true;
         server_watch(s);
         upstream_conn_close_idle(s, now_ms, true);
         pool_update_servers(s->pool, now_ms);
@@ -359,15 +359,15 @@
 
 void upstreams_mark_leaving(upstreams_t* u, int64_t now_ms, server_t* s) {
     s->is_leaving = true;
-    upstreams_leaves(u, now_ms, s);
+    upstreams_mark_retired(u, now_ms, s);
 }
 
 bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* s, int64_t started_ms) {
-    if (!started_ms || !s->published.started_ms || started_ms == s->published.started_ms || s->gone) {
+    if (!started_ms || !s->published.started_ms || started_ms == s->published.started_ms || s->is_removed) {
         return false;
     }
     log_restart(u, s, started_ms, 0);
-    upstreams_leaves(u, now_ms, s);
+    upstreams_mark_retired(u, now_ms, s);
     return true;
 }
 
@@ -385,14 +385,14 @@
         pool->cold_per_s = declared->cold_per_s;
         pool->slots = declared->slots;
         pool->memory_tokens = declared->memory_tokens;
-        pool->move_ms = u->desc.dialect->fields.fetch_from && declared->link_mbps
-                            ? declared->token_bytes * BITS / (declared->link_mbps * BITS_PER_MS_MBPS)
-                            : 0;
+        pool->fetch_ms_per_token = u->desc.dialect->fields.fetch_from && declared->link_mbps
+                                       ? declared->token_bytes * BITS / (declared->link_mbps * BITS_PER_MS_MBPS)
+                                       : 0;
         pool_update_servers(pool, clock_ms());
     }
 }
 
-void upstreams_set_daemons(upstreams_t* u, uint32_t daemons) {
+void upstreams_set_peak_daemons(upstreams_t* u, uint32_t daemons) {
     if (daemons <= u->daemons) {
         return;
     }
@@ -422,28 +422,28 @@
     return u->pools;
 }
 
-uint32_t upstreams_links(const upstreams_t* u) {
+uint32_t upstreams_connections(const upstreams_t* u) {
     return u->conn_total;
 }
 
-uint64_t upstreams_refused(const upstreams_t* u) {
+uint64_t upstreams_servers_rejected(const upstreams_t* u) {
     return u->rejected_total;
 }
 
-uint64_t upstreams_connects(const upstreams_t* u) {
+uint64_t upstreams_connections_opened(const upstreams_t* u) {
     return u->connects;
 }
 
-void server_log_life(const server_t* server, int64_t now_ms, bool before, uint64_t host) {
-    bool is_suspected = cw_balance_suspected(server->pool->balance, now_ms, server->key);
+void server_log_suspicion(const server_t* server, int64_t now_ms, bool before, uint64_t host) {
+    bool is_suspected = cw_balance_is_suspected(server->pool->balance, now_ms, server->key);
     if (is_suspected != before) {
         cw_log(server->pool->upstreams->desc.log, is_suspected ? CW_EVENT_SERVER_SUSPECTED : CW_EVENT_SERVER_TRUSTED,
                "server=%s pool=%s told_by=%016llx", server->published.id, server->pool->name, (unsigned long long)host);
     }
 }
 
-void server_log_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host) {
-    double per_s = cw_balance_limit_per_s(server->pool->balance, now_ms, server->key);
+void server_log_rate_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host) {
+    double per_s = cw_balance_rate_per_s(server->pool->balance, now_ms, server->key);
     if (per_s != before_per_s) {
         cw_log(server->pool->upstreams->desc.log, CW_EVENT_SERVER_LIMITED,
                "server=%s pool=%s per_s=%.3f was_per_s=%.3f told_by=%016llx", server->published.id, server->pool->name,
@@ -468,21 +468,21 @@
     free(p);
     s->is_probing = false;
     if (is_healthy) {
-        cw_balance_away(s->pool->balance, clock_ms(), s->key, false);
+        cw_balance_set_unreachable(s->pool->balance, clock_ms(), s->key, false);
         cw_log(u->desc.log, CW_EVENT_SERVER_BACK, "server=%s pool=%s", s->published.id, s->pool->name);
-        u->desc.on_room(u->desc.user_data, s->pool);
+        u->desc.on_slot_free(u->desc.user_data, s->pool);
     }
 }
 
 static void probe_on_open(void* owner) {
     probe_t* p = owner;
     server_t* s = p->server;
-    char address[CW_ADDR_TEXT];
+    char address[CW_ADDR_TEXT_SIZE];
     cw_addr_format(&s->address, address);
     cw_buffer_t head = {0};
     cw_message_add_text(&head, "GET %s HTTP/1.1\r\n", s->pool->health_path);
     cw_message_add_field(&head, "Host", address);
-    cw_message_add_end(&head);
+    cw_message_end_head(&head);
     upstream_conn_send(p->conn, "", false, &head, NULL, 0);
     cw_buffer_free(&head);
 }
@@ -542,7 +542,7 @@
     ev_timer_start(s->pool->upstreams->desc.loop, &p->timer);
 }
 
-void upstreams_on_wake(upstreams_t* u) {
+void upstreams_on_resume(upstreams_t* u) {
     for (pool_t* pool = u->pools; pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
             upstream_conn_close_idle(s, clock_ms(), true);
@@ -552,9 +552,9 @@
 
 /* Closes idle connections. True: the server was missing from the list for too long and is removed now. */
 static bool server_tick(server_t* s, int64_t now_ms) {
-    bool expired = !s->gone && !s->is_listed && now_ms >= s->expires_at_ms;
-    s->gone = s->gone || expired;
-    upstream_conn_close_idle(s, now_ms, s->gone);
+    bool expired = !s->is_removed && !s->is_listed && now_ms >= s->expires_at_ms;
+    s->is_removed = s->is_removed || expired;
+    upstream_conn_close_idle(s, now_ms, s->is_removed);
     return expired;
 }
 
@@ -564,7 +564,7 @@
         server_t* s = u->watched[i];
         pool_t* pool = s->pool;
         pool->has_expired_servers = server_tick(s, now_ms) || pool->has_expired_servers;
-        if (!s->idle_conns && !s->gone && s->is_listed) {
+        if (!s->idle_conns && !s->is_removed && s->is_listed) {
             s->is_watched = false;
             u->watched[i] = u->watched[--u->watched_count];
         } else {
@@ -576,9 +576,9 @@
             pool_update_servers(pool, now_ms);
             pool->has_expired_servers = false;
         }
-        uint64_t key = pool->health_path[0] ? cw_balance_probe(pool->balance, now_ms) : 0;
+        uint64_t key = pool->health_path[0] ? cw_balance_next_probe(pool->balance, now_ms) : 0;
         server_t* unreachable = upstreams_server(u, key);
-        if (unreachable && !unreachable->is_probing && !unreachable->gone) {
+        if (unreachable && !unreachable->is_probing && !unreachable->is_removed) {
             probe_start(unreachable);
         }
     }
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -30,23 +30,23 @@
 typedef struct upstream_conn_t upstream_conn_t;
 
 struct server_t {
-    uint64_t key;     /* of this incarnation: cw_server_life */
+    uint64_t key;     /* of this incarnation: cw_server_incarnation_id */
     uint64_t id_hash; /* hash of the published id, the same for all incarnations */
     cw_server_t published;
     int64_t listed_revision; /* source revision of the last list that named it; 0: unknown */
     struct sockaddr_in address;
     pool_t* pool;
-    bool left;       /* this incarnation is over, or it is leaving */
+    bool is_retired; /* this incarnation is over, or it is leaving */
     bool is_leaving; /* this incarnation announced, in the list or in a response, that it drains and stops; never reset
                       */
-    bool gone;       /* retired, or no longer listed: gets no new requests */
+    bool is_removed; /* retired, or no longer listed: gets no new requests */
     bool is_hall_closed;   /* its hall is closed: gets no new requests for now */
     bool is_listed;        /* the last list names it, leaving or not */
     int64_t expires_at_ms; /* while it is not listed: it counts as removed then */
     bool is_probing;
     bool is_watched;             /* upstreams_tick checks it */
     int64_t presumed_crash_ms;   /* time of a presumed crash, which data on an older connection disproves; 0: none */
-    uint32_t open;               /* number of connections */
+    uint32_t conn_count;         /* number of connections */
     upstream_conn_t* idle_conns; /* most recently used first */
     double connect_ms;           /* moving average of the time to connect; 0: unknown */
     server_t* next;              /* in the pool */
@@ -61,16 +61,16 @@
     uint32_t connections; /* accepted by one server from all daemons; 0: no limit */
     uint32_t slots;       /* per engine; 0: not engines */
     uint32_t memory_tokens;
-    double cold_per_s;        /* requests per second that all daemons may send to a cold server; 0: no limit */
-    double move_ms;           /* time to fetch one cached token from another engine; 0: not possible */
-    double logged_prefill_ms; /* prefill time per token as last logged; 0: not yet */
+    double cold_per_s;         /* requests per second that all daemons may send to a cold server; 0: no limit */
+    double fetch_ms_per_token; /* time to fetch one cached token from another engine; 0: not possible */
+    double logged_prefill_ms;  /* prefill time per token as last logged; 0: not yet */
     cw_retry_window_t retries;
     server_t* servers;
-    cw_subset_t subset;             /* the listed servers that are used */
-    bool has_expired_servers;       /* a server has expired, so the list of usable servers must be updated */
-    uint32_t listed;                /* servers that are not removed and whose hall is not closed */
-    uint32_t ready;                 /* servers that may be chosen */
-    uint32_t waiting[CW_URGENCIES]; /* this daemon's requests that wait for a slot, by urgency */
+    cw_subset_t subset;                  /* the listed servers that are used */
+    bool has_expired_servers;            /* a server has expired, so the list of usable servers must be updated */
+    uint32_t listed;                     /* servers that are not removed and whose hall is not closed */
+    uint32_t ready;                      /* servers that may be chosen */
+    uint32_t waiting[CW_URGENCY_LEVELS]; /* this daemon's requests that wait for a slot, by urgency */
     pool_t* next;
 };
 
@@ -98,17 +98,17 @@
     uint64_t host; /* id of this host */
     double retry_ratio, retry_slack;
     uint32_t retry_window_ms;
-    uint32_t max_links;   /* connections of this process to all servers */
-    uint32_t max_servers; /* known at the same time, in all pools; default 4096; memory grows with their number */
-    uint32_t rest_max_ms; /* longest backoff that a server can ask for; default 30 minutes */
+    uint32_t max_conns;      /* connections of this process to all servers */
+    uint32_t max_servers;    /* known at the same time, in all pools; default 4096; memory grows with their number */
+    uint32_t backoff_max_ms; /* longest backoff that a server can ask for; default 30 minutes */
     /* Whether only this daemon sends to the server while it is cold. NULL: it does. */
-    bool (*is_mine)(void* user_data, uint64_t server);
+    bool (*owns_server)(void* user_data, uint64_t server);
     /* A server sent data on a connection that was opened before its presumed crash. May be NULL. */
-    void (*on_alive)(void* user_data, const server_t* server);
+    void (*on_server_alive)(void* user_data, const server_t* server);
     /* A server's advertised rate changed, or it announced that it leaves; notify the other hosts. May be NULL. */
     void (*on_pushback)(void* user_data, const server_t* server);
     /* A slot may be free in the pool. */
-    void (*on_room)(void* user_data, pool_t* pool);
+    void (*on_slot_free)(void* user_data, pool_t* pool);
     void* user_data;
 } upstreams_desc_t;
 
@@ -120,31 +120,31 @@
    list get time to be listed again. Returns the number of servers that changed. */
 uint32_t upstreams_set_servers(upstreams_t* u, int64_t now_ms, const cw_servers_t* list, bool after_outage);
 /* Highest number of daemons ever known at the same time. Limits on connections and retries are divided by it. */
-void upstreams_set_daemons(upstreams_t* u, uint32_t daemons);
+void upstreams_set_peak_daemons(upstreams_t* u, uint32_t daemons);
 /* The live daemons. Their ids must stay valid until the next call. */
 void upstreams_set_fleet(upstreams_t* u, const cw_fleet_t* fleet);
 pool_t* upstreams_pool(const upstreams_t* u, const char* name);
 pool_t* upstreams_pools(const upstreams_t* u);
 server_t* upstreams_server(const upstreams_t* u, uint64_t key);
-/* Logs the start or end of a suspicion, if it differs from before, an earlier result of cw_balance_suspected. host: id
-   of the host whose report changed it, 0: this host. */
-void server_log_life(const server_t* server, int64_t now_ms, bool before, uint64_t host);
+/* Logs the start or end of a suspicion, if it differs from before, an earlier result of cw_balance_is_suspected. host:
+   id of the host whose report changed it, 0: this host. */
+void server_log_suspicion(const server_t* server, int64_t now_ms, bool before, uint64_t host);
 /* Logs the advertised rate of the server if it differs from the earlier one; host as above. */
-void server_log_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host);
+void server_log_rate_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host);
 /* The server has reported its start time. If it belongs to another incarnation, retires this one and returns true. */
 bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
 /* This incarnation has announced that it stops: it gets no new requests, whatever the source lists. */
 void upstreams_mark_leaving(upstreams_t* u, int64_t now_ms, server_t* server);
 /* Takes this incarnation for over until a server list says otherwise. */
-void upstreams_leaves(upstreams_t* u, int64_t now_ms, server_t* server);
+void upstreams_mark_retired(upstreams_t* u, int64_t now_ms, server_t* server);
 /* The host resumed from suspend: closes idle connections, which servers may have closed meanwhile without notice. */
-void upstreams_on_wake(upstreams_t* u);
+void upstreams_on_resume(upstreams_t* u);
 /* Closes expired idle connections, removes expired servers and probes unreachable ones. */
 void upstreams_tick(upstreams_t* u, int64_t now_ms);
-uint32_t upstreams_links(const upstreams_t* u);
-uint64_t upstreams_connects(const upstreams_t* u);
+uint32_t upstreams_connections(const upstreams_t* u);
+uint64_t upstreams_connections_opened(const upstreams_t* u);
 /* How often a listed server was rejected because max_servers were known. */
-uint64_t upstreams_refused(const upstreams_t* u);
+uint64_t upstreams_servers_rejected(const upstreams_t* u);
 /* Uses a larger subset of the pool, because a request found no free slot in the current one. False: the whole pool is
    used already, or the subset was expanded a moment ago. */
 bool upstreams_expand_subset(pool_t* pool, int64_t now_ms);
@@ -155,7 +155,7 @@
                                        bool once);
 bool upstream_conn_is_open(const upstream_conn_t* conn);
 /* Sends a request. bodiless: its response has no body, whatever its head says. */
-void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool bodiless, const cw_buffer_t* head,
+void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool is_bodiless, const cw_buffer_t* head,
                         const void* body, size_t size);
 void upstream_conn_pause(upstream_conn_t* conn, bool paused);
 /* Ends the owner's use after on_complete. The connection is kept open for reuse where possible. */
--- a/gateway/upstream_parts.h
+++ b/gateway/upstream_parts.h
@@ -1,5 +1,5 @@
-#ifndef CW_GATEWAY_UPSTREAM_PARTS_H
-#define CW_GATEWAY_UPSTREAM_PARTS_H
+#ifndef CW_GATEWAY_UPSTREAM_INTERNAL_H
+#define CW_GATEWAY_UPSTREAM_INTERNAL_H
 /*
     Internal interface between the parts of upstreams: upstream.c manages pools, servers and probes, link.c the
     connections to one server, pushback.c what servers announce in their responses.
--- a/io/address.c
+++ b/io/address.c
@@ -11,7 +11,7 @@
 #define LISTEN_BACKLOG 1024
 
 cw_status_t cw_addr_parse(const char* text, struct sockaddr_in* out, cw_error_t* err) {
-    char ip[CW_ADDR_TEXT];
+    char ip[CW_ADDR_TEXT_SIZE];
     cw_copy(ip, sizeof(ip), text);
     char* colon = strrchr(ip, ':');
     *out = (struct sockaddr_in){.sin_family = AF_INET};
@@ -28,10 +28,10 @@
     return CW_OK;
 }
 
-void cw_addr_format(const struct sockaddr_in* addr, char out[CW_ADDR_TEXT]) {
+void cw_addr_format(const struct sockaddr_in* addr, char out[CW_ADDR_TEXT_SIZE]) {
     char ip[INET_ADDRSTRLEN] = "?";
     inet_ntop(AF_INET, &addr->sin_addr, ip, sizeof(ip));
-    snprintf(out, CW_ADDR_TEXT, "%s:%u", ip, (unsigned)ntohs(addr->sin_port));
+    snprintf(out, CW_ADDR_TEXT_SIZE, "%s:%u", ip, (unsigned)ntohs(addr->sin_port));
 }
 
 static int bind_socket(const char* text, int type, cw_error_t* err) {
@@ -54,7 +54,7 @@
     return fd;
 }
 
-int cw_addr_listen(const char* text, char bound[CW_ADDR_TEXT], cw_error_t* err) {
+int cw_addr_listen(const char* text, char bound[CW_ADDR_TEXT_SIZE], cw_error_t* err) {
     int fd = bind_socket(text, SOCK_STREAM, err);
     if (fd < 0) {
         return -1;
--- a/io/buffer.c
+++ b/io/buffer.c
@@ -26,7 +26,7 @@
     b->data[b->size] = 0;
 }
 
-void cw_buffer_drop(cw_buffer_t* b, size_t size) {
+void cw_buffer_consume(cw_buffer_t* b, size_t size) {
     memmove(b->data, b->data + size, b->size - size + 1);
     b->size -= size;
 }
--- a/io/buffer.h
+++ b/io/buffer.h
@@ -12,7 +12,7 @@
 /* Appends size bytes; aborts the process when out of memory. */
 void cw_buffer_add(cw_buffer_t* b, const void* data, size_t size);
 /* Removes the first size bytes and moves the rest to the front. The buffer must have been allocated. */
-void cw_buffer_drop(cw_buffer_t* b, size_t size);
+void cw_buffer_consume(cw_buffer_t* b, size_t size);
 /* Frees the memory; the buffer is empty and usable again. */
 void cw_buffer_free(cw_buffer_t* b);
 /* The content as a zero-terminated string; "" for an empty buffer. */
--- a/io/client.c
+++ b/io/client.c
@@ -23,7 +23,7 @@
     CURL* easy;
     struct curl_slist* headers;
     cw_call_desc_t desc;
-    bool sent, vetoed, is_head_notified, has_framing, cancelled, is_paused, is_in_resumed;
+    bool sent, is_vetoed, is_head_notified, has_framing, cancelled, is_paused, is_in_resumed;
     unsigned status;
     cw_call_t* prev_open;
     cw_call_t* next_open;
@@ -81,7 +81,7 @@
     if (call->cancelled) {
         return;
     }
-    cw_call_result_t result = {.sent = call->sent, .vetoed = call->vetoed, .status = call->status};
+    cw_call_result_t result = {.sent = call->sent, .is_vetoed = call->is_vetoed, .status = call->status};
     result.whole = code == CURLE_OK && call->has_framing;
     result.message =
         code == CURLE_OK
@@ -224,7 +224,7 @@
     (void)local_port;
     cw_call_t* call = user;
     if (call->cancelled || (call->desc.on_sending && !call->desc.on_sending(call->desc.user_data))) {
-        call->vetoed = true;
+        call->is_vetoed = true;
         return CURL_PREREQFUNC_ABORT;
     }
     call->sent = true;
@@ -297,12 +297,12 @@
     call->desc = *desc;
     call->easy = curl_easy_init();
     CURL* e = call->easy;
-    long connect_ms = desc->connect_ms ? (long)desc->connect_ms : DEFAULT_CONNECT_TIMEOUT_MS;
+    long connect_timeout_ms = desc->connect_timeout_ms ? (long)desc->connect_timeout_ms : DEFAULT_CONNECT_TIMEOUT_MS;
     curl_easy_setopt(e, CURLOPT_URL, desc->url);
     curl_easy_setopt(e, CURLOPT_PRIVATE, call);
     curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(e, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
+    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, connect_timeout_ms);
     curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, (long)desc->timeout_ms);
     curl_easy_setopt(e, CURLOPT_PREREQFUNCTION, on_prereq);
     curl_easy_setopt(e, CURLOPT_PREREQDATA, call);
@@ -312,7 +312,7 @@
     curl_easy_setopt(e, CURLOPT_WRITEDATA, call);
     curl_easy_setopt(e, CURLOPT_NOPROXY, "*");
     /* libcurl resends a request by itself when a reused connection turns out dead. */
-    curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, desc->fresh ? 1L : 0L);
+    curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, desc->use_new_connection ? 1L : 0L);
     set_body(call);
     set_headers(call);
     curl_multi_add_handle(c->multi, e);
--- a/io/client.h
+++ b/io/client.h
@@ -17,7 +17,7 @@
 typedef struct cw_call_result_t {
     bool whole;          /* the response is complete, as its framing says */
     bool sent;           /* bytes of the request may have been sent */
-    bool vetoed;         /* on_sending returned false */
+    bool is_vetoed;      /* on_sending returned false */
     unsigned status;     /* 0: no response head received */
     const char* message; /* reason when not whole, else "" */
 } cw_call_result_t;
@@ -29,9 +29,10 @@
     uint32_t header_count;
     const void* body; /* not copied: must stay valid until on_done */
     size_t size;
-    uint32_t connect_ms; /* connect timeout, default 1000 */
-    uint32_t timeout_ms; /* for the whole call, default none */
-    bool fresh;          /* use a new connection: libcurl resends a request when a reused connection turns out dead */
+    uint32_t connect_timeout_ms; /* connect timeout, default 1000 */
+    uint32_t timeout_ms;         /* for the whole call, default none */
+    bool use_new_connection; /* use a new connection: libcurl resends a request when a reused connection turns out dead
+                              */
     /* Only on_done is required. on_sending returns false to abort the call before anything is sent. on_data returns
        false to pause: the data is not consumed and is passed again after cw_call_resume. */
     bool (*on_sending)(void* user_data);
--- a/io/clock.c
+++ b/io/clock.c
@@ -5,7 +5,7 @@
 #define MS_PER_S 1000
 #define NS_PER_MS 1000000
 
-static int64_t simulated_ms; /* sum of the suspensions that cw_clock_suspend simulates */
+static int64_t simulated_ms; /* sum of the suspensions that cw_clock_simulate_suspend simulates */
 
 static int64_t clock_get_ms(clockid_t id) {
     struct timespec now;
@@ -21,6 +21,6 @@
     return clock_get_ms(CLOCK_BOOTTIME) - clock_get_ms(CLOCK_MONOTONIC) + simulated_ms;
 }
 
-void cw_clock_suspend(int64_t ms) {
+void cw_clock_simulate_suspend(int64_t ms) {
     simulated_ms += ms;
 }
--- a/io/clock.h
+++ b/io/clock.h
@@ -13,6 +13,6 @@
 /* Milliseconds for which the machine has been suspended since boot. */
 int64_t cw_clock_suspended_ms(void);
 /* For tests: simulates a suspension of ms by adding it to both values above; repeated calls add up. */
-void cw_clock_suspend(int64_t ms);
+void cw_clock_simulate_suspend(int64_t ms);
 
 #endif
--- a/io/httpd.c
+++ b/io/httpd.c
@@ -16,7 +16,7 @@
 struct cw_httpd_t {
     cw_httpd_desc_t desc;
     struct MHD_Daemon* daemon;
-    char address[CW_ADDR_TEXT];
+    char address[CW_ADDR_TEXT_SIZE];
     ev_io epoll_io;
     ev_timer timer;
     ev_prepare prepare;
@@ -156,7 +156,7 @@
 
 size_t cw_exchange_push(cw_exchange_t* x, const void* data, size_t size) {
     if (x->out_taken && (x->out_taken == x->out.size || x->out_taken > STREAM_COMPACT_BYTES)) {
-        cw_buffer_drop(&x->out, x->out_taken);
+        cw_buffer_consume(&x->out, x->out_taken);
         x->out_taken = 0;
     }
     cw_buffer_add(&x->out, data, size);
@@ -179,8 +179,8 @@
 static void notify_caller_closed(cw_exchange_t* x) {
     if (x->is_handed_over && !x->is_released) {
         x->is_released = true;
-        if (x->httpd->desc.on_gone) {
-            x->httpd->desc.on_gone(x, x->httpd->desc.user_data);
+        if (x->httpd->desc.on_caller_closed) {
+            x->httpd->desc.on_caller_closed(x, x->httpd->desc.user_data);
         }
     }
 }
@@ -232,7 +232,7 @@
     ev_io_init(&x->caller_io, on_caller_socket, -1, EV_READ);
     h->active++;
     const char* length = MHD_lookup_connection_value(connection, MHD_HEADER_KIND, "Content-Length");
-    x->is_body_too_long = length && strtoull(length, NULL, 10) > h->desc.max_body;
+    x->is_body_too_long = length && strtoull(length, NULL, 10) > h->desc.max_body_bytes;
     return x;
 }
 
@@ -265,7 +265,7 @@
         return MHD_YES;
     }
     if (*upload_size) {
-        x->is_body_too_long = x->is_body_too_long || x->body.size + *upload_size > h->desc.max_body;
+        x->is_body_too_long = x->is_body_too_long || x->body.size + *upload_size > h->desc.max_body_bytes;
         if (!x->is_body_too_long) {
             cw_buffer_add(&x->body, upload, *upload_size);
         }
@@ -305,9 +305,9 @@
 
 static cw_httpd_desc_t desc_defaults(const cw_httpd_desc_t* desc) {
     cw_httpd_desc_t d = *desc;
-    d.max_body = d.max_body ? d.max_body : (size_t)1 << 20;
+    d.max_body_bytes = d.max_body_bytes ? d.max_body_bytes : (size_t)1 << 20;
     d.max_connections = d.max_connections ? d.max_connections : 2000;
-    d.idle_s = d.idle_s ? d.idle_s : 60;
+    d.idle_timeout_s = d.idle_timeout_s ? d.idle_timeout_s : 60;
     return d;
 }
 
@@ -324,8 +324,9 @@
     }
     h->daemon = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_TURBO, 0, NULL, NULL, on_access, h,
                                  MHD_OPTION_LISTEN_SOCKET, fd, MHD_OPTION_CONNECTION_LIMIT, h->desc.max_connections,
-                                 MHD_OPTION_PER_IP_CONNECTION_LIMIT, h->desc.max_per_ip, MHD_OPTION_CONNECTION_TIMEOUT,
-                                 h->desc.idle_s, MHD_OPTION_NOTIFY_COMPLETED, on_completed, h, MHD_OPTION_END);
+                                 MHD_OPTION_PER_IP_CONNECTION_LIMIT, h->desc.max_connections_per_ip,
+                                 MHD_OPTION_CONNECTION_TIMEOUT, h->desc.idle_timeout_s, MHD_OPTION_NOTIFY_COMPLETED,
+                                 on_completed, h, MHD_OPTION_END);
     const union MHD_DaemonInfo* info = h->daemon ? MHD_get_daemon_info(h->daemon, MHD_DAEMON_INFO_EPOLL_FD) : NULL;
     if (!info) {
         cw_fail(err, CW_ERR_IO, "listen", h->desc.address, "libmicrohttpd did not start");
@@ -354,7 +355,7 @@
     return h->address;
 }
 
-uint32_t cw_httpd_active(const cw_httpd_t* h) {
+uint32_t cw_httpd_active_exchanges(const cw_httpd_t* h) {
     return h->active;
 }
 
--- a/io/httpd.h
+++ b/io/httpd.h
@@ -22,15 +22,15 @@
 
 typedef struct cw_httpd_desc_t {
     struct ev_loop* loop;
-    const char* address;      /* IP:PORT; port 0: the kernel picks one */
-    size_t max_body;          /* bytes, default 1 MiB; a request with a longer body is answered 413 */
-    uint32_t max_connections; /* default 2000 */
-    uint32_t max_per_ip;      /* connections from one client IP address, default no limit */
-    uint32_t idle_s;          /* a connection without traffic for this long is closed, default 60 */
+    const char* address;             /* IP:PORT; port 0: the kernel picks one */
+    size_t max_body_bytes;           /* bytes, default 1 MiB; a request with a longer body is answered 413 */
+    uint32_t max_connections;        /* default 2000 */
+    uint32_t max_connections_per_ip; /* connections from one client IP address, default no limit */
+    uint32_t idle_timeout_s;         /* a connection without traffic for this long is closed, default 60 */
     void (*on_request)(cw_exchange_t* x, void* user_data);
     /* The caller closed its connection before the response was complete. The exchange must not be used afterwards. May
        be NULL. */
-    void (*on_gone)(cw_exchange_t* x, void* user_data);
+    void (*on_caller_closed)(cw_exchange_t* x, void* user_data);
     /* libmicrohttpd has taken all pushed bytes for sending. May be NULL. */
     void (*on_drained)(cw_exchange_t* x, void* user_data);
     void* user_data;
@@ -41,7 +41,7 @@
 /* The bound address, IP:PORT, with the actual port. */
 const char* cw_httpd_address(const cw_httpd_t* h);
 /* Number of exchanges in progress. */
-uint32_t cw_httpd_active(const cw_httpd_t* h);
+uint32_t cw_httpd_active_exchanges(const cw_httpd_t* h);
 
 const char* cw_exchange_method(const cw_exchange_t* x);
 /* Request path without the query. */
--- a/io/lines.c
+++ b/io/lines.c
@@ -16,7 +16,7 @@
             cw_buffer_free(&l->out); /* for example EPIPE: no reader is left */
             break;
         }
-        cw_buffer_drop(&l->out, (size_t)n);
+        cw_buffer_consume(&l->out, (size_t)n);
     }
     ev_io_stop(l->loop, &l->write_io);
 }
@@ -52,18 +52,18 @@
 void cw_lines_add(cw_lines_t* l, const char* text) {
     size_t size = strlen(text);
     if (l->out.size + size + 1 > l->max_bytes) {
-        l->lost++;
-        l->lost_ever++;
+        l->dropped++;
+        l->dropped_total++;
         return;
     }
     cw_buffer_add(&l->out, text, size);
     cw_buffer_add(&l->out, "\n", 1);
 }
 
-unsigned long cw_lines_take_lost(cw_lines_t* l) {
-    unsigned long lost = l->lost;
-    l->lost = 0;
-    return lost;
+unsigned long cw_lines_take_dropped(cw_lines_t* l) {
+    unsigned long dropped = l->dropped;
+    l->dropped = 0;
+    return dropped;
 }
 
 void cw_lines_shutdown(cw_lines_t* l) {
--- a/io/lines.h
+++ b/io/lines.h
@@ -15,8 +15,8 @@
     cw_buffer_t out;
     ev_io write_io;
     ev_prepare prepare;
-    unsigned long lost;      /* lines dropped since the last cw_lines_take_lost */
-    unsigned long lost_ever; /* lines dropped since setup */
+    unsigned long dropped;       /* lines dropped since the last cw_lines_take_dropped */
+    unsigned long dropped_total; /* lines dropped since setup */
 } cw_lines_t;
 
 /* Makes the descriptor non-blocking. */
@@ -24,7 +24,7 @@
 /* Queues text as one line; the line feed is added. */
 void cw_lines_add(cw_lines_t* lines, const char* text);
 /* Returns the number of lines dropped since the last call and resets it. */
-unsigned long cw_lines_take_lost(cw_lines_t* lines);
+unsigned long cw_lines_take_dropped(cw_lines_t* lines);
 /* Writes what the descriptor accepts now, discards the rest and stops the watchers. Does not close the descriptor. */
 void cw_lines_shutdown(cw_lines_t* lines);
 
--- a/io/message.c
+++ b/io/message.c
@@ -38,7 +38,7 @@
         return 1; /* RFC 9112, 5.1: http-parser accepts a space in a name, but a server might ignore the space */
     }
     if (m->is_in_value || m->field_count == 0) {
-        if (m->field_count == CW_MESSAGE_FIELDS) {
+        if (m->field_count == CW_MESSAGE_MAX_FIELDS) {
             return 1;
         }
         text_terminate(m); /* terminates the target or the previous value */
@@ -71,11 +71,11 @@
     if (p->flags & F_CONTENTLENGTH) {
         return CW_FRAMING_LENGTH;
     }
-    if (p->type == HTTP_REQUEST || m->bodiless || p->status_code / 100 == 1 || p->status_code == 204 ||
+    if (p->type == HTTP_REQUEST || m->is_bodiless || p->status_code / 100 == 1 || p->status_code == 204 ||
         p->status_code == 304) {
         return CW_FRAMING_NONE;
     }
-    return CW_FRAMING_CLOSE;
+    return CW_FRAMING_UNTIL_CLOSE;
 }
 
 static int on_head_complete(http_parser* p) {
@@ -95,7 +95,7 @@
     if (m->handlers->on_head) {
         m->handlers->on_head(m->owner);
     }
-    return m->bodiless ? SKIP_BODY : 0;
+    return m->is_bodiless ? SKIP_BODY : 0;
 }
 
 static int on_body(http_parser* p, const char* at, size_t size) {
@@ -139,7 +139,7 @@
     m->parser.data = m;
     cw_buffer_free(&m->text);
     m->state = CW_MESSAGE_IDLE;
-    m->bodiless = false;
+    m->is_bodiless = false;
     m->field_count = 0;
     m->is_in_value = false;
     m->head_bytes = 0;
@@ -147,8 +147,8 @@
     m->framing = CW_FRAMING_NONE;
 }
 
-size_t cw_message_read(cw_message_t* m, const char* data, size_t size) {
-    if (m->state == CW_MESSAGE_COMPLETE || m->state == CW_MESSAGE_BROKEN) {
+size_t cw_message_parse(cw_message_t* m, const char* data, size_t size) {
+    if (m->state == CW_MESSAGE_COMPLETE || m->state == CW_MESSAGE_MALFORMED) {
         return 0;
     }
     bool in_head = m->state == CW_MESSAGE_IDLE || m->state == CW_MESSAGE_HEAD;
@@ -158,13 +158,13 @@
     }
     enum http_errno parse_error = HTTP_PARSER_ERRNO(&m->parser);
     if ((parse_error != HPE_OK && parse_error != HPE_PAUSED) || m->parser.upgrade) {
-        m->state = CW_MESSAGE_BROKEN;
+        m->state = CW_MESSAGE_MALFORMED;
     }
     return used;
 }
 
-void cw_message_finish(cw_message_t* m) {
-    if (m->state == CW_MESSAGE_BODY && m->framing == CW_FRAMING_CLOSE) {
+void cw_message_on_close(cw_message_t* m) {
+    if (m->state == CW_MESSAGE_BODY && m->framing == CW_FRAMING_UNTIL_CLOSE) {
         m->state = CW_MESSAGE_COMPLETE;
     }
 }
@@ -178,7 +178,7 @@
     return NULL;
 }
 
-uint32_t cw_message_field_times(const cw_message_t* m, const char* name) {
+uint32_t cw_message_count_field(const cw_message_t* m, const char* name) {
     uint32_t count = 0;
     for (uint32_t i = 0; i < m->field_count; i++) {
         count += strcasecmp(m->fields[i].name, name) == 0;
@@ -199,7 +199,7 @@
     return false;
 }
 
-bool cw_message_hop_field(const cw_message_t* m, const char* name) {
+bool cw_message_is_hop_by_hop(const cw_message_t* m, const char* name) {
     static const char* const names[] = {"Connection",
                                         "Keep-Alive",
                                         "Proxy-Authenticate",
@@ -241,7 +241,7 @@
     cw_buffer_add(out, "\r\n", 2);
 }
 
-void cw_message_add_end(cw_buffer_t* out) {
+void cw_message_end_head(cw_buffer_t* out) {
     cw_buffer_add(out, "\r\n", 2);
 }
 
@@ -257,7 +257,7 @@
     cw_buffer_add(out, "0\r\n\r\n", 5);
 }
 
-const char* cw_message_reason(unsigned status) {
+const char* cw_message_reason_phrase(unsigned status) {
     switch (status) {
 #define XX(number, name, string)                                                                                       \
     case number:                                                                                                       \
--- a/io/message.h
+++ b/io/message.h
@@ -3,7 +3,7 @@
 /*
     HTTP/1.1 messages: parsed with http-parser, serialized by the functions at the end of this file.
 
-    One cw_message_t parses the messages of one connection, one after the other. cw_message_read stops at the end of a
+    One cw_message_t parses the messages of one connection, one after the other. cw_message_parse stops at the end of a
     message and returns the number of bytes consumed. The caller decides what the remaining bytes are: a pipelined
     request, or stray bytes after a response.
 */
@@ -12,7 +12,7 @@
 #include "../chalkway_core.h"
 #include "buffer.h"
 
-#define CW_MESSAGE_FIELDS 100 /* header fields per message; a message with more is malformed */
+#define CW_MESSAGE_MAX_FIELDS 100 /* header fields per message; a message with more is malformed */
 
 typedef enum cw_message_kind_t { CW_MESSAGE_REQUEST = 0, CW_MESSAGE_RESPONSE } cw_message_kind_t;
 
@@ -21,14 +21,14 @@
     CW_MESSAGE_HEAD,
     CW_MESSAGE_BODY,
     CW_MESSAGE_COMPLETE,
-    CW_MESSAGE_BROKEN /* malformed: not HTTP, or ambiguous, such as a space in a field name */
+    CW_MESSAGE_MALFORMED /* malformed: not HTTP, or ambiguous, such as a space in a field name */
 } cw_message_state_t;
 
 typedef enum cw_framing_t {
     CW_FRAMING_NONE = 0, /* no body */
     CW_FRAMING_LENGTH,
     CW_FRAMING_CHUNKED,
-    CW_FRAMING_CLOSE /* the body ends when the peer closes the connection */
+    CW_FRAMING_UNTIL_CLOSE /* the body ends when the peer closes the connection */
 } cw_framing_t;
 
 typedef struct cw_field_t {
@@ -50,7 +50,7 @@
     void* owner;
     http_parser parser;
     cw_message_state_t state;
-    bool bodiless; /* response to a HEAD request; the owner sets it before parsing the response */
+    bool is_bodiless; /* response to a HEAD request; the owner sets it before parsing the response */
     /* Parsed head, valid from on_head until cw_message_reset. */
     const char* method; /* request */
     const char* target; /* request: path and query as sent */
@@ -59,10 +59,10 @@
     uint64_t length; /* Content-Length with CW_FRAMING_LENGTH, else 0 */
     bool keep_alive; /* the message allows the connection to be reused */
     uint32_t field_count;
-    cw_field_t fields[CW_MESSAGE_FIELDS];
+    cw_field_t fields[CW_MESSAGE_MAX_FIELDS];
     /* private */
-    cw_buffer_t text;                        /* target, names and values, each zero-terminated */
-    uint32_t offsets[CW_MESSAGE_FIELDS * 2]; /* start of each name and value in text: name, value, name, ... */
+    cw_buffer_t text;                            /* target, names and values, each zero-terminated */
+    uint32_t offsets[CW_MESSAGE_MAX_FIELDS * 2]; /* start of each name and value in text: name, value, name, ... */
     bool is_in_value;
     size_t head_bytes; /* bytes consumed by calls that began before the end of the head */
 };
@@ -72,26 +72,26 @@
 /* Prepares for the next message of the connection; the parsed head becomes invalid. */
 void cw_message_reset(cw_message_t* m);
 /* Parses up to the end of the message and returns the number of bytes consumed. On invalid input or a protocol
-   upgrade the state becomes CW_MESSAGE_BROKEN. Consumes nothing once the message is complete or broken. */
-size_t cw_message_read(cw_message_t* m, const char* data, size_t size);
-/* To be called when the peer has closed the connection: completes a body with CW_FRAMING_CLOSE. */
-void cw_message_finish(cw_message_t* m);
+   upgrade the state becomes CW_MESSAGE_MALFORMED. Consumes nothing once the message is complete or broken. */
+size_t cw_message_parse(cw_message_t* m, const char* data, size_t size);
+/* To be called when the peer has closed the connection: completes a body with CW_FRAMING_UNTIL_CLOSE. */
+void cw_message_on_close(cw_message_t* m);
 /* Value of the first header field with this name, compared without case; NULL when absent. */
 const char* cw_message_field(const cw_message_t* m, const char* name);
 /* Number of header fields with this name, compared without case. */
-uint32_t cw_message_field_times(const cw_message_t* m, const char* name);
+uint32_t cw_message_count_field(const cw_message_t* m, const char* name);
 /* Whether a proxy must not forward the field as received: hop-by-hop fields, fields that Connection lists, and
    Content-Length and Expect. */
-bool cw_message_hop_field(const cw_message_t* m, const char* name);
+bool cw_message_is_hop_by_hop(const cw_message_t* m, const char* name);
 
 /* Append to a message: formatted text (cut off at 511 bytes), a header field, the empty line that ends the head, a
    chunk of a chunked body (nothing for size 0), and the last chunk. */
 void cw_message_add_text(cw_buffer_t* out, const char* fmt, ...) __attribute__((format(printf, 2, 3)));
 void cw_message_add_field(cw_buffer_t* out, const char* name, const char* value);
-void cw_message_add_end(cw_buffer_t* out);
+void cw_message_end_head(cw_buffer_t* out);
 void cw_message_add_chunk(cw_buffer_t* out, const void* data, size_t size);
 void cw_message_add_last_chunk(cw_buffer_t* out);
 /* Standard reason phrase of a status code, "Unknown" for a code without one. */
-const char* cw_message_reason(unsigned status);
+const char* cw_message_reason_phrase(unsigned status);
 
 #endif
