--- a/io/peers.c
+++ b/io/peers.c
@@ -18,9 +18,9 @@
 
 typedef struct link_t {
     cw_peers_t* peers;
-    int fd;                     /* -1: closed, entry kept for its back-off */
-    uint64_t host;              /* 0: accepted, no hello received yet */
-    char address[CW_ADDR_TEXT]; /* "" after the hello of an accepted link: only the other side reconnects */
+    int fd;                          /* -1: closed, entry kept for its back-off */
+    uint64_t host;                   /* 0: accepted, no hello received yet */
+    char address[CW_ADDR_TEXT_SIZE]; /* "" after the hello of an accepted link: only the other side reconnects */
     bool is_connecting;
     int connect_errno; /* connect failed immediately; reported in the next loop iteration, not from within a send */
     bool is_used;
@@ -36,7 +36,7 @@
 
 struct cw_peers_t {
     cw_peers_desc_t desc;
-    char address[CW_ADDR_TEXT];
+    char address[CW_ADDR_TEXT_SIZE];
     cw_wire_t* wire;
     int listen_fd, udp_fd;
     ev_io listen_io, udp_io;
@@ -90,7 +90,7 @@
 }
 
 /* Closes the socket. After a failure, the entry of a link that this host opened is kept: it holds the back-off. */
-static void link_end(link_t* l, bool failed, bool refused) {
+static void link_end(link_t* l, bool failed, bool connection_refused) {
     cw_peers_t* p = l->peers;
     if (l->fd >= 0) {
         ev_io_stop(p->desc.loop, &l->read_io);
@@ -114,7 +114,7 @@
         l->is_used = false;
     }
     if (host && p->desc.on_closed) {
-        p->desc.on_closed(p->desc.user_data, host, refused);
+        p->desc.on_closed(p->desc.user_data, host, connection_refused);
     }
 }
 
@@ -137,7 +137,7 @@
     msg.hello.version = CW_WIRE_VERSION;
     msg.hello.host = p->desc.host;
     cw_copy(msg.hello.cluster, sizeof(msg.hello.cluster), p->desc.cluster);
-    link_append(l, cw_wire_frame(p->wire, &msg));
+    link_append(l, cw_wire_encode_frame(p->wire, &msg));
 }
 
 static void link_flush(link_t* l) {
@@ -151,7 +151,7 @@
     }
     if (n > 0) {
         l->peers->stats.bytes_out += (uint64_t)n;
-        cw_buffer_drop(&l->out, (size_t)n);
+        cw_buffer_consume(&l->out, (size_t)n);
     }
     if (l->out.size) {
         ev_io_start(l->peers->desc.loop, &l->write_io);
@@ -200,8 +200,8 @@
     if (l->address[0]) {
         cw_copy(err->peer, sizeof(err->peer), l->address);
     }
-    if (p->desc.on_refused) {
-        p->desc.on_refused(p->desc.user_data, err);
+    if (p->desc.on_protocol_error) {
+        p->desc.on_protocol_error(p->desc.user_data, err);
     }
     link_close(l, true);
 }
@@ -359,7 +359,7 @@
     return l;
 }
 
-void cw_peers_open(cw_peers_t* p, uint64_t host, const char* address) {
+void cw_peers_connect(cw_peers_t* p, uint64_t host, const char* address) {
     cw_status_t status = CW_OK;
     link_get_or_open(p, host, address, &status);
 }
@@ -370,10 +370,10 @@
     if (!l) {
         return status;
     }
-    if (l->out.size > p->desc.max_unsent) {
+    if (l->out.size > p->desc.max_unsent_bytes) {
         return CW_ERR_FULL;
     }
-    link_append(l, cw_wire_frame(p->wire, msg));
+    link_append(l, cw_wire_encode_frame(p->wire, msg));
     l->active_s = ev_now(p->desc.loop);
     p->stats.frames_out++;
     return CW_OK;
@@ -386,8 +386,9 @@
     double now = ev_now(loop);
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
-        double idle_ms = (now - l->active_s) * MS_PER_S;
-        if (l->is_used && (idle_ms > p->desc.idle_ms || (!l->host && idle_ms > HELLO_TIMEOUT_MS))) {
+        double idle_timeout_ms = (now - l->active_s) * MS_PER_S;
+        if (l->is_used &&
+            (idle_timeout_ms > p->desc.idle_timeout_ms || (!l->host && idle_timeout_ms > HELLO_TIMEOUT_MS))) {
             link_close(l, false);
         }
     }
@@ -395,12 +396,12 @@
 
 /* -- gossip --------------------------------------------------------------- */
 
-void cw_peers_gossip(cw_peers_t* p, const char* to, const cw_gossip_t* gossip) {
+void cw_peers_send_gossip(cw_peers_t* p, const char* to, const cw_gossip_t* gossip) {
     struct sockaddr_in addr;
     if (cw_addr_parse(to, &addr, NULL) != CW_OK) {
         return;
     }
-    cw_bytes_t bytes = cw_wire_datagram(p->wire, p->desc.cluster, gossip);
+    cw_bytes_t bytes = cw_wire_encode_datagram(p->wire, p->desc.cluster, gossip);
     ssize_t n = sendto(p->udp_fd, bytes.data, bytes.size, 0, (struct sockaddr*)&addr, sizeof(addr));
     p->stats.gossip_bytes_out += n > 0 ? (uint64_t)n : 0;
 }
@@ -414,10 +415,10 @@
     while ((n = recv(w->fd, data, sizeof(data), MSG_DONTWAIT)) > 0) {
         cw_error_t err = {0};
         p->stats.gossip_bytes_in += (uint64_t)n;
-        if (cw_wire_gossip(p->wire, p->desc.cluster, data, (size_t)n, &p->gossip, &err) == CW_OK) {
+        if (cw_wire_decode_datagram(p->wire, p->desc.cluster, data, (size_t)n, &p->gossip, &err) == CW_OK) {
             p->desc.on_gossip(p->desc.user_data, &p->gossip);
-        } else if (p->desc.on_refused) {
-            p->desc.on_refused(p->desc.user_data, &err);
+        } else if (p->desc.on_protocol_error) {
+            p->desc.on_protocol_error(p->desc.user_data, &err);
         }
     }
 }
@@ -427,8 +428,8 @@
 static cw_peers_desc_t desc_defaults(const cw_peers_desc_t* desc) {
     cw_peers_desc_t d = *desc;
     d.max_links = d.max_links ? d.max_links : 512;
-    d.idle_ms = d.idle_ms ? d.idle_ms : 60000;
-    d.max_unsent = d.max_unsent ? d.max_unsent : (size_t)8 << 20;
+    d.idle_timeout_ms = d.idle_timeout_ms ? d.idle_timeout_ms : 60000;
+    d.max_unsent_bytes = d.max_unsent_bytes ? d.max_unsent_bytes : (size_t)8 << 20;
     return d;
 }
 
--- a/io/stream.c
+++ b/io/stream.c
@@ -40,31 +40,31 @@
         return CW_ERR_IO;
     }
     stream_init(s, loop, fd, handlers, owner);
-    s->connecting = true;
+    s->is_connecting = true;
     ev_io_start(loop, &s->write_io);
     return CW_OK;
 }
 
-void cw_stream_watch_peer(cw_stream_t* s, uint32_t silent_ms) {
+void cw_stream_set_peer_timeout(cw_stream_t* s, uint32_t timeout_ms) {
     int yes = 1;
     int probes = KEEPALIVE_PROBES;
-    int interval_s = (int)(silent_ms / (MS_PER_S * (KEEPALIVE_PROBES + 1)));
+    int interval_s = (int)(timeout_ms / (MS_PER_S * (KEEPALIVE_PROBES + 1)));
     interval_s = interval_s > 0 ? interval_s : 1;
-    setsockopt(s->fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms, sizeof(silent_ms));
+    setsockopt(s->fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms, sizeof(timeout_ms));
     setsockopt(s->fd, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof(yes));
     setsockopt(s->fd, IPPROTO_TCP, TCP_KEEPIDLE, &interval_s, sizeof(interval_s));
     setsockopt(s->fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s));
     setsockopt(s->fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
 }
 
-static void stream_end(cw_stream_t* s, cw_stream_end_t end) {
+static void stream_end(cw_stream_t* s, cw_stream_end_reason_t end) {
     cw_stream_close(s);
     s->handlers->on_end(s->owner, end);
 }
 
 /* Ends the stream by the errno of the failed call. Only a reset shows that the peer's machine is still reachable. */
 static void stream_fail(cw_stream_t* s) {
-    stream_end(s, errno == ECONNRESET || errno == EPIPE ? CW_STREAM_RESET : CW_STREAM_LOST);
+    stream_end(s, errno == ECONNRESET || errno == EPIPE ? CW_STREAM_RESET : CW_STREAM_CONN_LOST);
 }
 
 static void on_readable(struct ev_loop* loop, ev_io* w, int events) {
@@ -76,7 +76,7 @@
     if (n > 0) {
         s->handlers->on_data(s->owner, data, (size_t)n);
     } else if (n == 0) {
-        stream_end(s, CW_STREAM_FINISHED);
+        stream_end(s, CW_STREAM_PEER_CLOSED);
     } else if (errno != EAGAIN && errno != EINTR) {
         stream_fail(s);
     }
@@ -87,11 +87,11 @@
     socklen_t size = sizeof(failed);
     getsockopt(s->fd, SOL_SOCKET, SO_ERROR, &failed, &size);
     if (failed) {
-        stream_end(s, CW_STREAM_REFUSED);
+        stream_end(s, CW_STREAM_CONNECT_FAILED);
         return false;
     }
-    s->connecting = false;
-    if (!cw_stream_unsent(s)) {
+    s->is_connecting = false;
+    if (!cw_stream_unsent_bytes(s)) {
         ev_io_stop(s->loop, &s->write_io);
     }
     ev_io_start(s->loop, &s->read_io);
@@ -103,8 +103,8 @@
 
 /* Sends until the socket would block; false on any other error. */
 static bool send_pending(cw_stream_t* s) {
-    while (cw_stream_unsent(s)) {
-        ssize_t n = send(s->fd, s->out.data + s->out_start, cw_stream_unsent(s), MSG_NOSIGNAL);
+    while (cw_stream_unsent_bytes(s)) {
+        ssize_t n = send(s->fd, s->out.data + s->out_start, cw_stream_unsent_bytes(s), MSG_NOSIGNAL);
         if (n < 0) {
             return errno == EAGAIN || errno == EINTR;
         }
@@ -114,11 +114,11 @@
 }
 
 static void compact(cw_stream_t* s) {
-    if (!cw_stream_unsent(s)) {
+    if (!cw_stream_unsent_bytes(s)) {
         cw_buffer_free(&s->out);
         s->out_start = 0;
     } else if (s->out_start > COMPACT_BYTES) {
-        cw_buffer_drop(&s->out, s->out_start);
+        cw_buffer_consume(&s->out, s->out_start);
         s->out_start = 0;
     }
 }
@@ -127,7 +127,7 @@
     (void)loop;
     (void)events;
     cw_stream_t* s = w->data;
-    if (s->connecting) {
+    if (s->is_connecting) {
         finish_connecting(s);
         return;
     }
@@ -136,7 +136,7 @@
         return;
     }
     compact(s);
-    if (!cw_stream_unsent(s)) {
+    if (!cw_stream_unsent_bytes(s)) {
         ev_io_stop(s->loop, &s->write_io);
         if (s->handlers->on_drained) {
             s->handlers->on_drained(s->owner);
@@ -151,23 +151,23 @@
 }
 
 void cw_stream_flush(cw_stream_t* s) {
-    if (s->fd < 0 || s->connecting || !cw_stream_unsent(s) || ev_is_active(&s->write_io)) {
+    if (s->fd < 0 || s->is_connecting || !cw_stream_unsent_bytes(s) || ev_is_active(&s->write_io)) {
         return;
     }
     if (send_pending(s)) {
         compact(s);
     }
-    if (cw_stream_unsent(s)) {
+    if (cw_stream_unsent_bytes(s)) {
         ev_io_start(s->loop, &s->write_io); /* on_writable also reports the error of a broken socket */
     }
 }
 
-size_t cw_stream_unsent(const cw_stream_t* s) {
+size_t cw_stream_unsent_bytes(const cw_stream_t* s) {
     return s->out.size - s->out_start;
 }
 
-void cw_stream_pause(cw_stream_t* s, bool paused) {
-    if (s->fd < 0 || s->connecting) {
+void cw_stream_pause_reading(cw_stream_t* s, bool paused) {
+    if (s->fd < 0 || s->is_connecting) {
         return;
     }
     if (paused) {
@@ -177,7 +177,7 @@
     }
 }
 
-void cw_stream_finish(cw_stream_t* s) {
+void cw_stream_shutdown_write(cw_stream_t* s) {
     if (s->fd >= 0) {
         shutdown(s->fd, SHUT_WR);
     }
--- a/standins/fake_engine.c
+++ b/standins/fake_engine.c
@@ -119,7 +119,7 @@
                                  "index", 0, "message", "role", "assistant", "content", cw_buffer_text(&job->text),
                                  "finish_reason", "stop", "usage", "completion_tokens", (int)job->token_count);
         char* text = json_dumps(root, JSON_COMPACT);
-        standin_reply(job->x, 200, text);
+        standin_reply_json(job->x, 200, text);
         free(text);
         json_decref(root);
     }
@@ -212,7 +212,7 @@
     job_t* job = e->is_draining ? NULL : job_alloc(e);
     const char* prompt = NULL;
     if (!job || !parse_prompt(job, root, &prompt)) {
-        standin_reply(x, job ? 400 : 503, job ? "{\"error\":\"no id and len\"}" : "{\"error\":\"draining\"}");
+        standin_reply_json(x, job ? 400 : 503, job ? "{\"error\":\"no id and len\"}" : "{\"error\":\"draining\"}");
         if (job) {
             job_free(e, job);
         }
@@ -247,7 +247,7 @@
     char reply[128];
     snprintf(reply, sizeof(reply), "{\"running\":%u,\"waiting\":%u,\"draining\":%s}", running, e->queue.count,
              e->is_draining ? "true" : "false");
-    standin_reply(x, 200, reply);
+    standin_reply_json(x, 200, reply);
 }
 
 static void on_request(cw_exchange_t* x, void* user) {
@@ -260,22 +260,22 @@
         snprintf(reply, sizeof(reply), "{\"requests\":%llu,\"tokens\":%llu,\"wasted\":%llu,\"most\":%u}",
                  (unsigned long long)e->request_count, (unsigned long long)e->total_tokens,
                  (unsigned long long)e->wasted_tokens, e->max_running);
-        standin_reply(x, 200, reply);
+        standin_reply_json(x, 200, reply);
     } else if (strcmp(path, "/admin/set") == 0) {
-        e->step_ms = standin_arg(x, "step_ms", e->step_ms);
-        e->is_draining = standin_arg(x, "drain", e->is_draining) != 0;
-        e->crash_after = (int64_t)standin_arg(x, "crash_after", (double)e->crash_after);
-        e->cut_after = (int64_t)standin_arg(x, "cut_after", (double)e->cut_after);
-        e->report_lag_ms = (uint32_t)standin_arg(x, "lag_ms", e->report_lag_ms);
-        standin_reply(x, 200, "{}");
+        e->step_ms = standin_number_arg(x, "step_ms", e->step_ms);
+        e->is_draining = standin_number_arg(x, "drain", e->is_draining) != 0;
+        e->crash_after = (int64_t)standin_number_arg(x, "crash_after", (double)e->crash_after);
+        e->cut_after = (int64_t)standin_number_arg(x, "cut_after", (double)e->cut_after);
+        e->report_lag_ms = (uint32_t)standin_number_arg(x, "lag_ms", e->report_lag_ms);
+        standin_reply_json(x, 200, "{}");
     } else if (strncmp(path, "/v1/", 4) == 0) {
         handle_completion(e, x);
     } else {
-        standin_reply(x, 404, "{}");
+        standin_reply_json(x, 404, "{}");
     }
 }
 
-static void on_gone(cw_exchange_t* x, void* user) {
+static void on_caller_closed(cw_exchange_t* x, void* user) {
     engine_t* e = user;
     job_t* job = cw_exchange_data(x);
     if (job && job->is_used && job->x == x) {
@@ -350,9 +350,10 @@
     e->prefill_us = args.prefill_us;
     e->crash_after = e->cut_after = -1;
     e->queue = cw_heap_setup(MAX_JOBS, NULL);
-    if (!standin_setup(&e->standin,
-                       &(cw_httpd_desc_t){
-                           .address = args.address, .on_request = on_request, .on_gone = on_gone, .user_data = e})) {
+    if (!standin_setup(&e->standin, &(cw_httpd_desc_t){.address = args.address,
+                                                       .on_request = on_request,
+                                                       .on_caller_closed = on_caller_closed,
+                                                       .user_data = e})) {
         return 1;
     }
     ev_timer_init(&e->step, on_step, 0.0, 0.0);
--- a/standins/fake_platform.c
+++ b/standins/fake_platform.c
@@ -75,20 +75,20 @@
     }
     json_t* root = json_pack("{s:I,s:o}", "revision", (json_int_t)visible_revision(p), "items", list);
     char* text = json_dumps(root, JSON_COMPACT);
-    standin_reply(x, 200, text);
+    standin_reply_json(x, 200, text);
     free(text);
     json_decref(root);
 }
 
 static void reply_watches(platform_t* p) {
-    int64_t now_ms = standin_now();
+    int64_t now_ms = standin_now_ms();
     for (int i = 0; i < MAX_WATCHES; i++) {
         watch_t* w = &p->watches[i];
         if (w->x && (p->is_down || visible_revision(p) > w->since || now_ms >= w->deadline_ms)) {
             cw_exchange_t* x = w->x;
             w->x = NULL;
             if (p->is_down) {
-                standin_reply(x, 503, "{}");
+                standin_reply_json(x, 503, "{}");
             } else {
                 reply_items(p, x, w->since, true);
             }
@@ -132,30 +132,30 @@
     json_decref(root);
     char reply[64];
     snprintf(reply, sizeof(reply), "{\"revision\":%lld}", (long long)p->revision);
-    standin_reply(x, 200, reply);
+    standin_reply_json(x, 200, reply);
     reply_watches(p);
 }
 
 static void admin_mode(platform_t* p, cw_exchange_t* x) {
-    p->is_down = standin_arg(x, "down", p->is_down) != 0;
-    p->response_delay_ms = (uint32_t)standin_arg(x, "slow_ms", p->response_delay_ms);
-    bool stale = standin_arg(x, "stale", p->stale_revision != 0) != 0;
+    p->is_down = standin_number_arg(x, "down", p->is_down) != 0;
+    p->response_delay_ms = (uint32_t)standin_number_arg(x, "slow_ms", p->response_delay_ms);
+    bool stale = standin_number_arg(x, "stale", p->stale_revision != 0) != 0;
     p->stale_revision = stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
-    standin_reply(x, 200, "{}");
+    standin_reply_json(x, 200, "{}");
     reply_watches(p);
 }
 
 static void start_watch(platform_t* p, cw_exchange_t* x) {
-    int64_t since = (int64_t)standin_arg(x, "since", 0);
-    int64_t wait_ms = (int64_t)standin_arg(x, "wait_ms", 0);
+    int64_t since = (int64_t)standin_number_arg(x, "since", 0);
+    int64_t wait_ms = (int64_t)standin_number_arg(x, "wait_ms", 0);
     for (int i = 0; i < MAX_WATCHES; i++) {
         if (!p->watches[i].x) {
-            p->watches[i] = (watch_t){.x = x, .since = since, .deadline_ms = standin_now() + wait_ms};
+            p->watches[i] = (watch_t){.x = x, .since = since, .deadline_ms = standin_now_ms() + wait_ms};
             reply_watches(p);
             return;
         }
     }
-    standin_reply(x, 503, "{}");
+    standin_reply_json(x, 503, "{}");
 }
 
 static void serve(platform_t* p, cw_exchange_t* x) {
@@ -165,9 +165,9 @@
     } else if (strcmp(path, "/v1/watch") == 0) {
         start_watch(p, x);
     } else if (strcmp(path, "/v1/hosts") == 0) {
-        standin_reply(x, 200, p->hosts ? p->hosts : "{\"hosts\":[]}");
+        standin_reply_json(x, 200, p->hosts ? p->hosts : "{\"hosts\":[]}");
     } else {
-        standin_reply(x, 404, "{}");
+        standin_reply_json(x, 404, "{}");
     }
 }
 
@@ -186,14 +186,14 @@
     char reply[128];
     snprintf(reply, sizeof(reply), "{\"calls\":%llu,\"refused\":%llu,\"revision\":%lld}", (unsigned long long)p->calls,
              (unsigned long long)p->rejected, (long long)p->revision);
-    standin_reply(x, 200, reply);
+    standin_reply_json(x, 200, reply);
 }
 
 static void admin_hosts(platform_t* p, cw_exchange_t* x) {
     free(p->pending_hosts);
     p->pending_hosts = strdup(cw_exchange_body(x, NULL));
-    p->pending_hosts_due_ms = standin_now() + p->host_lag_ms;
-    standin_reply(x, 200, "{}");
+    p->pending_hosts_due_ms = standin_now_ms() + p->host_lag_ms;
+    standin_reply_json(x, 200, "{}");
 }
 
 static void on_request(cw_exchange_t* x, void* user) {
@@ -209,9 +209,9 @@
         reply_stats(p, x);
     } else {
         p->calls++;
-        if (p->is_down || !cw_bucket_take(&p->bucket, standin_now(), 1)) {
+        if (p->is_down || !cw_bucket_take(&p->bucket, standin_now_ms(), 1)) {
             p->rejected++;
-            standin_reply(x, 503, "{}");
+            standin_reply_json(x, 503, "{}");
         } else if (p->response_delay_ms) {
             delayed_t* d = cw_alloc(NULL, 1, sizeof(*d));
             d->x = x;
@@ -225,7 +225,7 @@
     }
 }
 
-static void on_gone(cw_exchange_t* x, void* user) {
+static void on_caller_closed(cw_exchange_t* x, void* user) {
     platform_t* p = user;
     delayed_t* d = cw_exchange_data(x);
     if (d) {
@@ -240,7 +240,7 @@
     (void)loop;
     (void)events;
     platform_t* p = w->data;
-    if (p->pending_hosts && standin_now() >= p->pending_hosts_due_ms) {
+    if (p->pending_hosts && standin_now_ms() >= p->pending_hosts_due_ms) {
         free(p->hosts);
         p->hosts = p->pending_hosts;
         p->pending_hosts = NULL;
@@ -282,10 +282,10 @@
     p->host_lag_ms = args.host_lag_ms;
     p->bucket = (cw_bucket_t){.rate = MAX_CALLS_PER_S};
     if (!standin_setup(&p->standin, &(cw_httpd_desc_t){.address = args.address,
-                                                       .max_body = (size_t)64 << 20,
-                                                       .idle_s = 600,
+                                                       .max_body_bytes = (size_t)64 << 20,
+                                                       .idle_timeout_s = 600,
                                                        .on_request = on_request,
-                                                       .on_gone = on_gone,
+                                                       .on_caller_closed = on_caller_closed,
                                                        .user_data = p})) {
         return 1;
     }
--- a/standins/fake_service.c
+++ b/standins/fake_service.c
@@ -88,7 +88,7 @@
     } else {
         json_t* root = json_pack("{s:i,s:s}", "ran", (int)job->run_number, "echo", cw_exchange_body(x, NULL));
         char* text = json_dumps(root, JSON_COMPACT);
-        standin_reply(x, 200, text);
+        standin_reply_json(x, 200, text);
         free(text);
         json_decref(root);
     }
@@ -124,24 +124,24 @@
         snprintf(reply, sizeof(reply), "{\"runs\":%llu,\"repeated\":%llu,\"left\":%llu,\"most\":%u}",
                  (unsigned long long)s->runs, (unsigned long long)s->repeated_runs,
                  (unsigned long long)s->caller_closed_count, s->max_running);
-        standin_reply(x, 200, reply);
+        standin_reply_json(x, 200, reply);
     } else if (strcmp(path, "/admin/set") == 0) {
-        s->call_ms = standin_arg(x, "ms", s->call_ms);
-        s->resets_left = (uint32_t)standin_arg(x, "reset_after", s->resets_left);
-        s->is_draining = standin_arg(x, "drain", s->is_draining) != 0;
-        standin_reply(x, 200, "{}");
+        s->call_ms = standin_number_arg(x, "ms", s->call_ms);
+        s->resets_left = (uint32_t)standin_number_arg(x, "reset_after", s->resets_left);
+        s->is_draining = standin_number_arg(x, "drain", s->is_draining) != 0;
+        standin_reply_json(x, 200, "{}");
     } else if (strcmp(path, "/v1/load") == 0) {
         snprintf(reply, sizeof(reply), "{\"running\":%u,\"draining\":%s}", s->running,
                  s->is_draining ? "true" : "false");
-        standin_reply(x, 200, reply);
+        standin_reply_json(x, 200, reply);
     } else if (s->is_draining) {
-        standin_reply(x, 503, "{\"error\":\"draining\"}");
+        standin_reply_json(x, 503, "{\"error\":\"draining\"}");
     } else {
         enqueue(s, x);
     }
 }
 
-static void on_gone(cw_exchange_t* x, void* user) {
+static void on_caller_closed(cw_exchange_t* x, void* user) {
     (void)user;
     job_t* job = cw_exchange_data(x);
     if (job) {
@@ -189,7 +189,7 @@
     service.calls = cw_map_setup(MAX_CALLS, NULL);
     if (!standin_setup(&service.standin, &(cw_httpd_desc_t){.address = args.address,
                                                             .on_request = on_request,
-                                                            .on_gone = on_gone,
+                                                            .on_caller_closed = on_caller_closed,
                                                             .user_data = &service})) {
         return 1;
     }
--- a/standins/fake_source.c
+++ b/standins/fake_source.c
@@ -58,11 +58,11 @@
     bool is_catalog = strcmp(cw_exchange_path(x), "/catalog") == 0;
     const char* text = visible_text(s, is_catalog ? &s->catalog : &s->servers);
     if (!text) {
-        standin_reply(x, 404, "{}");
+        standin_reply_json(x, 404, "{}");
         return;
     }
-    bool is_unchanged = is_catalog && revision_of(text) == (int64_t)standin_arg(x, "after", -1);
-    standin_reply(x, 200, is_unchanged ? "" : text);
+    bool is_unchanged = is_catalog && revision_of(text) == (int64_t)standin_number_arg(x, "after", -1);
+    standin_reply_json(x, 200, is_unchanged ? "" : text);
 }
 
 static void on_delay(struct ev_loop* loop, ev_timer* w, int events) {
@@ -86,17 +86,17 @@
 }
 
 static void set_mode(source_standin_t* s, cw_exchange_t* x) {
-    bool stale = standin_arg(x, "stale", s->stale) != 0;
+    bool stale = standin_number_arg(x, "stale", s->stale) != 0;
     document_t* documents[] = {&s->catalog, &s->servers};
     for (size_t i = 0; i < 2 && stale && !s->stale; i++) {
         free(documents[i]->stale);
         documents[i]->stale = documents[i]->current ? strdup(documents[i]->current) : NULL;
     }
     s->stale = stale;
-    s->is_down = standin_arg(x, "down", s->is_down) != 0;
-    s->response_delay_ms = (uint32_t)standin_arg(x, "slow_ms", s->response_delay_ms);
-    s->lost_percent = (uint32_t)standin_arg(x, "lose", s->lost_percent);
-    standin_reply(x, 200, "{}");
+    s->is_down = standin_number_arg(x, "down", s->is_down) != 0;
+    s->response_delay_ms = (uint32_t)standin_number_arg(x, "slow_ms", s->response_delay_ms);
+    s->lost_percent = (uint32_t)standin_number_arg(x, "lose", s->lost_percent);
+    standin_reply_json(x, 200, "{}");
 }
 
 static void on_request(cw_exchange_t* x, void* user) {
@@ -104,14 +104,14 @@
     const char* path = cw_exchange_path(x);
     if (strcmp(path, "/admin/catalog") == 0) {
         publish(&s->catalog, cw_exchange_body(x, NULL));
-        standin_reply(x, 200, "{}");
+        standin_reply_json(x, 200, "{}");
     } else if (strcmp(path, "/admin/servers") == 0) {
         publish(&s->servers, cw_exchange_body(x, NULL));
-        standin_reply(x, 200, "{}");
+        standin_reply_json(x, 200, "{}");
     } else if (strcmp(path, "/admin/mode") == 0) {
         set_mode(s, x);
     } else if (s->is_down) {
-        standin_reply(x, 503, "{}");
+        standin_reply_json(x, 503, "{}");
     } else if (++s->call_count % 100 < s->lost_percent) {
         cw_exchange_set_data(x, NULL); /* never answered */
     } else if (s->response_delay_ms) {
@@ -121,7 +121,7 @@
     }
 }
 
-static void on_gone(cw_exchange_t* x, void* user) {
+static void on_caller_closed(cw_exchange_t* x, void* user) {
     (void)user;
     delayed_t* d = cw_exchange_data(x);
     if (d) {
@@ -147,9 +147,9 @@
     argp_parse(&argp, argc, argv, 0, NULL, &address);
     static source_standin_t source;
     if (!standin_setup(&source.standin, &(cw_httpd_desc_t){.address = address,
-                                                           .idle_s = 600,
+                                                           .idle_timeout_s = 600,
                                                            .on_request = on_request,
-                                                           .on_gone = on_gone,
+                                                           .on_caller_closed = on_caller_closed,
                                                            .user_data = &source})) {
         return 1;
     }
--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -80,7 +80,7 @@
 
 static void log_event(upstream_t* u, const char* event_name, const char* id) {
     char line[160];
-    snprintf(line, sizeof(line), "U %" PRId64 " %s %s %s", standin_now(), event_name, id, u->id);
+    snprintf(line, sizeof(line), "U %" PRId64 " %s %s %s", standin_now_ms(), event_name, id, u->id);
     cw_lines_add(&u->lines, line);
 }
 
@@ -90,7 +90,7 @@
 
 static void log_begin(upstream_t* u, const job_t* job) {
     char line[200];
-    snprintf(line, sizeof(line), "U %" PRId64 " begin %s %s %u %u", standin_now(), job->id, u->id, job->priority,
+    snprintf(line, sizeof(line), "U %" PRId64 " begin %s %s %u %u", standin_now_ms(), job->id, u->id, job->priority,
              job->tokens);
     cw_lines_add(&u->lines, line);
 }
@@ -247,7 +247,7 @@
         {"Chalkway-Not-Run", "1"}, {"Chalkway-Request-Id", id}, {"Retry-After", retry_after}};
     uint32_t count = add_pushback(u, id, rate_text, headers, 3);
     cw_exchange_reply(x, 503, headers, count, "", 0);
-    snprintf(line, sizeof(line), "U %" PRId64 " away %s %s %.0f", standin_now(), id, u->id, u->backoff_s * 1000);
+    snprintf(line, sizeof(line), "U %" PRId64 " away %s %s %.0f", standin_now_ms(), id, u->id, u->backoff_s * 1000);
     cw_lines_add(&u->lines, line);
 }
 
@@ -304,23 +304,23 @@
         const cw_header_t headers[] = {{"Chalkway-Server-Id", u->id}};
         cw_exchange_reply(x, 200, headers, 1, "", 0);
     } else if (strcmp(path, "/admin/set") == 0) {
-        double advertised_per_s = standin_arg(x, "limit", u->advertised_per_s);
+        double advertised_per_s = standin_number_arg(x, "limit", u->advertised_per_s);
         if (advertised_per_s != u->advertised_per_s) {
             char line[120];
             u->advertised_per_s = advertised_per_s;
-            snprintf(line, sizeof(line), "U %" PRId64 " rate - %s %.3f", standin_now(), u->id, advertised_per_s);
+            snprintf(line, sizeof(line), "U %" PRId64 " rate - %s %.3f", standin_now_ms(), u->id, advertised_per_s);
             cw_lines_add(&u->lines, line);
         }
-        u->slowdown = standin_arg(x, "slow", u->slowdown);
-        u->backoff_s = standin_arg(x, "rest", u->backoff_s);
-        u->is_leaving = u->is_leaving || standin_arg(x, "leaving", 0) > 0;
-        standin_reply(x, 200, "{}");
+        u->slowdown = standin_number_arg(x, "slow", u->slowdown);
+        u->backoff_s = standin_number_arg(x, "rest", u->backoff_s);
+        u->is_leaving = u->is_leaving || standin_number_arg(x, "leaving", 0) > 0;
+        standin_reply_json(x, 200, "{}");
     } else {
         handle_request(u, x);
     }
 }
 
-static void on_gone(cw_exchange_t* x, void* user) {
+static void on_caller_closed(cw_exchange_t* x, void* user) {
     upstream_t* u = user;
     job_t* job = cw_exchange_data(x);
     if (job && job->is_used && job->x == x) {
@@ -371,9 +371,10 @@
     upstream_t* u = &upstream;
     argp_parse(&argp, argc, argv, 0, NULL, u);
     u->queue = cw_heap_setup(MAX_JOBS, NULL);
-    if (!standin_setup(&u->standin,
-                       &(cw_httpd_desc_t){
-                           .address = "127.0.0.1:0", .on_request = on_request, .on_gone = on_gone, .user_data = u})) {
+    if (!standin_setup(&u->standin, &(cw_httpd_desc_t){.address = "127.0.0.1:0",
+                                                       .on_request = on_request,
+                                                       .on_caller_closed = on_caller_closed,
+                                                       .user_data = u})) {
         return 1;
     }
     cw_lines_setup(&u->lines, u->standin.loop, 1, LINES_MAX_BYTES);
--- a/standins/standin.c
+++ b/standins/standin.c
@@ -35,17 +35,17 @@
     cw_httpd_shutdown(s->http);
 }
 
-double standin_arg(cw_exchange_t* x, const char* name, double default_value) {
+double standin_number_arg(cw_exchange_t* x, const char* name, double default_value) {
     const char* text = cw_exchange_arg(x, name);
     return text ? strtod(text, NULL) : default_value;
 }
 
-void standin_reply(cw_exchange_t* x, unsigned status, const char* json) {
+void standin_reply_json(cw_exchange_t* x, unsigned status, const char* json) {
     const cw_header_t headers[] = {{"Content-Type", "application/json"}};
     cw_exchange_reply(x, status, headers, 1, json, strlen(json));
 }
 
-int64_t standin_now(void) {
+int64_t standin_now_ms(void) {
     struct timespec ts;
     clock_gettime(CLOCK_MONOTONIC, &ts);
     return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -17,10 +17,10 @@
 /* Runs the loop until SIGTERM, then shuts the server down. */
 void standin_run(standin_t* s);
 /* Query argument as a number; default_value when absent. */
-double standin_arg(cw_exchange_t* x, const char* name, double default_value);
+double standin_number_arg(cw_exchange_t* x, const char* name, double default_value);
 /* Sends a complete response of type application/json. */
-void standin_reply(cw_exchange_t* x, unsigned status, const char* json);
+void standin_reply_json(cw_exchange_t* x, unsigned status, const char* json);
 /* Milliseconds of the monotonic clock. */
-int64_t standin_now(void);
+int64_t standin_now_ms(void);
 
 #endif
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -49,7 +49,7 @@
     snprintf(d.self.peer, sizeof(d.self.peer), "10.0.%u.%u:70", i / 200, i % 200);
     snprintf(d.self.http, sizeof(d.self.http), "10.0.%u.%u:80", i / 200, i % 200);
     f->hosts[i] = cw_members_setup(&d);
-    cw_members_contact(f->hosts[i], i ? "10.0.0.0:70" : "10.0.0.1:70");
+    cw_members_add_seed(f->hosts[i], i ? "10.0.0.0:70" : "10.0.0.1:70");
 }
 
 static inline void fleet_setup_with(fleet_t* f, uint32_t count, uint64_t seed, const cw_members_desc_t* times) {
@@ -88,7 +88,7 @@
             continue;
         }
         uint32_t to = high * 200 + low;
-        cw_bytes_t bytes = cw_wire_datagram(f->wire, "fleet", &out.message);
+        cw_bytes_t bytes = cw_wire_encode_datagram(f->wire, "fleet", &out.message);
         f->messages++;
         f->bytes += bytes.size;
         bool lost = rng_below(&f->rng, 100) < f->loss_percent;
@@ -98,7 +98,7 @@
         if (to >= f->count || !f->hosts[to] || f->paused[to] || f->partition[i] != f->partition[to] || lost) {
             continue;
         }
-        if (cw_wire_gossip(f->wire, "fleet", bytes.data, bytes.size, &in, NULL) != CW_OK) {
+        if (cw_wire_decode_datagram(f->wire, "fleet", bytes.data, bytes.size, &in, NULL) != CW_OK) {
             abort();
         }
         cw_members_receive(f->hosts[to], f->now_ms, &in);
@@ -134,7 +134,7 @@
 }
 
 /* Whether every running host sees every other running host as alive. */
-static inline bool fleet_complete(const fleet_t* f) {
+static inline bool fleet_is_converged(const fleet_t* f) {
     for (uint32_t i = 0; i < f->count; i++) {
         for (uint32_t k = 0; f->hosts[i] && k < f->count; k++) {
             const cw_member_t* m = f->hosts[k] ? cw_members_find(f->hosts[i], fleet_id(k)) : NULL;
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -47,7 +47,7 @@
     uint32_t host, class_index, engine;
     cw_work_t work;
     int64_t arrived_ms;
-    cw_turn_wait_t wait;    /* for a slot */
+    cw_queue_wait_t wait;   /* for a slot */
     int64_t until_ms;       /* end of the stage; not used while its prompt is prefilled */
     double prefill_left_ms; /* prefill time left */
     uint32_t sent;          /* sequence number over all hosts */
@@ -104,17 +104,19 @@
         m->engine[i].id = cw_mix(seed, i + 1);
         specs[i] = (cw_server_spec_t){.id = m->engine[i].id, .slots = m->slots, .memory_tokens = 10000000};
     }
-    cw_fleet_t fleet = {
-        .ids = m->ids, .count = m->hosts, .reach_ms = m->report_delay_ms, .direct_ms = m->direct_delay_ms};
+    cw_fleet_t fleet = {.ids = m->ids,
+                        .count = m->hosts,
+                        .propagation_ms = m->report_delay_ms,
+                        .direct_propagation_ms = m->direct_delay_ms};
     for (uint32_t i = 0; i < m->hosts; i++) {
         m->ids[i] = cw_mix(seed, 1000 + i);
     }
     for (uint32_t i = 0; i < m->hosts; i++) {
         m->balance[i] = cw_balance_setup(&(cw_balance_desc_t){.seed = m->ids[i], .max_parts = 64});
-        cw_balance_set(m->balance[i], m->now_ms, specs, m->engines);
+        cw_balance_set_servers(m->balance[i], m->now_ms, specs, m->engines);
         cw_balance_set_fleet(m->balance[i], m->now_ms, &fleet);
         for (uint32_t k = 0; k < m->engines; k++) {
-            m->is_owner_host[k][i] = cw_home_is(m->engine[k].id, m->ids[i], m->ids, m->hosts);
+            m->is_owner_host[k][i] = cw_owner_includes(m->engine[k].id, m->ids[i], m->ids, m->hosts);
         }
     }
 }
@@ -138,7 +140,7 @@
     model_report_t report = {.at_ms = m->now_ms + m->direct_delay_ms,
                              .host = host,
                              .engine = engine,
-                             .load = cw_balance_load(m->balance[host], m->now_ms, at)};
+                             .load = cw_balance_own_load(m->balance[host], m->now_ms, at)};
     if (m->is_owner_host[engine][host]) {
         model_enqueue(&m->channel[0], &report);
     }
@@ -154,7 +156,7 @@
         }
         for (uint32_t k = 0; k < m->engines; k++) {
             uint32_t at = cw_balance_find(m->balance[i], m->engine[k].id);
-            if (cw_balance_load(m->balance[i], m->now_ms, at).running) {
+            if (cw_balance_own_load(m->balance[i], m->now_ms, at).running) {
                 model_send_report(m, i, k);
             }
         }
@@ -167,7 +169,7 @@
         const model_report_t* n = &channel->reports[channel->first];
         for (uint32_t i = 0; i < m->hosts; i++) {
             if (i != n->host && (which || m->is_owner_host[n->engine][i])) {
-                cw_balance_news(m->balance[i], m->now_ms, 1 + n->host, m->engine[n->engine].id, &n->load);
+                cw_balance_on_peer_load(m->balance[i], m->now_ms, 1 + n->host, m->engine[n->engine].id, &n->load);
             }
         }
         channel->first = (channel->first + 1) % MODEL_REPORTS_MAX;
@@ -240,9 +242,9 @@
 /* Whether x has priority over y in a host's queue. */
 static inline bool model_has_priority(const model_t* m, const model_run_t* x, const model_run_t* y) {
     (void)m;
-    cw_turn_t key_x = {x->work.urgency, x->work.light, x->work.late, x->arrived_ms};
-    cw_turn_t key_y = {y->work.urgency, y->work.light, y->work.late, y->arrived_ms};
-    return cw_turn_before(&key_x, &key_y);
+    cw_queue_key_t key_x = {x->work.urgency, x->work.is_light, x->work.is_late, x->arrived_ms};
+    cw_queue_key_t key_y = {y->work.urgency, y->work.is_light, y->work.is_late, y->arrived_ms};
+    return cw_queue_precedes(&key_x, &key_y);
 }
 
 /* Whether a request with priority over r waits at the same host: r then has to wait behind it. */
@@ -263,7 +265,7 @@
         return false;
     }
     cw_choice_t c = cw_balance_choose(b, m->now_ms, &r->work, NULL, 0);
-    if (c.server == CW_BALANCE_NONE || c.late) {
+    if (c.server == CW_BALANCE_NONE || c.is_late) {
         return false;
     }
     r->run = cw_balance_begin(b, m->now_ms, c.server, &r->work);
@@ -291,13 +293,13 @@
                        .generate_ms = k->generate_ms / 2 + rng_below(&m->rng, k->generate_ms + 1)};
     k->arrived++;
     cw_balance_t* b = m->balance[r->host];
-    cw_balance_asked(b, m->now_ms, &k->work);
-    r->work.light = cw_balance_light(b, m->now_ms, &k->work);
-    r->wait = cw_turn_wait(&(cw_turn_ask_t){.now_ms = m->now_ms,
-                                            .leaves_ms = m->now_ms + k->caller_timeout_ms,
-                                            .target_ms = k->work.target_ms,
-                                            .shortest_target_ms = cw_balance_shortest_target(b),
-                                            .patient = cw_balance_patient(b, &k->work)});
+    cw_balance_on_request(b, m->now_ms, &k->work);
+    r->work.is_light = cw_balance_is_light(b, m->now_ms, &k->work);
+    r->wait = cw_queue_wait(&(cw_queue_wait_desc_t){.now_ms = m->now_ms,
+                                                    .caller_gone_ms = m->now_ms + k->caller_timeout_ms,
+                                                    .target_ms = k->work.target_ms,
+                                                    .shortest_target_ms = cw_balance_shortest_target_ms(b),
+                                                    .is_delay_tolerant = cw_balance_is_delay_tolerant(b, &k->work)});
     model_try_place(m, r);
 }
 
@@ -306,13 +308,13 @@
     cw_balance_t* b = m->balance[r->host];
     bool due = m->now_ms >= r->until_ms;
     if (r->stage == MODEL_WAITING) {
-        r->work.late = m->now_ms >= r->wait.late_ms;
+        r->work.is_late = m->now_ms >= r->wait.late_from_ms;
         if (!model_try_place(m, r) && m->now_ms >= r->wait.until_ms) {
             r->stage = MODEL_FREE;
             request_class->refused++;
         }
     } else if (r->stage == MODEL_PREFILLING && r->prefill_left_ms <= 0) {
-        cw_balance_first(b, m->now_ms, &r->run);
+        cw_balance_on_first_byte(b, m->now_ms, &r->run);
         r->stage = MODEL_GENERATING;
         r->until_ms = m->now_ms + r->generate_ms;
         model_send_report(m, r->host, r->engine);
@@ -331,7 +333,7 @@
         model_repeat_reports(m);
         model_deliver_reports(m, 1);
         model_deliver_reports(m, 0); /* after 1, since direct reports are newer */
-        uint32_t waiting[MODEL_HOSTS_MAX][CW_URGENCIES] = {{0}};
+        uint32_t waiting[MODEL_HOSTS_MAX][CW_URGENCY_LEVELS] = {{0}};
         uint32_t all = 0;
         model_prefill_step(m);
         for (uint32_t i = 0; i < MODEL_RUNS_MAX; i++) {
@@ -339,15 +341,15 @@
                 model_step_run(m, &m->run[i]);
             }
             if (m->run[i].stage == MODEL_WAITING) {
-                waiting[m->run[i].host][cw_work_turn_urgency(&m->run[i].work)]++;
+                waiting[m->run[i].host][cw_work_queue_urgency(&m->run[i].work)]++;
                 all++;
             }
         }
         for (uint32_t i = 0; i < m->hosts; i++) {
             m->has_waiting[i] = false;
-            for (uint32_t u = 0; u < CW_URGENCIES; u++) {
+            for (uint32_t u = 0; u < CW_URGENCY_LEVELS; u++) {
                 m->has_waiting[i] = m->has_waiting[i] || waiting[i][u];
-                cw_balance_waiting(m->balance[i], m->now_ms, u, waiting[i][u]);
+                cw_balance_set_waiting(m->balance[i], m->now_ms, u, waiting[i][u]);
             }
         }
         for (uint32_t i = 0; i < m->engines && all; i++) {
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -67,7 +67,7 @@
     bool has_rate;    /* it advertises a rate */
     double per_s;
     int64_t sent_ms;
-    cw_rate_word_t word;
+    cw_rate_observation_t observation;
 } rate_event_t;
 
 typedef struct rate_host_t {
@@ -141,7 +141,8 @@
 }
 
 /* Sends the host's own observation to all others. */
-static inline void rate_send_observation(rate_simulation_t* sim, uint32_t from, const cw_rate_word_t* word) {
+static inline void rate_send_observation(rate_simulation_t* sim, uint32_t from,
+                                         const cw_rate_observation_t* observation) {
     const rate_model_t* m = sim->m;
     for (uint32_t i = 0; i < m->hosts; i++) {
         bool is_separated = rate_is_partitioned(m, i, sim->now_ms) != rate_is_partitioned(m, from, sim->now_ms);
@@ -150,8 +151,9 @@
             continue;
         }
         sim->m->messages++;
-        rate_enqueue(&sim->peer_messages,
-                     &(rate_event_t){.due_ms = sim->now_ms + m->message_delay_ms, .host = i, .word = *word});
+        rate_enqueue(
+            &sim->peer_messages,
+            &(rate_event_t){.due_ms = sim->now_ms + m->message_delay_ms, .host = i, .observation = *observation});
     }
 }
 
@@ -179,10 +181,10 @@
     cw_rate_set_hosts(
         &h->rate, sim->now_ms,
         &(cw_rate_hosts_t){.server = 5, .own = rate_id(host), .ids = h->ids, .count = h->live, .missing = h->missing});
-    if (h->rate.word.said == CW_RATE_NAMED && !h->share_bucket.started) {
+    if (h->rate.observation.state == CW_RATE_ADVERTISED && !h->share_bucket.started) {
         h->share_bucket = (cw_bucket_t){.started = true, .at_ms = sim->now_ms};
     }
-    double per_s = h->rate.word.per_s > 0.1 ? h->rate.word.per_s : 0.1;
+    double per_s = h->rate.observation.per_s > 0.1 ? h->rate.observation.per_s : 0.1;
     cw_bucket_set_rate(&h->share_bucket, sim->now_ms, per_s / sim->m->hosts, 1);
 }
 
@@ -198,7 +200,7 @@
 }
 
 static inline bool rate_can_send(rate_simulation_t* sim, rate_host_t* h) {
-    if (!cw_rate_holds(&h->rate, sim->now_ms)) {
+    if (!cw_rate_is_active(&h->rate, sim->now_ms)) {
         return true;
     }
     switch (sim->m->strategy) {
@@ -207,7 +209,7 @@
         case RATE_EQUAL_SHARES:
             return !cw_bucket_wait_ms(&h->share_bucket, sim->now_ms, 1);
         default:
-            return rate_count_recent_sends(h, sim->now_ms) + 1 <= h->rate.word.per_s * RATE_WINDOW_MS / 1000 + 1;
+            return rate_count_recent_sends(h, sim->now_ms) + 1 <= h->rate.observation.per_s * RATE_WINDOW_MS / 1000 + 1;
     }
 }
 
@@ -241,9 +243,9 @@
     bool is_informed = h->informed_ms && sim->now_ms - h->informed_ms >= RATE_INFORMED_MS;
     sim->sends[sim->send_count++] = (rate_send_t){
         .at_ms = sim->now_ms, .is_counted = is_informed && !(host < m->partitioned && sim->now_ms >= m->partition_ms)};
-    cw_rate_take(&h->rate, sim->now_ms);
+    cw_rate_on_send(&h->rate, sim->now_ms);
     cw_bucket_take(&h->share_bucket, sim->now_ms, 1);
-    if (m->strategy == RATE_BROADCAST && cw_rate_holds(&h->rate, sim->now_ms)) {
+    if (m->strategy == RATE_BROADCAST && cw_rate_is_active(&h->rate, sim->now_ms)) {
         rate_record_send(h, sim->now_ms);
         rate_broadcast_send(sim, host);
     }
@@ -260,19 +262,19 @@
     bool changed = false;
     if (e->is_response && e->has_rate) {
         h->informed_ms = h->informed_ms ? h->informed_ms : sim->now_ms;
-        changed = cw_rate_named(&h->rate, e->sent_ms, sim->now_ms, e->per_s);
+        changed = cw_rate_on_advertised(&h->rate, e->sent_ms, sim->now_ms, e->per_s);
     } else if (e->is_response) {
-        changed = cw_rate_lifted(&h->rate, e->sent_ms, sim->now_ms);
-    } else if (e->word.said != CW_RATE_UNKNOWN) {
-        changed = cw_rate_heard(&h->rate, &e->word, sim->m->message_delay_ms);
+        changed = cw_rate_on_withdrawn(&h->rate, e->sent_ms, sim->now_ms);
+    } else if (e->observation.state != CW_RATE_UNKNOWN) {
+        changed = cw_rate_on_peer(&h->rate, &e->observation, sim->m->message_delay_ms);
     } else {
         rate_record_send(h, e->sent_ms);
     }
     if (changed) {
         rate_update_share(sim, e->host);
-        cw_rate_word_t word = cw_rate_tell(&h->rate, sim->now_ms);
-        if (e->is_response && word.said != CW_RATE_UNKNOWN) {
-            rate_send_observation(sim, e->host, &word);
+        cw_rate_observation_t observation = cw_rate_to_send(&h->rate, sim->now_ms);
+        if (e->is_response && observation.state != CW_RATE_UNKNOWN) {
+            rate_send_observation(sim, e->host, &observation);
         }
     }
 }
@@ -295,9 +297,9 @@
     h->queued = remaining;
     if (sim->now_ms - h->repeat_ms >= RATE_REPEAT_MS) {
         h->repeat_ms = sim->now_ms;
-        cw_rate_word_t word = cw_rate_tell(&h->rate, sim->now_ms);
-        if (word.said != CW_RATE_UNKNOWN) {
-            rate_send_observation(sim, host, &word);
+        cw_rate_observation_t observation = cw_rate_to_send(&h->rate, sim->now_ms);
+        if (observation.state != CW_RATE_UNKNOWN) {
+            rate_send_observation(sim, host, &observation);
         }
         rate_update_hosts(sim, host);
         rate_update_share(sim, host);
@@ -338,7 +340,7 @@
 /* Whether all live hosts know that the server advertises a rate (has_rate), or that it advertises none. */
 static inline bool rate_all_informed(const rate_simulation_t* sim, bool has_rate) {
     for (uint32_t i = 0; i < sim->m->hosts; i++) {
-        if (!rate_is_dead(sim->m, i, sim->now_ms) && cw_rate_holds(&sim->host[i].rate, sim->now_ms) != has_rate) {
+        if (!rate_is_dead(sim->m, i, sim->now_ms) && cw_rate_is_active(&sim->host[i].rate, sim->now_ms) != has_rate) {
             return false;
         }
     }
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -19,10 +19,10 @@
 #define RIG_TIMEOUT_S 5.0 /* a test that waits longer fails */
 
 typedef enum rig_action_t {
-    RIG_ANSWER = 0,   /* send text, keep the connection open */
-    RIG_ANSWER_CLOSE, /* send text, then close the connection */
-    RIG_ANSWER_RESET, /* send text, then reset the connection */
-    RIG_SILENT        /* send nothing */
+    RIG_RESPOND = 0,   /* send text, keep the connection open */
+    RIG_RESPOND_CLOSE, /* send text, then close the connection */
+    RIG_RESPOND_RESET, /* send text, then reset the connection */
+    RIG_NO_RESPONSE    /* send nothing */
 } rig_action_t;
 
 /* What a server does with one request. "@ID@" in text is replaced by the request's id. */
@@ -48,13 +48,13 @@
     quarantine_t* quarantine;
     uint32_t observations_published;
     exchanges_t* exchanges;
-    front_t* front;
+    frontend_t* front;
     cw_catalog_t* catalog;
     uint32_t leaving_count;    /* the next servers chosen announce leaving before they are connected */
-    uint32_t liveness_reports; /* calls of on_life */
+    uint32_t liveness_reports; /* calls of on_liveness_changed */
     int listen_fds[RIG_SERVERS];
     ev_io accept_ios[RIG_SERVERS];
-    char addresses[RIG_SERVERS][CW_ADDR_TEXT];
+    char addresses[RIG_SERVERS][CW_ADDR_TEXT_SIZE];
     rig_conn_t conns[64];
     uint32_t conn_count;
     rig_step_t steps[RIG_STEPS];
@@ -65,9 +65,9 @@
     uint32_t arrival_count;
     uint32_t closed_by_gateway; /* connections with a request that the gateway closed */
     cw_stream_t caller;
-    cw_buffer_t answer;
+    cw_buffer_t response;
     bool caller_open;
-    bool stop_on_answer; /* leave the event loop when the response is complete */
+    bool stop_on_response; /* leave the event loop when the response is complete */
     ev_timer timeout_timer, tick;
 };
 
@@ -98,10 +98,10 @@
         }
     }
     cw_stream_flush(&c->stream);
-    if (step->action == RIG_ANSWER_CLOSE) {
+    if (step->action == RIG_RESPOND_CLOSE) {
         c->open = false;
         cw_stream_close(&c->stream);
-    } else if (step->action == RIG_ANSWER_RESET) {
+    } else if (step->action == RIG_RESPOND_RESET) {
         c->open = false;
         cw_stream_abort(&c->stream);
     }
@@ -137,12 +137,12 @@
     cw_buffer_free(&c->in);
 }
 
-static inline void rig_server_end(void* owner, cw_stream_end_t end) {
+static inline void rig_server_end(void* owner, cw_stream_end_reason_t end) {
     rig_conn_t* c = owner;
     (void)end;
     c->open = false;
     c->rig->closed_by_gateway++;
-    if (!c->rig->stop_on_answer) {
+    if (!c->rig->stop_on_response) {
         ev_break(c->rig->loop, EVBREAK_ALL);
     }
 }
@@ -163,13 +163,13 @@
 
 /* -- the gateway ---------------------------------------------------------- */
 
-static inline front_limits_t rig_limits(void* user) {
+static inline frontend_limits_t rig_limits(void* user) {
     const cw_catalog_t* catalog = ((rig_t*)user)->catalog;
     if (!catalog) {
-        return (front_limits_t){.head_bytes = 16384, .body_bytes = 1 << 20, .head_ms = 5000, .idle_ms = 15000};
+        return (frontend_limits_t){.head_bytes = 16384, .body_bytes = 1 << 20, .head_ms = 5000, .idle_ms = 15000};
     }
     const cw_catalog_limits_t* l = &catalog->limits;
-    return (front_limits_t){
+    return (frontend_limits_t){
         .head_bytes = l->head_bytes, .body_bytes = l->body_bytes, .head_ms = l->head_ms, .idle_ms = l->idle_ms};
 }
 
@@ -178,18 +178,18 @@
 }
 
 static inline void rig_on_gone(caller_t* caller, void* user) {
-    exchanges_on_gone(((rig_t*)user)->exchanges, caller);
+    exchanges_on_caller_closed(((rig_t*)user)->exchanges, caller);
 }
 
 static inline void rig_on_drained(caller_t* caller, void* user) {
     exchanges_on_drained(((rig_t*)user)->exchanges, caller);
 }
 
-static inline void rig_on_room(void* user, pool_t* pool) {
-    exchanges_on_room(((rig_t*)user)->exchanges, pool);
+static inline void rig_on_slot_free(void* user, pool_t* pool) {
+    exchanges_on_slot_free(((rig_t*)user)->exchanges, pool);
 }
 
-static inline void rig_on_load(void* user, const server_t* server, const cw_work_t* work) {
+static inline void rig_on_load_changed(void* user, const server_t* server, const cw_work_t* work) {
     rig_t* r = user;
     if (work && r->leaving_count) {
         r->leaving_count--;
@@ -197,29 +197,29 @@
     }
 }
 
-static inline void rig_on_life(void* user, const server_t* server) {
+static inline void rig_on_liveness_changed(void* user, const server_t* server) {
     (void)server;
     ((rig_t*)user)->liveness_reports++;
 }
 
-static inline void rig_on_mark(void* user, const cw_mark_t* observation) {
+static inline void rig_on_observation(void* user, const cw_quarantine_observation_t* observation) {
     (void)observation;
     ((rig_t*)user)->observations_published++;
 }
 
-static inline void rig_on_held(void* user, const cw_fingerprint_t* request) {
-    exchanges_on_held(((rig_t*)user)->exchanges, request);
+static inline void rig_on_quarantined(void* user, const cw_fingerprint_t* request) {
+    exchanges_on_quarantined(((rig_t*)user)->exchanges, request);
 }
 
-static inline void rig_on_alive(void* user, const server_t* server) {
-    quarantine_on_alive(((rig_t*)user)->quarantine, server);
+static inline void rig_on_server_alive(void* user, const server_t* server) {
+    quarantine_on_server_alive(((rig_t*)user)->quarantine, server);
 }
 
 static inline void rig_on_timeout(struct ev_loop* loop, ev_timer* w, int events) {
     (void)loop;
     (void)events;
     rig_t* r = w->data;
-    ck_abort_msg("timed out; arrivals %u, response so far: %s", r->arrival_count, cw_buffer_text(&r->answer));
+    ck_abort_msg("timed out; arrivals %u, response so far: %s", r->arrival_count, cw_buffer_text(&r->response));
 }
 
 static inline void rig_tick(struct ev_loop* loop, ev_timer* w, int events) {
@@ -228,13 +228,13 @@
     rig_t* r = w->data;
     quarantine_tick(r->quarantine);
     for (pool_t* pool = upstreams_pools(r->upstreams); pool; pool = pool->next) {
-        exchanges_on_room(r->exchanges, pool);
+        exchanges_on_slot_free(r->exchanges, pool);
     }
 }
 
 static inline void rig_set_catalog(rig_t* r, const char* document) {
     cw_error_t err = {0};
-    cw_catalog_t* catalog = cw_catalog_read(document, strlen(document), &err);
+    cw_catalog_t* catalog = cw_catalog_parse(document, strlen(document), &err);
     ck_assert_msg(catalog != NULL, "%s", cw_error_text(&err).text);
     cw_catalog_release(r->catalog);
     r->catalog = catalog;
@@ -243,7 +243,7 @@
 }
 
 /* The servers "s0", "s1", ... of pool "p" in hall "a". leaving: one bit for each server. */
-static inline void rig_list(const rig_t* r, cw_servers_t* list, uint32_t count, uint32_t leaving) {
+static inline void rig_make_list(const rig_t* r, cw_servers_t* list, uint32_t count, uint32_t leaving) {
     for (uint32_t i = 0; i < count; i++) {
         cw_server_t s = {.slots = 4, .leaving = (leaving >> i) & 1U};
         snprintf(s.id, sizeof(s.id), "s%u", i);
@@ -258,7 +258,7 @@
 static inline uint32_t rig_set_servers_at(rig_t* r, int64_t now_ms, uint32_t count, uint32_t leaving,
                                           bool after_outage) {
     cw_servers_t list = {0};
-    rig_list(r, &list, count, leaving);
+    rig_make_list(r, &list, count, leaving);
     uint32_t changes = upstreams_set_servers(r->upstreams, now_ms, &list, after_outage);
     cw_servers_free(&list);
     return changes;
@@ -290,12 +290,15 @@
                                                        .retry_ratio = 1,
                                                        .retry_slack = 100,
                                                        .retry_window_ms = 10000,
-                                                       .max_links = 100,
-                                                       .on_alive = rig_on_alive,
-                                                       .on_room = rig_on_room,
+                                                       .max_conns = 100,
+                                                       .on_server_alive = rig_on_server_alive,
+                                                       .on_slot_free = rig_on_slot_free,
                                                        .user_data = r});
-    r->quarantine = quarantine_setup(&(quarantine_desc_t){
-        .log = &r->log, .upstreams = r->upstreams, .on_mark = rig_on_mark, .on_held = rig_on_held, .user_data = r});
+    r->quarantine = quarantine_setup(&(quarantine_desc_t){.log = &r->log,
+                                                          .upstreams = r->upstreams,
+                                                          .on_observation = rig_on_observation,
+                                                          .on_quarantined = rig_on_quarantined,
+                                                          .user_data = r});
     r->exchanges = exchanges_setup(&(exchanges_desc_t){.loop = r->loop,
                                                        .log = &r->log,
                                                        .dialect = &dialect_native,
@@ -303,24 +306,24 @@
                                                        .quarantine = r->quarantine,
                                                        .seed = 7,
                                                        .startup_grace_ms = document ? 0 : 1,
-                                                       .on_load = rig_on_load,
-                                                       .on_life = rig_on_life,
+                                                       .on_load_changed = rig_on_load_changed,
+                                                       .on_liveness_changed = rig_on_liveness_changed,
                                                        .user_data = r});
     if (document) {
         rig_set_catalog(r, document);
         rig_set_servers(r, servers, 0);
     }
-    r->front = front_setup(&(front_desc_t){.loop = r->loop,
-                                           .address = "127.0.0.1:0",
-                                           .max_connections = 50,
-                                           .max_body_total = 1 << 20,
-                                           .retry_after_field = "Retry-After",
-                                           .limits = rig_limits,
-                                           .on_request = rig_on_request,
-                                           .on_gone = rig_on_gone,
-                                           .on_drained = rig_on_drained,
-                                           .user_data = r},
-                           &err);
+    r->front = frontend_setup(&(frontend_desc_t){.loop = r->loop,
+                                                 .address = "127.0.0.1:0",
+                                                 .max_connections = 50,
+                                                 .max_body_total = 1 << 20,
+                                                 .retry_after_field = "Retry-After",
+                                                 .limits = rig_limits,
+                                                 .on_request = rig_on_request,
+                                                 .on_caller_closed = rig_on_gone,
+                                                 .on_drained = rig_on_drained,
+                                                 .user_data = r},
+                              &err);
     ck_assert_msg(r->front != NULL, "%s", cw_error_text(&err).text);
     ev_timer_init(&r->timeout_timer, rig_on_timeout, RIG_TIMEOUT_S, 0.0);
     ev_timer_init(&r->tick, rig_tick, 0.01, 0.01);
@@ -338,7 +341,7 @@
 /* -- the caller ----------------------------------------------------------- */
 
 /* Whether the text is a complete response: by its length, or by its last chunk. */
-static inline bool rig_answer_whole(const char* text) {
+static inline bool rig_is_response_complete(const char* text) {
     const char* end = strstr(text, "\r\n\r\n");
     if (!end) {
         return false;
@@ -352,13 +355,13 @@
 
 static inline void rig_caller_data(void* owner, const char* data, size_t size) {
     rig_t* r = owner;
-    cw_buffer_add(&r->answer, data, size);
-    if (r->stop_on_answer && rig_answer_whole(r->answer.data)) {
+    cw_buffer_add(&r->response, data, size);
+    if (r->stop_on_response && rig_is_response_complete(r->response.data)) {
         ev_break(r->loop, EVBREAK_ALL);
     }
 }
 
-static inline void rig_caller_end(void* owner, cw_stream_end_t end) {
+static inline void rig_caller_end(void* owner, cw_stream_end_reason_t end) {
     (void)end;
     rig_t* r = owner;
     r->caller_open = false;
@@ -378,11 +381,11 @@
 static inline void rig_write(rig_t* r, const char* text) {
     if (!r->caller_open) {
         struct sockaddr_in address;
-        cw_addr_parse(front_address(r->front), &address, NULL);
+        cw_addr_parse(frontend_address(r->front), &address, NULL);
         ck_assert_int_eq(cw_stream_connect(&r->caller, r->loop, &address, &rig_caller_handlers, r), CW_OK);
         r->caller_open = true;
     }
-    cw_buffer_free(&r->answer);
+    cw_buffer_free(&r->response);
     cw_stream_write(&r->caller, text, strlen(text));
     cw_stream_flush(&r->caller);
 }
@@ -393,7 +396,7 @@
     (void)size;
 }
 
-static inline void rig_ignore_end(void* owner, cw_stream_end_t end) {
+static inline void rig_ignore_end(void* owner, cw_stream_end_reason_t end) {
     (void)owner;
     (void)end;
 }
@@ -402,7 +405,7 @@
 static inline void rig_send_from_other_caller(rig_t* r, cw_stream_t* caller, const char* text) {
     static const cw_stream_handlers_t handlers = {.on_data = rig_ignore_data, .on_end = rig_ignore_end};
     struct sockaddr_in address;
-    cw_addr_parse(front_address(r->front), &address, NULL);
+    cw_addr_parse(frontend_address(r->front), &address, NULL);
     ck_assert_int_eq(cw_stream_connect(caller, r->loop, &address, &handlers, NULL), CW_OK);
     cw_stream_write(caller, text, strlen(text));
     cw_stream_flush(caller);
@@ -410,10 +413,10 @@
 
 /* Sends a request on the caller's connection. Returns when the response is complete or the connection has ended. */
 static inline const char* rig_call(rig_t* r, const char* text) {
-    r->stop_on_answer = true;
+    r->stop_on_response = true;
     rig_write(r, text);
     rig_run(r);
-    return cw_buffer_text(&r->answer);
+    return cw_buffer_text(&r->response);
 }
 
 static inline void rig_disconnect(rig_t* r) {
@@ -424,11 +427,11 @@
 static inline void rig_shutdown(rig_t* r) {
     exchanges_shutdown(r->exchanges);
     quarantine_shutdown(r->quarantine);
-    front_shutdown(r->front);
+    frontend_shutdown(r->front);
     upstreams_shutdown(r->upstreams);
     cw_catalog_release(r->catalog);
     cw_stream_close(&r->caller);
-    cw_buffer_free(&r->answer);
+    cw_buffer_free(&r->response);
     for (uint32_t i = 0; i < r->conn_count; i++) {
         if (r->conns[i].open) {
             cw_stream_close(&r->conns[i].stream);
--- a/tests/soak_sleep.h
+++ b/tests/soak_sleep.h
@@ -1,5 +1,5 @@
-#ifndef CW_TEST_SOAK_SLEEP_H
-#define CW_TEST_SOAK_SLEEP_H
+#ifndef CW_TEST_SOAK_SUSPEND_H
+#define CW_TEST_SOAK_SUSPEND_H
 /* Simulates the suspension of a host's machine in a soak: each host is started with the clock of soak_clock.c, which
    reads the total time of suspension from a file. */
 #include <inttypes.h>
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -23,7 +23,7 @@
 
 static admission_t admit(const char* route, const char* key) {
     static const cw_message_handlers_t handlers = {.on_head = ignore_head};
-    cw_catalog_t* catalog = cw_catalog_read(CATALOG, strlen(CATALOG), NULL);
+    cw_catalog_t* catalog = cw_catalog_parse(CATALOG, strlen(CATALOG), NULL);
     cw_message_t m;
     char text[256];
     int size = snprintf(
@@ -31,7 +31,7 @@
         "POST /%s/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer %s\r\nContent-Length: 0\r\n\r\n", route, key);
     ck_assert_ptr_nonnull(catalog);
     cw_message_setup(&m, CW_MESSAGE_REQUEST, &handlers, NULL);
-    cw_message_read(&m, text, (size_t)size);
+    cw_message_parse(&m, text, (size_t)size);
     admission_t a = admission_check(&platform_dialect, catalog, &m);
     cw_message_shutdown(&m);
     cw_catalog_release(catalog);
--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -29,9 +29,9 @@
     cw_server_t s = make_server((uint32_t)(random % 60));
     s.leaving = random / 60 % 3 == 1;
     s.cold_ms = random / 180 % 2 ? 500 : 0;
-    list->closed = (cw_closed_t){.at = list->closed.at + 1};
+    list->closed = (cw_closed_halls_t){.at = list->closed.at + 1};
     if (random / 360 % 2) {
-        cw_closed_add(&list->closed, "a");
+        cw_closed_halls_add(&list->closed, "a");
     }
     if (random / 60 % 3 == 2) {
         cw_servers_remove(list, s.id);
@@ -43,11 +43,11 @@
 /* Gets a delta from a daemon's list and sends it through its JSON form; returns false when there is none. */
 static bool get_delta(const cw_changes_t* changes, const cw_servers_t* list, int64_t peer_revision, cw_delta_t* out) {
     cw_delta_t delta = {0};
-    bool is_known = cw_changes_since(changes, list, peer_revision, &delta);
+    bool is_known = cw_changes_get_delta(changes, list, peer_revision, &delta);
     if (is_known) {
-        char* text = cw_delta_text(&delta);
-        ck_assert(cw_delta_is(text, strlen(text)));
-        ck_assert_int_eq(cw_delta_read(out, text, strlen(text), NULL), CW_OK);
+        char* text = cw_delta_to_json(&delta);
+        ck_assert(cw_delta_is_json(text, strlen(text)));
+        ck_assert_int_eq(cw_delta_from_json(out, text, strlen(text), NULL), CW_OK);
         free(text);
     }
     cw_delta_free(&delta);
@@ -58,7 +58,7 @@
 static void apply_list(cw_changes_t* changes, cw_servers_t* own, const cw_servers_t* list) {
     cw_servers_t next;
     cw_servers_copy(&next, list);
-    cw_changes_note(changes, own, &next);
+    cw_changes_record(changes, own, &next);
     cw_servers_free(own);
     *own = next;
 }
@@ -68,14 +68,14 @@
     cw_changes_t changes = {0};
     lists[0] = make_list(50);
     lists[0].at = 1;
-    cw_changes_note(&changes, &(cw_servers_t){0}, &lists[0]);
+    cw_changes_record(&changes, &(cw_servers_t){0}, &lists[0]);
     for (uint32_t round = 1; round <= ROUNDS; round++) {
         cw_servers_copy(&lists[round], &lists[round - 1]);
         for (uint32_t i = 0; i < 1 + round % 4; i++) {
             change_one_server(&lists[round], cw_mix(round, i));
         }
         lists[round].at = lists[round - 1].at + 1 + round % 3;
-        cw_changes_note(&changes, &lists[round - 1], &lists[round]);
+        cw_changes_record(&changes, &lists[round - 1], &lists[round]);
         for (uint32_t earlier = round > 8 ? round - 8 : 0; earlier < round; earlier++) {
             cw_servers_t list = {0};
             cw_delta_t delta = {0};
@@ -126,8 +126,8 @@
         cw_servers_copy(&next, &own[2]);
         ck_assert(cw_delta_apply(&next, &delta));
         ck_assert(cw_servers_equal(&next, &source));
-        delta_entries += delta.put.count + delta.gone.count;
-        cw_changes_note(&changes[2], &own[2], &next);
+        delta_entries += delta.updated.count + delta.removed.count;
+        cw_changes_record(&changes[2], &own[2], &next);
         cw_servers_free(&own[2]);
         own[2] = next;
         cw_delta_free(&delta);
@@ -148,22 +148,22 @@
     cw_changes_t holder = {0};
     cw_servers_t list = make_list(100);
     list.at = 10;
-    cw_changes_note(&holder, &(cw_servers_t){0}, &list);
+    cw_changes_record(&holder, &(cw_servers_t){0}, &list);
     cw_servers_t next;
     cw_servers_copy(&next, &list);
     cw_servers_remove(&next, "s007");
     next.at = 20;
-    cw_changes_note(&holder, &list, &next);
+    cw_changes_record(&holder, &list, &next);
     size_t size = 0;
-    char* bytes = cw_packed_write(&next, &holder, &size);
+    char* bytes = cw_packed_encode(&next, &holder, &size);
     cw_servers_t received = {0};
     cw_changes_t received_changes = {0};
     cw_delta_t delta = {0};
-    ck_assert_int_eq(cw_packed_read(&received, &received_changes, bytes, size, NULL), CW_OK);
+    ck_assert_int_eq(cw_packed_decode(&received, &received_changes, bytes, size, NULL), CW_OK);
     ck_assert(get_delta(&received_changes, &received, 10, &delta));
     ck_assert(cw_delta_apply(&list, &delta));
     ck_assert(cw_servers_equal(&list, &next));
-    ck_assert_uint_eq(delta.put.count + delta.gone.count, 1);
+    ck_assert_uint_eq(delta.updated.count + delta.removed.count, 1);
     cw_delta_free(&delta);
     cw_changes_free(&holder);
     cw_changes_free(&received_changes);
@@ -182,8 +182,8 @@
     cw_delta_t delta = {0};
     before.at = other.at = 5;
     after.at = 7;
-    cw_changes_note(&changes, &(cw_servers_t){0}, &before);
-    cw_changes_note(&changes, &before, &after);
+    cw_changes_record(&changes, &(cw_servers_t){0}, &before);
+    cw_changes_record(&changes, &before, &after);
     ck_assert(!get_delta(&changes, &after, 4, &delta)); /* before the first list */
     ck_assert(!get_delta(&changes, &after, 8, &delta)); /* after the newest one */
     ck_assert(get_delta(&changes, &after, 5, &delta));
@@ -191,7 +191,7 @@
     cw_servers_t older = make_list(50);
     older.at = 4;
     ck_assert(!cw_delta_apply(&older, &delta));
-    delta.to++; /* the result does not have the hash of the delta */
+    delta.result_hash++; /* the result does not have the hash of the delta */
     ck_assert(!cw_delta_apply(&before, &delta));
     cw_delta_free(&delta);
     cw_servers_free(&before);
@@ -212,11 +212,11 @@
     small.at = 1;
     some.at = 2;
     many.at = 3;
-    cw_changes_note(&changes, &(cw_servers_t){0}, &small);
-    cw_changes_note(&changes, &small, &some);
+    cw_changes_record(&changes, &(cw_servers_t){0}, &small);
+    cw_changes_record(&changes, &small, &some);
     ck_assert(get_delta(&changes, &some, 1, &delta));
     cw_delta_free(&delta);
-    cw_changes_note(&changes, &some, &many);
+    cw_changes_record(&changes, &some, &many);
     ck_assert(!get_delta(&changes, &many, 1, &delta));
     ck_assert(!get_delta(&changes, &many, 2, &delta));
     cw_servers_free(&small);
@@ -234,24 +234,24 @@
     cw_servers_t list = make_list(500);
     cw_delta_t delta = {0};
     list.at = 1;
-    cw_changes_note(&changes, &(cw_servers_t){0}, &list);
+    cw_changes_record(&changes, &(cw_servers_t){0}, &list);
     for (uint32_t i = 0; i < 400; i++) {
         cw_servers_t next;
         cw_servers_copy(&next, &list);
         cw_servers_remove(&next, list.items[0].id);
         next.at++;
-        cw_changes_note(&changes, &list, &next);
+        cw_changes_record(&changes, &list, &next);
         cw_servers_free(&list);
         list = next;
     }
     ck_assert(!get_delta(&changes, &list, 1, &delta));
     ck_assert(get_delta(&changes, &list, list.at - 10, &delta));
-    ck_assert_uint_eq(delta.gone.count, 10);
+    ck_assert_uint_eq(delta.removed.count, 10);
     cw_delta_free(&delta);
     cw_servers_t copy;
     cw_servers_copy(&copy, &list);
     copy.at = 30;
-    cw_changes_note(&changes, &list, &copy);
+    cw_changes_record(&changes, &list, &copy);
     ck_assert(!get_delta(&changes, &copy, 20, &delta));
     ck_assert(!get_delta(&changes, &copy, list.at, &delta));
     cw_servers_free(&list);
@@ -272,11 +272,11 @@
     for (size_t i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
         cw_delta_t delta = {0};
         cw_error_t err = {0};
-        ck_assert_int_eq(cw_delta_read(&delta, texts[i], strlen(texts[i]), &err), CW_ERR_INVALID);
+        ck_assert_int_eq(cw_delta_from_json(&delta, texts[i], strlen(texts[i]), &err), CW_ERR_INVALID);
         ck_assert_str_eq(err.step, "servers");
-        ck_assert_uint_eq(delta.put.count + delta.gone.count, 0);
+        ck_assert_uint_eq(delta.updated.count + delta.removed.count, 0);
     }
-    ck_assert(!cw_delta_is("{\"at\":1,\"servers\":[]}", 21)); /* a full list */
+    ck_assert(!cw_delta_is_json("{\"at\":1,\"servers\":[]}", 21)); /* a full list */
 }
 END_TEST
 
--- a/tests/test_deadly.c
+++ b/tests/test_deadly.c
@@ -20,7 +20,7 @@
 
 #define OK(body, length) "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: " length "\r\n\r\n" body
 #define CLOSE_WITHOUT_RESPONSE                                                                                         \
-    { RIG_ANSWER_CLOSE, "" }
+    { RIG_RESPOND_CLOSE, "" }
 
 static const char* send_request(rig_t* r, const char* id, const char* body) {
     char text[400];
@@ -30,9 +30,9 @@
     return rig_call(r, text);
 }
 
-static void expect_status(const char* answer, const char* status) {
-    ck_assert_msg(strncmp(answer, "HTTP/1.1 ", 9) == 0 && strncmp(answer + 9, status, 3) == 0, "wanted %s, got: %s",
-                  status, answer);
+static void expect_status(const char* response, const char* status) {
+    ck_assert_msg(strncmp(response, "HTTP/1.1 ", 9) == 0 && strncmp(response + 9, status, 3) == 0, "wanted %s, got: %s",
+                  status, response);
 }
 
 START_TEST(request_that_crashed_three_servers_is_sent_to_no_other) {
@@ -59,20 +59,20 @@
 /* Other hosts report three servers that crashed under the request, a second apart. */
 static void receive_three_crashes(rig_t* r, const char* body) {
     for (uint32_t i = 0; i < 3; i++) {
-        quarantine_on_mark(r->quarantine, &(cw_mark_t){.kind = CW_MARK_ENDED,
-                                                       .request = fingerprint(body),
-                                                       .life = 900 + i,
-                                                       .age_ms = 3000 - 1000 * i});
+        quarantine_on_observation(r->quarantine, &(cw_quarantine_observation_t){.kind = CW_OBSERVED_CRASH,
+                                                                                .request = fingerprint(body),
+                                                                                .incarnation = 900 + i,
+                                                                                .age_ms = 3000 - 1000 * i});
     }
 }
 
 START_TEST(observations_of_other_hosts_quarantine_that_request_only) {
     rig_t* r = rig_setup(ROUTES, 3);
-    rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("fine", "4")}}, 1);
+    rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK("fine", "4")}}, 1);
     receive_three_crashes(r, "the same");
-    const char* answer = send_request(r, "q1", "the same");
-    expect_status(answer, "503");
-    ck_assert(strstr(answer, "Retry-After: 179") && strstr(answer, "servers ended under it"));
+    const char* response = send_request(r, "q1", "the same");
+    expect_status(response, "503");
+    ck_assert(strstr(response, "Retry-After: 179") && strstr(response, "servers ended under it"));
     expect_status(send_request(r, "q2", "another"), "200");
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
@@ -90,7 +90,7 @@
 START_TEST(running_request_is_aborted_when_it_becomes_quarantined) {
     rig_t* r = rig_setup(ROUTES, 3);
     ev_timer observations_timer;
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
+    rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}}, 1);
     ev_timer_init(&observations_timer, on_observations_due, 0.05, 0.0);
     observations_timer.data = r;
     ev_timer_start(r->loop, &observations_timer);
@@ -106,15 +106,15 @@
     rig_script(r,
                (rig_step_t[]){CLOSE_WITHOUT_RESPONSE,
                               CLOSE_WITHOUT_RESPONSE,
-                              {RIG_ANSWER, OK("fine", "4")},
+                              {RIG_RESPOND, OK("fine", "4")},
                               CLOSE_WITHOUT_RESPONSE,
-                              {RIG_ANSWER, OK("fine", "4")}},
+                              {RIG_RESPOND, OK("fine", "4")}},
                5);
     expect_status(send_request(r, "q1", "ordinary"), "502");
     expect_status(send_request(r, "q2", "ordinary"), "200");
     expect_status(send_request(r, "q3", "ordinary"), "200");
     cw_fingerprint_t request = fingerprint("ordinary");
-    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 0);
+    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).crashes, 0);
     rig_shutdown(r);
 }
 END_TEST
@@ -135,7 +135,7 @@
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stream_t other;
     ev_timer late;
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}, CLOSE_WITHOUT_RESPONSE}, 2);
+    rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}, CLOSE_WITHOUT_RESPONSE}, 2);
     rig_send_from_other_caller(r, &other, text);
     while (!r->arrival_count) {
         ev_run(r->loop, EVRUN_ONCE);
@@ -143,12 +143,12 @@
     usleep(2000); /* so that the next connection is younger */
     expect_status(send_request(r, "q1", "the same"), "502");
     cw_fingerprint_t request = fingerprint("the same");
-    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).ends, 1);
+    ck_assert_uint_eq(quarantine_check(r->quarantine, &request).crashes, 1);
     ev_timer_init(&late, send_late_response, 0.35, 0.0);
     late.data = r;
     ev_timer_start(r->loop, &late);
     rig_run(r);
-    while (quarantine_check(r->quarantine, &request).ends) {
+    while (quarantine_check(r->quarantine, &request).crashes) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     cw_stream_close(&other);
@@ -162,11 +162,11 @@
     cw_buffer_t list = {0};
     char fingerprint_hex[20];
     cw_fingerprint_t request = fingerprint("the same");
-    snprintf(fingerprint_hex, sizeof(fingerprint_hex), "%016llx", (unsigned long long)request.content);
-    rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("fine", "4")}}, 1);
+    snprintf(fingerprint_hex, sizeof(fingerprint_hex), "%016llx", (unsigned long long)request.content_hash);
+    rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK("fine", "4")}}, 1);
     receive_three_crashes(r, "the same");
     expect_status(send_request(r, "q1", "the same"), "503");
-    quarantine_write(r->quarantine, &list);
+    quarantine_write_json(r->quarantine, &list);
     ck_assert(strstr(cw_buffer_text(&list), fingerprint_hex) && strstr(cw_buffer_text(&list), "\"held\""));
     ck_assert(!quarantine_release(r->quarantine, "77", "0"));
     uint32_t published = r->observations_published;
@@ -185,7 +185,10 @@
     static const char text[] = "POST /again/y HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stream_t others[2];
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}}, 4);
+    rig_script(r,
+               (rig_step_t[]){
+                   {RIG_NO_RESPONSE, NULL}, {RIG_NO_RESPONSE, NULL}, {RIG_NO_RESPONSE, NULL}, {RIG_NO_RESPONSE, NULL}},
+               4);
     for (int i = 0; i < 2; i++) {
         rig_send_from_other_caller(r, &others[i], text);
     }
@@ -203,7 +206,7 @@
         ck_assert_uint_le(exchanges_stats(r->exchanges).sends, 3);
         ev_run(r->loop, EVRUN_ONCE);
     }
-    ck_assert_uint_eq(exchanges_stats(r->exchanges).repeats, 1);
+    ck_assert_uint_eq(exchanges_stats(r->exchanges).retries_sent, 1);
     for (int i = 0; i < 2; i++) {
         cw_stream_close(&others[i]);
     }
--- a/tests/test_docs.c
+++ b/tests/test_docs.c
@@ -23,15 +23,16 @@
     read_page(path);
     for (uint32_t i = 0; i < count; i++) {
         char row[200];
-        const char* initial = info[i].initial ? (info[i].initial[0] ? info[i].initial : "none") : "needed";
-        snprintf(row, sizeof(row), "| %s | %s | %s |", info[i].section, info[i].key, initial);
+        const char* default_value =
+            info[i].default_value ? (info[i].default_value[0] ? info[i].default_value : "none") : "needed";
+        snprintf(row, sizeof(row), "| %s | %s | %s |", info[i].section, info[i].key, default_value);
         ck_assert_msg(strstr(page, row) != NULL, "missing: %s", row);
     }
 }
 
 START_TEST(every_setting_is_documented) {
     uint32_t count = 0;
-    const cw_setting_info_t* info = cw_settings_info(&count);
+    const cw_setting_info_t* info = cw_settings_table(&count);
     check_settings_page("docs/operators/settings.md", info, count);
 }
 END_TEST
--- a/tests/test_edge.c
+++ b/tests/test_edge.c
@@ -38,7 +38,7 @@
                         "X-Own: 1\r\n%s: forged too\r\nContent-Length: 0\r\n\r\n",
                         field, field);
     cw_message_setup(&m, CW_MESSAGE_REQUEST, &handlers, NULL);
-    cw_message_read(&m, text, (size_t)size);
+    cw_message_parse(&m, text, (size_t)size);
     ck_assert_int_eq(m.state, CW_MESSAGE_COMPLETE);
     request_head_write(out, &platform_dialect, &m, set);
     cw_message_shutdown(&m);
@@ -89,12 +89,12 @@
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         char request[512];
         rig_t* r = rig_setup(ROUTES, 1);
-        rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK}}, 1);
         snprintf(request, sizeof(request), "GET /r/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: q1\r\n%s\r\n",
                  cases[i].fields);
-        const char* answer = rig_call(r, request);
-        ck_assert_msg(strncmp(answer, "HTTP/1.1 400", 12) == 0, "%s: %s", cases[i].fields, answer);
-        ck_assert_msg(strstr(answer, cases[i].field_name) != NULL, "%s: %s", cases[i].fields, answer);
+        const char* response = rig_call(r, request);
+        ck_assert_msg(strncmp(response, "HTTP/1.1 400", 12) == 0, "%s: %s", cases[i].fields, response);
+        ck_assert_msg(strstr(response, cases[i].field_name) != NULL, "%s: %s", cases[i].fields, response);
         ck_assert_uint_eq(r->arrival_count, 0);
         rig_shutdown(r);
     }
@@ -108,11 +108,11 @@
     for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]); i++) {
         char request[512];
         rig_t* r = rig_setup(ROUTES, 1);
-        rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK}}, 1);
         snprintf(request, sizeof(request), "GET /r/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: q1\r\n%s\r\n",
                  fields[i]);
-        const char* answer = rig_call(r, request);
-        ck_assert_msg(strncmp(answer, "HTTP/1.1 200", 12) == 0, "%s: %s", fields[i], answer);
+        const char* response = rig_call(r, request);
+        ck_assert_msg(strncmp(response, "HTTP/1.1 200", 12) == 0, "%s: %s", fields[i], response);
         ck_assert(i == 0 || strstr(r->arrivals[0], fields[i]));
         rig_shutdown(r);
     }
@@ -125,10 +125,10 @@
     for (size_t i = 0; i < sizeof(fields) / sizeof(fields[0]); i++) {
         char request[512];
         rig_t* r = rig_setup(ROUTES, 1);
-        rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK}}, 1);
         snprintf(request, sizeof(request), "GET /r/ HTTP/1.1\r\nHost: h.example\r\n%s\r\n", fields[i]);
-        const char* answer = rig_call(r, request);
-        ck_assert_msg(strncmp(answer, "HTTP/1.1 400", 12) == 0, "%s: %s", fields[i], answer);
+        const char* response = rig_call(r, request);
+        ck_assert_msg(strncmp(response, "HTTP/1.1 400", 12) == 0, "%s: %s", fields[i], response);
         ck_assert_uint_eq(r->arrival_count, 0);
         rig_shutdown(r);
     }
@@ -143,7 +143,7 @@
     cw_message_t m;
     cw_work_t work = {0};
     cw_message_setup(&m, CW_MESSAGE_REQUEST, &handlers, NULL);
-    cw_message_read(&m, text, sizeof(text) - 1);
+    cw_message_parse(&m, text, sizeof(text) - 1);
     request_work_read(&work, &platform_dialect, &m);
     ck_assert_uint_eq(work.part_count, 4);
     ck_assert_uint_ne(work.parts[0].id, work.parts[1].id);
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -59,7 +59,7 @@
     char body[BODY_MAX] = "{\"items\":[";
     char valid_entry[512];
     cw_servers_t list = {0};
-    source_news_t update = {0};
+    source_update_t update = {0};
     entry_text(valid_entry, sizeof(valid_entry), FIELD_COUNT, NULL);
     add_item(body, "i-first", valid_entry, false);
     add_item(body, id, value, raw);
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -35,19 +35,19 @@
     rig_script(r, steps, count);
 }
 
-static void expect_status(const char* answer, const char* status) {
-    ck_assert_msg(strncmp(answer, "HTTP/1.1 ", 9) == 0 && strncmp(answer + 9, status, 3) == 0, "wanted %s, got: %s",
-                  status, answer);
+static void expect_status(const char* response, const char* status) {
+    ck_assert_msg(strncmp(response, "HTTP/1.1 ", 9) == 0 && strncmp(response + 9, status, 3) == 0, "wanted %s, got: %s",
+                  status, response);
 }
 
 START_TEST(request_is_forwarded_with_fields_of_the_gateway) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("hello", "5")}});
-    const char* answer = rig_call(r, "POST /once/a/b?c=%20d HTTP/1.1\r\n" HEAD
-                                     "Chalkway-Workspace: forged\r\nChalkway-Server: forged\r\nX-Own: 1\r\n"
-                                     "Connection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nbody");
-    expect_status(answer, "200");
-    ck_assert(strstr(answer, "\r\n\r\nhello"));
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("hello", "5")}});
+    const char* response = rig_call(r, "POST /once/a/b?c=%20d HTTP/1.1\r\n" HEAD
+                                       "Chalkway-Workspace: forged\r\nChalkway-Server: forged\r\nX-Own: 1\r\n"
+                                       "Connection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nbody");
+    expect_status(response, "200");
+    ck_assert(strstr(response, "\r\n\r\nhello"));
     const char* forwarded = r->arrivals[0];
     ck_assert(strncmp(forwarded, "POST /once/a/b?c=%20d HTTP/1.1\r\n", 32) == 0);
     ck_assert(strstr(forwarded, "\r\n\r\nbody"));
@@ -62,11 +62,11 @@
 
 START_TEST(chunked_body_and_pipelined_request_are_forwarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("one", "3")}, {RIG_ANSWER, OK("two", "3")}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Transfer-Encoding: chunked\r\n\r\n"
-                                     "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nGET /again/ HTTP/1.1\r\n" HEAD "\r\n");
-    expect_status(answer, "200");
-    while (r->arrival_count < 2 || !strstr(cw_buffer_text(&r->answer), "two")) {
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("one", "3")}, {RIG_RESPOND, OK("two", "3")}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Transfer-Encoding: chunked\r\n\r\n"
+                                       "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\nGET /again/ HTTP/1.1\r\n" HEAD "\r\n");
+    expect_status(response, "200");
+    while (r->arrival_count < 2 || !strstr(cw_buffer_text(&r->response), "two")) {
         rig_run(r);
     }
     ck_assert(strstr(r->arrivals[0], "\r\n\r\n5\r\nabcde\r\n0\r\n\r\n"));
@@ -76,7 +76,7 @@
 
 START_TEST(request_that_may_have_run_is_not_retried) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, ""}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "502");
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
@@ -85,7 +85,7 @@
 
 START_TEST(request_not_run_by_a_server_is_retried_at_another) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}, {RIG_ANSWER, OK("ran", "3")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, NOT_RUN}, {RIG_RESPOND, OK("ran", "3")}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_ne(r->arrival_server[0], r->arrival_server[1]);
     rig_shutdown(r);
@@ -94,11 +94,11 @@
 
 START_TEST(request_that_ran_nowhere_gets_503_with_retry_after) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, NOT_RUN}});
-    const char* answer = rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    expect_status(answer, "503");
-    ck_assert(strstr(answer, "Retry-After: "));
-    ck_assert(strstr(answer, "Chalkway-Request-Id: q1\r\n"));
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, NOT_RUN}});
+    const char* response = rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    expect_status(response, "503");
+    ck_assert(strstr(response, "Retry-After: "));
+    ck_assert(strstr(response, "Chalkway-Request-Id: q1\r\n"));
     rig_shutdown(r);
 }
 END_TEST
@@ -106,7 +106,7 @@
 /* The first run was lost, the retry rejected: the request may have run all the same. */
 START_TEST(rejected_retry_does_not_hide_an_earlier_run) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_CLOSE, ""}, {RIG_ANSWER, NOT_RUN}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND_CLOSE, ""}, {RIG_RESPOND, NOT_RUN}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "502");
     rig_shutdown(r);
 }
@@ -114,12 +114,12 @@
 
 START_TEST(repeatable_request_is_retried_after_reset_and_after_500) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, ""}, {RIG_ANSWER, OK("again", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND_RESET, ""}, {RIG_RESPOND, OK("again", "5")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
     set_script(
         r, 2,
-        (rig_step_t[]){{RIG_ANSWER, "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 0\r\n\r\n"},
-                       {RIG_ANSWER, OK("again", "5")}});
+        (rig_step_t[]){{RIG_RESPOND, "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 0\r\n\r\n"},
+                       {RIG_RESPOND, OK("again", "5")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
     rig_shutdown(r);
 }
@@ -134,11 +134,11 @@
     const char* whole = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: b\r\nContent-Length: 5\r\n\r\nagain";
     for (size_t i = 0; i < sizeof(heads) / sizeof(heads[0]); i++) {
         rig_t* r = rig_setup(ROUTES, 2);
-        set_script(r, 2, (rig_step_t[]){{RIG_ANSWER_RESET, heads[i]}, {RIG_ANSWER, whole}});
-        const char* answer = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
+        set_script(r, 2, (rig_step_t[]){{RIG_RESPOND_RESET, heads[i]}, {RIG_RESPOND, whole}});
+        const char* response = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
         ck_assert_uint_eq(r->arrival_count, 2);
-        ck_assert_msg(strstr(answer, "X-From: b\r\n") && !strstr(answer, "X-From: a"), "%s", answer);
-        ck_assert(strstr(answer, "Content-Length: 5\r\n") && strstr(answer, "\r\n\r\nagain"));
+        ck_assert_msg(strstr(response, "X-From: b\r\n") && !strstr(response, "X-From: a"), "%s", response);
+        ck_assert(strstr(response, "Content-Length: 5\r\n") && strstr(response, "\r\n\r\nagain"));
         rig_shutdown(r);
     }
 }
@@ -147,10 +147,10 @@
 START_TEST(error_response_of_the_last_server_is_forwarded_unchanged) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* failure = "HTTP/1.1 500 Bad\r\nChalkway-Request-Id: @ID@\r\nX-Why: w\r\nContent-Length: 3\r\n\r\nwhy";
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, failure}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    expect_status(answer, "500");
-    ck_assert(strstr(answer, "X-Why: w\r\n") && strstr(answer, "\r\n\r\nwhy"));
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, failure}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    expect_status(response, "500");
+    ck_assert(strstr(response, "X-Why: w\r\n") && strstr(response, "\r\n\r\nwhy"));
     rig_shutdown(r);
 }
 END_TEST
@@ -163,7 +163,7 @@
         "\"prefix\":\"/s/\",\"kind\":\"stream\",\"resume\":true,\"open\":true,\"timeout_ms\":4000,\"target_ms\":100,"
         "\"gap_ms\":500,\"attempts\":2,\"pools\":[{\"pool\":\"p\"}]}]}";
     rig_t* r = rig_setup(document, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_NO_RESPONSE, ""}, {RIG_RESPOND, OK("other", "5")}});
     expect_status(rig_call(r, "POST /s/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_eq(r->arrival_count, 2);
     ck_assert_int_ge(r->arrival_ms[1] - r->arrival_ms[0],
@@ -174,7 +174,7 @@
 
 START_TEST(stalled_repeatable_call_is_retried_at_another_server) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_ANSWER, OK("other", "5")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_NO_RESPONSE, ""}, {RIG_RESPOND, OK("other", "5")}});
     expect_status(rig_call(r, "GET /quick/ HTTP/1.1\r\n" HEAD "\r\n"), "200");
     ck_assert_uint_ge(r->closed_by_gateway, 1); /* the connection to the stalled server was closed */
     rig_shutdown(r);
@@ -183,7 +183,7 @@
 
 START_TEST(passed_deadline_gives_504_at_once) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_SILENT, ""}});
+    set_script(r, 1, (rig_step_t[]){{RIG_NO_RESPONSE, ""}});
     expect_status(rig_call(r, "POST /short/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "504");
     rig_shutdown(r);
 }
@@ -192,28 +192,28 @@
 START_TEST(broken_stream_resumes_at_another_server_without_lost_or_repeated_events) {
     rig_t* r = rig_setup(ROUTES, 2);
     set_script(r, 2,
-               (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "18\r\nid: 1\ndata: a\n\nid: 2\nda\r\n"},
-                              {RIG_ANSWER, EVENTS_HEAD "1e\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n\r\n0\r\n\r\n"}});
-    const char* answer = rig_call(r, "POST /resume/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    expect_status(answer, "200");
+               (rig_step_t[]){{RIG_RESPOND_CLOSE, EVENTS_HEAD "18\r\nid: 1\ndata: a\n\nid: 2\nda\r\n"},
+                              {RIG_RESPOND, EVENTS_HEAD "1e\r\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n\r\n0\r\n\r\n"}});
+    const char* response = rig_call(r, "POST /resume/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    expect_status(response, "200");
     ck_assert_uint_eq(r->arrival_count, 2);
     ck_assert(strstr(r->arrivals[1], "Last-Event-Id: 1\r\n"));
     const char* pieces[] = {"data: a\n\n", "data: b\n\n", "data: c\n\n"};
     for (int i = 0; i < 3; i++) {
-        const char* first = strstr(answer, pieces[i]);
-        ck_assert_msg(first && !strstr(first + 1, pieces[i]), "%s in %s", pieces[i], answer);
+        const char* first = strstr(response, pieces[i]);
+        ck_assert_msg(first && !strstr(first + 1, pieces[i]), "%s in %s", pieces[i], response);
     }
-    ck_assert(strstr(answer, "0\r\n\r\n"));
+    ck_assert(strstr(response, "0\r\n\r\n"));
     rig_shutdown(r);
 }
 END_TEST
 
 START_TEST(broken_stream_without_resume_does_not_look_complete) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, EVENTS_HEAD "10\r\nid: 1\ndata: a\n\n\n\r\n"}});
-    const char* answer = rig_call(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, EVENTS_HEAD "10\r\nid: 1\ndata: a\n\n\n\r\n"}});
+    const char* response = rig_call(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(!r->caller_open);
-    ck_assert(!strstr(answer, "\r\n0\r\n\r\n"));
+    ck_assert(!strstr(response, "\r\n0\r\n\r\n"));
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
 }
@@ -222,30 +222,30 @@
 START_TEST(response_without_length_ends_with_its_connection) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* unframed = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\n\r\nall of it";
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, unframed}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    ck_assert(strstr(answer, "all of it\r\n0\r\n\r\n"));
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, unframed}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    ck_assert(strstr(response, "all of it\r\n0\r\n\r\n"));
     rig_shutdown(r);
 }
 END_TEST
 
 START_TEST(truncated_response_does_not_look_complete) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER_CLOSE, OK("part", "10")}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, OK("part", "10")}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert(!r->caller_open);
-    ck_assert(!rig_answer_whole(answer));
+    ck_assert(!rig_is_response_complete(response));
     rig_shutdown(r);
 }
 END_TEST
 
 START_TEST(bytes_after_a_response_are_discarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("mine", "4") OK("forged", "6")}, {RIG_ANSWER, OK("next", "4")}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    ck_assert(strstr(answer, "mine") && !strstr(answer, "forged"));
-    answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    ck_assert(strstr(answer, "next") && !strstr(answer, "forged"));
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("mine", "4") OK("forged", "6")}, {RIG_RESPOND, OK("next", "4")}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    ck_assert(strstr(response, "mine") && !strstr(response, "forged"));
+    response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    ck_assert(strstr(response, "next") && !strstr(response, "forged"));
     rig_shutdown(r);
 }
 END_TEST
@@ -253,17 +253,17 @@
 START_TEST(response_to_an_earlier_request_is_skipped) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* late = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: other\r\nContent-Length: 4\r\n\r\nlate" OK("mine", "4");
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, late}});
-    const char* answer = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    expect_status(answer, "200");
-    ck_assert(strstr(answer, "mine") && !strstr(answer, "late"));
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, late}});
+    const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
+    expect_status(response, "200");
+    ck_assert(strstr(response, "mine") && !strstr(response, "late"));
     rig_shutdown(r);
 }
 END_TEST
 
 START_TEST(malformed_response_is_not_forwarded) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, "what is this\r\n\r\n"}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, "what is this\r\n\r\n"}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "502");
     rig_shutdown(r);
 }
@@ -272,7 +272,7 @@
 START_TEST(server_that_reports_another_id_is_not_used_again) {
     rig_t* r = rig_setup(ROUTES, 1);
     const char* other = "HTTP/1.1 421 Misdirected\r\nChalkway-Server-Id: s9\r\nContent-Length: 0\r\n\r\n";
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, other}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, other}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     ck_assert_uint_eq(r->arrival_count, 1);
@@ -283,7 +283,7 @@
 START_TEST(leaving_server_gets_no_new_requests) {
     rig_t* r = rig_setup(ROUTES, 2);
     rig_set_servers(r, 2, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
     ck_assert_uint_eq(r->arrival_server[0], 1);
@@ -294,15 +294,15 @@
 
 START_TEST(closed_hall_gets_no_requests_until_it_is_opened) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     cw_servers_t list = {.closed.at = 5};
-    rig_list(r, &list, 1, 0);
-    ck_assert(cw_closed_add(&list.closed, "a"));
+    rig_make_list(r, &list, 1, 0);
+    ck_assert(cw_closed_halls_add(&list.closed, "a"));
     ck_assert_uint_eq(upstreams_set_servers(r->upstreams, 2000, &list, false), 1);
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     ck_assert_uint_eq(r->arrival_count, 1);
-    list.closed = (cw_closed_t){.at = 6};
+    list.closed = (cw_closed_halls_t){.at = 6};
     ck_assert_uint_eq(upstreams_set_servers(r->upstreams, 3000, &list, false), 1);
     cw_servers_free(&list);
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
@@ -347,9 +347,9 @@
 
 START_TEST(disconnect_of_the_caller_closes_its_stream_at_the_server) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, EVENTS_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, EVENTS_HEAD "f\r\nid: 1\ndata: a\n\n\r\n"}});
     rig_write(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    while (!strstr(cw_buffer_text(&r->answer), "data: a")) {
+    while (!strstr(cw_buffer_text(&r->response), "data: a")) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     rig_disconnect(r);
@@ -362,7 +362,7 @@
 
 START_TEST(keys_and_routes_follow_the_active_configuration) {
     rig_t* r = rig_setup(ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}});
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\nHost: h.example\r\n\r\n"), "401");
     expect_status(rig_call(r, "GET /again/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k9\r\n\r\n"), "401");
     expect_status(rig_call(r, "GET /none/ HTTP/1.1\r\n" HEAD "\r\n"), "404");
@@ -403,9 +403,9 @@
 }
 END_TEST
 
-static double retry_after_s(const char* answer) {
-    const char* field = strstr(answer, "Retry-After: ");
-    ck_assert_msg(field != NULL, "%s", answer);
+static double retry_after_s(const char* response) {
+    const char* field = strstr(response, "Retry-After: ");
+    ck_assert_msg(field != NULL, "%s", response);
     return strtod(field + strlen("Retry-After: "), NULL);
 }
 
@@ -416,41 +416,41 @@
     while (ev_time() < until) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    const char* answer = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "Chalkway-Deadline-Ms: 10000\r\n\r\n");
-    expect_status(answer, "503");
-    ck_assert_double_ge(retry_after_s(answer), 2.0);
-    ck_assert_double_le(retry_after_s(answer), 3.0);
-    answer = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "\r\n"); /* without a deadline */
-    expect_status(answer, "503");
-    ck_assert_double_eq_tol(retry_after_s(answer), 0.3, 0.001);
+    const char* response = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "Chalkway-Deadline-Ms: 10000\r\n\r\n");
+    expect_status(response, "503");
+    ck_assert_double_ge(retry_after_s(response), 2.0);
+    ck_assert_double_le(retry_after_s(response), 3.0);
+    response = rig_call(r, "GET /once/ HTTP/1.1\r\n" HEAD "\r\n"); /* without a deadline */
+    expect_status(response, "503");
+    ck_assert_double_eq_tol(retry_after_s(response), 0.3, 0.001);
     rig_shutdown(r);
 }
 END_TEST
 
 START_TEST(request_without_a_server_is_refused_at_once) {
     rig_t* r = rig_setup(ROUTES, 0);
-    const char* answer = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
-    expect_status(answer, "503");
-    ck_assert(strstr(answer, "Retry-After: "));
+    const char* response = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
+    expect_status(response, "503");
+    ck_assert(strstr(response, "Retry-After: "));
     rig_shutdown(r);
 }
 END_TEST
 
-static const cw_stop_desc_t stop_desc = {.quiet_ms = 1000, .take_ms = 1500, .end_ms = 3500};
+static const cw_stop_desc_t stop_desc = {.min_accept_ms = 1000, .max_accept_ms = 1500, .force_exit_ms = 3500};
 
 /* A stopping host finds no request and starts to refuse. A request that is read before the next step, the last one, is
    refused. */
 START_TEST(request_read_after_the_host_stops_accepting_is_refused) {
     rig_t* r = rig_setup(ROUTES, 1);
     cw_stop_t stop = {0};
-    ck_assert_int_eq(cw_stop_step(&stop, 10, 0), CW_STOP_NOT);
+    ck_assert_int_eq(cw_stop_update(&stop, 10, 0), CW_STOP_NONE);
     cw_stop_begin(&stop, 100, &stop_desc);
-    ck_assert_int_eq(cw_stop_step(&stop, 600, 0), CW_STOP_TAKING);
-    ck_assert_int_eq(cw_stop_step(&stop, 1200, 0), CW_STOP_REFUSING);
+    ck_assert_int_eq(cw_stop_update(&stop, 600, 0), CW_STOP_ACCEPTING);
+    ck_assert_int_eq(cw_stop_update(&stop, 1200, 0), CW_STOP_REFUSING);
     exchanges_refuse_new(r->exchanges);
     expect_status(rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "503");
     ck_assert_uint_eq(r->arrival_count, 0);
-    ck_assert_int_eq(cw_stop_step(&stop, 1225, exchanges_stats(r->exchanges).active), CW_STOP_ENDED);
+    ck_assert_int_eq(cw_stop_update(&stop, 1225, exchanges_stats(r->exchanges).active), CW_STOP_EXIT);
     rig_shutdown(r);
 }
 END_TEST
@@ -458,17 +458,17 @@
 START_TEST(stopping_host_waits_for_running_requests_until_its_time_is_nearly_up) {
     cw_stop_t stop = {0};
     cw_stop_begin(&stop, 0, &stop_desc);
-    cw_stop_begin(&stop, 900, &(cw_stop_desc_t){.end_ms = 9000}); /* a second signal changes nothing */
-    ck_assert_int_eq(cw_stop_step(&stop, 1400, 2), CW_STOP_TAKING);
-    ck_assert_int_eq(cw_stop_step(&stop, 1600, 2), CW_STOP_REFUSING);
-    ck_assert_int_eq(cw_stop_step(&stop, 3400, 1), CW_STOP_REFUSING);
-    ck_assert_int_eq(cw_stop_step(&stop, 3600, 1), CW_STOP_ENDED);
+    cw_stop_begin(&stop, 900, &(cw_stop_desc_t){.force_exit_ms = 9000}); /* a second signal changes nothing */
+    ck_assert_int_eq(cw_stop_update(&stop, 1400, 2), CW_STOP_ACCEPTING);
+    ck_assert_int_eq(cw_stop_update(&stop, 1600, 2), CW_STOP_REFUSING);
+    ck_assert_int_eq(cw_stop_update(&stop, 3400, 1), CW_STOP_REFUSING);
+    ck_assert_int_eq(cw_stop_update(&stop, 3600, 1), CW_STOP_EXIT);
 }
 END_TEST
 
 START_TEST(server_that_refuses_connections_is_skipped) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("b", "1")}});
     close(r->listen_fds[0]);
     ev_io_stop(r->loop, &r->accept_ios[0]);
     r->listen_fds[0] = dup(0);
@@ -479,13 +479,13 @@
 
 START_TEST(only_a_failed_connection_is_reported_as_liveness_change) {
     rig_t* r = rig_setup(ROUTES, 2);
-    set_script(r, 0, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 0, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("b", "1")}});
     expect_status(rig_call(r, "POST /one/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_eq(r->liveness_reports, 0);
     rig_shutdown(r);
     r = rig_setup(ROUTES, 2);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("b", "1")}});
     close(r->listen_fds[0]);
     ev_io_stop(r->loop, &r->accept_ios[0]);
     r->listen_fds[0] = dup(0);
@@ -510,20 +510,20 @@
     char id[8];
     snprintf(id, sizeof(id), "s%u", server);
     cw_load_t load = {.running = ms ? 1 : 0};
-    for (uint32_t i = 0; i < CW_URGENCIES; i++) {
+    for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
         load.backlog_ms[i] = ms;
     }
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id(id), &load);
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id(id), &load);
 }
 
 START_TEST(long_prompt_behind_a_long_backlog_is_refused_and_a_short_one_is_not) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     expect_status(rig_call(r, GENERATE("8000")), "200");
     set_backlog(r, 0, 1500); /* more than one target, less than three */
-    const char* answer = rig_call(r, GENERATE("8000"));
-    expect_status(answer, "503");
-    ck_assert(strstr(answer, "Retry-After: "));
+    const char* response = rig_call(r, GENERATE("8000"));
+    expect_status(response, "503");
+    ck_assert(strstr(response, "Retry-After: "));
     ck_assert_uint_eq(r->arrival_count, 1);
     set_backlog(r, 0, 1500);
     expect_status(rig_call(r, "POST /gen/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Tokens: 100,10\r\n"
@@ -536,7 +536,7 @@
 /* Prefill alone takes longer than the target. The response is late but still of use, and no backlog precedes it. */
 START_TEST(idle_engine_accepts_a_prompt_of_any_length) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    set_script(r, 1, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}});
+    set_script(r, 1, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}});
     expect_status(rig_call(r, GENERATE("80000")), "200");
     rig_shutdown(r);
 }
@@ -584,9 +584,11 @@
                                       "Chalkway-Request-Id: long\r\nChalkway-Tokens: 80000,10\r\n"
                                       "Content-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(WORKSPACE_ROUTES, 1);
-    set_script(
-        r, 4,
-        (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_SILENT, NULL}, {RIG_SILENT, NULL}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 4,
+               (rig_step_t[]){{RIG_RESPOND, OK("a", "1")},
+                              {RIG_NO_RESPONSE, NULL},
+                              {RIG_NO_RESPONSE, NULL},
+                              {RIG_RESPOND, OK("b", "1")}});
     expect_status(workspace_call(r, "/patient/", "80000"), "200"); /* the pool gets such prompts */
     cw_stream_t others[2] = {{.fd = -1}, {.fd = -1}};
     for (uint32_t i = 0; i < 2; i++) {
@@ -606,8 +608,9 @@
 START_TEST(no_larger_less_urgent_prompt_is_sent_where_an_urgent_one_is_refused) {
     for (uint32_t backlog_ms = 100; backlog_ms <= 3000; backlog_ms += 100) {
         rig_t* r = rig_setup(TIER_ROUTES, 1);
-        set_script(r, 3,
-                   (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}, {RIG_ANSWER, OK("c", "1")}});
+        set_script(
+            r, 3,
+            (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}, {RIG_RESPOND, OK("c", "1")}});
         expect_status(tier_call(r, "/patient/", "20000"), "200"); /* the pool gets such prompts */
         set_backlog(r, 0, backlog_ms);
         bool urgent_refused = strstr(tier_call(r, "/urgent/", "8000"), "503") != NULL;
@@ -624,22 +627,23 @@
     static const char first[] = "POST /gen/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: first\r\n"
                                 "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(ENGINE_ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     ev_timer_stop(r->loop, &r->tick); /* the queue is not checked */
     cw_load_t full = {.running = 8};
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     cw_stream_t queued_caller = {.fd = -1};
     rig_send_from_other_caller(r, &queued_caller, first);
     while (!exchanges_stats(r->exchanges).waiting) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){0});
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"),
+                            &(cw_load_t){0});
     rig_write(r, GENERATE("100"));
     while (exchanges_stats(r->exchanges).waiting < 2) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     ck_assert_uint_eq(r->arrival_count, 0);
-    exchanges_on_room(r->exchanges, upstreams_pool(r->upstreams, "p"));
+    exchanges_on_slot_free(r->exchanges, upstreams_pool(r->upstreams, "p"));
     while (r->arrival_count < 2) {
         ev_run(r->loop, EVRUN_ONCE);
     }
@@ -668,10 +672,10 @@
         "POST /urgent/ HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer k1\r\nChalkway-Request-Id: urgent\r\n"
         "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n"};
     rig_t* r = rig_setup(HIGH_PRIORITY_ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_SILENT, NULL}, {RIG_SILENT, NULL}});
+    set_script(r, 2, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}, {RIG_NO_RESPONSE, NULL}});
     ev_timer_stop(r->loop, &r->tick); /* the queue is not checked */
     cw_balance_t* balance = upstreams_pool(r->upstreams, "p")->balance;
-    cw_balance_news(balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){.running = 8});
+    cw_balance_on_peer_load(balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){.running = 8});
     cw_stream_t callers[2] = {{.fd = -1}, {.fd = -1}};
     for (uint32_t i = 0; i < 2; i++) {
         rig_send_from_other_caller(r, &callers[i], requests[i]);
@@ -679,8 +683,8 @@
             ev_run(r->loop, EVRUN_ONCE);
         }
     }
-    cw_balance_news(balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){.running = 7});
-    exchanges_on_room(r->exchanges, upstreams_pool(r->upstreams, "p"));
+    cw_balance_on_peer_load(balance, clock_ms(), 7, cw_name_id("s0"), &(cw_load_t){.running = 7});
+    exchanges_on_slot_free(r->exchanges, upstreams_pool(r->upstreams, "p"));
     while (r->arrival_count < 1) {
         ev_run(r->loop, EVRUN_ONCE);
     }
@@ -698,10 +702,10 @@
     static const char patient[] = "POST /patient/ HTTP/1.1\r\nHost: h.example\r\nChalkway-Request-Id: patient\r\n"
                                   "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(TIER_ROUTES, 1);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     expect_status(tier_call(r, "/urgent/", "100"), "200"); /* the pool gets such requests */
     cw_load_t full = {.running = 8};
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     cw_stream_t queued_caller = {.fd = -1};
     rig_send_from_other_caller(r, &queued_caller, patient);
     while (!exchanges_stats(r->exchanges).waiting) {
@@ -712,17 +716,17 @@
     while (exchanges_stats(r->exchanges).waiting < 2) {
         ev_run(r->loop, EVRUN_ONCE);
     }
-    cw_clock_suspend(200); /* more than 0.4 of the shortest target */
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
-    exchanges_on_wake(r->exchanges);
+    cw_clock_simulate_suspend(200); /* more than 0.4 of the shortest target */
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
+    exchanges_on_resume(r->exchanges);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 1);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).waiting, 1);
     ck_assert_uint_eq(r->arrival_count, 1);
-    cw_clock_suspend(4100); /* less than its target of 400 ms is left of its 5000 ms */
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
-    exchanges_on_wake(r->exchanges);
+    cw_clock_simulate_suspend(4100); /* less than its target of 400 ms is left of its 5000 ms */
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
+    exchanges_on_resume(r->exchanges);
     rig_run(r);
-    expect_status(cw_buffer_text(&r->answer), "503");
+    expect_status(cw_buffer_text(&r->response), "503");
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 2);
     cw_stream_close(&queued_caller);
     rig_shutdown(r);
@@ -731,7 +735,7 @@
 
 START_TEST(cached_prompt_is_fetched_from_a_busy_server) {
     rig_t* r = rig_setup(ENGINE_ROUTES, 2);
-    set_script(r, 2, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}});
+    set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
     expect_status(rig_call(r, GENERATE("5000")), "200");
     uint32_t home = r->arrival_server[0];
     ck_assert(!strstr(r->arrivals[0], "Chalkway-Fetch-From"));
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -81,7 +81,7 @@
 }
 
 /* Writes the settings of host i. Each host has its own address; the ports are the same for all hosts. */
-static void write_settings(const fleet_t* f, int i, const char* lookup_keep) {
+static void write_settings(const fleet_t* f, int i, const char* lookup_max_age) {
     char path[128];
     snprintf(path, sizeof(path), "%s/host%d.ini", f->dir, i);
     FILE* file = fopen(path, "w");
@@ -97,7 +97,7 @@
     }
     fprintf(file, "[peers]\nseeds = %s.1:7104, %s.2:7104\n[source]\naddress = %s\nread = 100ms\n", f->base, f->base,
             cw_httpd_address(f->source));
-    fprintf(file, "[service]\ngrace = 3s\nlookup_keep = %s\n", lookup_keep);
+    fprintf(file, "[service]\ngrace = 3s\nlookup_keep = %s\n", lookup_max_age);
     fclose(file);
 }
 
@@ -156,9 +156,9 @@
     cw_client_call(f->client, &(cw_call_desc_t){.url = url,
                                                 .headers = &header,
                                                 .header_count = 1,
-                                                .connect_ms = 1000,
+                                                .connect_timeout_ms = 1000,
                                                 .timeout_ms = 8000,
-                                                .fresh = true,
+                                                .use_new_connection = true,
                                                 .on_data = on_data,
                                                 .on_done = on_done,
                                                 .user_data = f});
--- a/tests/test_inventory.c
+++ b/tests/test_inventory.c
@@ -26,15 +26,15 @@
 /* Ownership as scripted, and what the inventory reported. */
 typedef struct fixture_t {
     uint64_t owned_server;     /* key of the only server that this host owns; 0: all */
-    uint32_t ownership_checks; /* calls of is_mine */
+    uint32_t ownership_checks; /* calls of owns_server */
     uint32_t owned_for_checks; /* this host is the owner for so many of these calls; 0: for all */
     bool is_unsettled;         /* not all peers are known */
     uint32_t servers, parts;
-    cw_work_part_t last;
+    cw_prompt_part_t last;
     char server[CW_NAME_MAX];
 } fixture_t;
 
-static bool is_mine(void* user, uint64_t server) {
+static bool owns_server(void* user, uint64_t server) {
     fixture_t* fixture = user;
     fixture->ownership_checks++;
     bool is_owner = !fixture->owned_for_checks || fixture->ownership_checks <= fixture->owned_for_checks;
@@ -45,14 +45,14 @@
     return !((fixture_t*)user)->is_unsettled;
 }
 
-static void on_parts(void* user, server_t* server, const cw_work_part_t* parts, uint32_t count) {
+static void on_cached_parts(void* user, server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
     fixture_t* fixture = user;
     fixture->servers++;
     fixture->parts += count;
     fixture->last = parts[count - 1];
     cw_copy(fixture->server, sizeof(fixture->server), server->published.id);
     for (uint32_t i = 0; i < count; i++) {
-        cw_balance_kept(server->pool->balance, server->key, &parts[i]);
+        cw_balance_on_peer_prompt(server->pool->balance, server->key, &parts[i]);
     }
 }
 
@@ -61,10 +61,10 @@
                                                .log = &r->log,
                                                .dialect = dialect,
                                                .upstreams = r->upstreams,
-                                               .settle_ms = 1,
-                                               .is_mine = is_mine,
+                                               .settle_delay_ms = 1,
+                                               .owns_server = owns_server,
                                                .is_settled = is_settled,
-                                               .on_parts = on_parts,
+                                               .on_cached_parts = on_cached_parts,
                                                .user_data = fixture});
 }
 
@@ -72,7 +72,7 @@
     inventory_t* v = make_inventory(r, dialect, fixture);
     int64_t now_ms = clock_ms();
     inventory_tick(v, now_ms);
-    ck_assert_uint_eq(inventory_stats(v).asked, 0); /* the peers are not known yet */
+    ck_assert_uint_eq(inventory_stats(v).queried, 0); /* the peers are not known yet */
     for (int i = 0; i < 2000 && !inventory_stats(v).done; i++) {
         inventory_tick(v, now_ms + 2);
         ev_run(r->loop, EVRUN_ONCE);
@@ -84,18 +84,18 @@
     rig_t* r = rig_setup(ROUTES, 2);
     fixture_t fixture = {0};
     rig_script(r,
-               (rig_step_t[]){{RIG_ANSWER_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"],[\"\",\"b2\",10,\"m\"]")},
-                              {RIG_ANSWER_CLOSE, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"held\":[]}"}},
+               (rig_step_t[]){{RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"],[\"\",\"b2\",10,\"m\"]")},
+                              {RIG_RESPOND_CLOSE, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"held\":[]}"}},
                2);
     inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
     ck_assert(inventory_stats(v).done);
-    ck_assert_uint_eq(inventory_stats(v).asked, 2);
+    ck_assert_uint_eq(inventory_stats(v).queried, 2);
     ck_assert_uint_eq(inventory_stats(v).failed, 0);
     ck_assert_uint_eq(fixture.servers, 1); /* the other engine has nothing cached */
     ck_assert_uint_eq(fixture.parts, 2);
     ck_assert(strncmp(r->arrivals[0], "GET /kv-list HTTP/1.1\r\n", 23) == 0);
     inventory_tick(v, clock_ms() + 60000);
-    ck_assert_uint_eq(inventory_stats(v).asked, 2);
+    ck_assert_uint_eq(inventory_stats(v).queried, 2);
     /* a prompt that begins with these parts goes to the engine that has them cached */
     pool_t* pool = upstreams_pool(r->upstreams, "p");
     cw_work_t work = {.prompt_tokens = 4010,
@@ -103,7 +103,7 @@
                       .part_count = 2,
                       .parts = {{request_part_id("a1"), 4000}, {request_part_id("B2"), 10}}};
     cw_choice_t c = cw_balance_choose(pool->balance, clock_ms(), &work, NULL, 0);
-    ck_assert_uint_eq(c.kept, 4010);
+    ck_assert_uint_eq(c.cached_tokens, 4010);
     ck_assert_str_eq(upstreams_server(r->upstreams, cw_name_id(fixture.server))->published.id, fixture.server);
     inventory_shutdown(v);
     rig_shutdown(r);
@@ -113,7 +113,7 @@
 START_TEST(only_engines_owned_by_this_host_are_queried) {
     rig_t* r = rig_setup(ROUTES, 3);
     fixture_t fixture = {.owned_server = cw_name_id("s1")};
-    rig_script(r, (rig_step_t[]){{RIG_ANSWER_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")}}, 1);
+    rig_script(r, (rig_step_t[]){{RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")}}, 1);
     inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
     ck_assert_uint_eq(r->arrival_count, 1);
     ck_assert_uint_eq(r->arrival_server[0], 1);
@@ -128,10 +128,10 @@
 START_TEST(engines_that_pass_to_another_owner_are_not_queried) {
     rig_t* r = rig_setup(ROUTES, 3);
     fixture_t fixture = {.owned_for_checks = 3};
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, ""}, {RIG_SILENT, ""}, {RIG_SILENT, ""}}, 3);
+    rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, ""}, {RIG_NO_RESPONSE, ""}, {RIG_NO_RESPONSE, ""}}, 3);
     inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
     ck_assert(inventory_stats(v).done);
-    ck_assert_uint_eq(inventory_stats(v).asked, 0);
+    ck_assert_uint_eq(inventory_stats(v).queried, 0);
     inventory_shutdown(v);
     rig_shutdown(r);
 }
@@ -144,21 +144,21 @@
     rig_t* r = rig_setup(ROUTES, 2);
     fixture_t fixture = {.is_unsettled = true};
     rig_script(r,
-               (rig_step_t[]){{RIG_ANSWER_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")},
-                              {RIG_ANSWER_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")}},
+               (rig_step_t[]){{RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")},
+                              {RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")}},
                2);
     inventory_t* v = make_inventory(r, &platform_dialect, &fixture);
     int64_t now_ms = clock_ms();
     for (int64_t ms = 0; ms < 20000; ms += 50) {
         inventory_tick(v, now_ms + ms);
     }
-    ck_assert_uint_eq(inventory_stats(v).asked, 0);
+    ck_assert_uint_eq(inventory_stats(v).queried, 0);
     fixture.is_unsettled = false;
     for (int i = 0; i < 2000 && !inventory_stats(v).done; i++) {
         inventory_tick(v, now_ms + 20000 + i);
         ev_run(r->loop, EVRUN_NOWAIT);
     }
-    ck_assert_uint_eq(inventory_stats(v).asked, 2);
+    ck_assert_uint_eq(inventory_stats(v).queried, 2);
     inventory_shutdown(v);
     rig_shutdown(r);
 }
@@ -171,7 +171,7 @@
     for (size_t i = 0; i < sizeof(responses) / sizeof(responses[0]); i++) {
         rig_t* r = rig_setup(ROUTES, 1);
         fixture_t fixture = {0};
-        rig_script(r, (rig_step_t[]){{RIG_ANSWER_CLOSE, responses[i]}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_RESPOND_CLOSE, responses[i]}}, 1);
         inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
         ck_assert(inventory_stats(v).done);
         ck_assert_uint_eq(inventory_stats(v).failed, 1);
@@ -189,20 +189,20 @@
                                                          .log = &r->log,
                                                          .dialect = &dialect_native,
                                                          .upstreams = r->upstreams,
-                                                         .settle_ms = 1,
-                                                         .is_mine = is_mine,
-                                                         .on_parts = on_parts,
+                                                         .settle_delay_ms = 1,
+                                                         .owns_server = owns_server,
+                                                         .on_cached_parts = on_cached_parts,
                                                          .user_data = &fixture});
     for (int64_t i = 0; i < 10; i++) {
         inventory_tick(v, clock_ms() + 1000 * i);
     }
-    ck_assert_uint_eq(inventory_stats(v).asked, 0);
+    ck_assert_uint_eq(inventory_stats(v).queried, 0);
     inventory_shutdown(v);
     rig_shutdown(r);
 }
 END_TEST
 
-static void count_part(void* user, const cw_work_part_t* part) {
+static void count_part(void* user, const cw_prompt_part_t* part) {
     *(uint32_t*)user += part->tokens;
 }
 
--- a/tests/test_limited.c
+++ b/tests/test_limited.c
@@ -19,8 +19,8 @@
 #define REQUEST "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
 #define LIMITED_RESPONSE                                                                                               \
     {                                                                                                                  \
-        RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Limit: 0.01\r\n"                  \
-                    "Content-Length: 4\r\n\r\nfine"                                                                    \
+        RIG_RESPOND, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Limit: 0.01\r\n"                 \
+                     "Content-Length: 4\r\n\r\nfine"                                                                   \
     }
 #define PER_S 0.01
 #define WINDOW_S 4
@@ -32,10 +32,10 @@
 static uint32_t call_all(rig_t* r) {
     uint32_t served = 0;
     for (uint32_t i = 0; i < CALLS; i++) {
-        const char* answer = rig_call(r, REQUEST);
-        bool ok = strncmp(answer, "HTTP/1.1 200", 12) == 0;
-        ck_assert_msg(ok || (strncmp(answer, "HTTP/1.1 503", 12) == 0 && strstr(answer, "Retry-After: ")), "%s",
-                      answer);
+        const char* response = rig_call(r, REQUEST);
+        bool ok = strncmp(response, "HTTP/1.1 200", 12) == 0;
+        ck_assert_msg(ok || (strncmp(response, "HTTP/1.1 503", 12) == 0 && strstr(response, "Retry-After: ")), "%s",
+                      response);
         served += ok;
     }
     return served;
@@ -76,7 +76,7 @@
     rig_step_t steps[CALLS];
     for (uint32_t i = 0; i < CALLS; i++) {
         steps[i] =
-            (rig_step_t){RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 4\r\n\r\nfine"};
+            (rig_step_t){RIG_RESPOND, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 4\r\n\r\nfine"};
     }
     rig_script(r, steps, CALLS);
     ck_assert_uint_eq(call_all(r), CALLS);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -7,7 +7,7 @@
 START_TEST(every_host_discovers_every_other) {
     fleet_setup(&fleet, 60, 1);
     fleet_run(&fleet, 15000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -31,7 +31,7 @@
     fleet_run(&fleet, 20000);
     fleet_start(&fleet, 7);
     fleet_run(&fleet, 10000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -65,7 +65,7 @@
         ck_assert_int_ne(cw_members_at(fleet.hosts[3], i)->info.state, CW_MEMBER_DEAD);
     }
     fleet_run(&fleet, 20000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -80,7 +80,7 @@
     ck_assert_uint_eq(fleet_count_in_state(&fleet, 20, CW_MEMBER_DEAD), 12);
     memset(fleet.partition, 0, sizeof(fleet.partition));
     fleet_run(&fleet, 60000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -106,9 +106,9 @@
     fleet_run(&fleet, 10000);
     uint64_t live[64];
     cw_members_suspect(fleet.hosts[1], fleet.now_ms, fleet_id(5));
-    ck_assert_uint_eq(cw_members_live(fleet.hosts[1], CW_MEMBERS_FOR_ROLES, live, 64), 19);
+    ck_assert_uint_eq(cw_members_list_live(fleet.hosts[1], CW_MEMBERS_ELIGIBLE, live, 64), 19);
     fleet_run(&fleet, 3000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -151,7 +151,7 @@
         }
         per_host[i] = (double)fleet.bytes / sizes[i] / 4;
         fleet_run(&fleet, 3000);
-        ck_assert(fleet_complete(&fleet));
+        ck_assert(fleet_is_converged(&fleet));
         fleet_shutdown(&fleet);
     }
     ck_assert_msg(per_host[1] < per_host[0] * 1.25, "%.0f bytes a second at 60, %.0f at 240", per_host[0], per_host[1]);
@@ -163,7 +163,7 @@
 START_TEST(simultaneous_start_converges_quickly) {
     fleet_setup_with(&fleet, 240, 11, &quick);
     fleet_run(&fleet, 2000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
@@ -176,7 +176,7 @@
     fleet_setup_with(&fleet, 400, 12, &quick);
     fleet.max_messages_per_step = 300;
     fleet_run(&fleet, 3000);
-    ck_assert(fleet_complete(&fleet));
+    ck_assert(fleet_is_converged(&fleet));
     fleet_shutdown(&fleet);
 }
 END_TEST
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -18,10 +18,10 @@
     gateway_settings_t settings;
     upstreams_t* upstreams;
     mesh_t* mesh;
-    cw_knowledge_t own_state; /* sent to the others */
-    uint32_t min_age_ms;      /* lowest servers_age_ms received */
-    uint32_t marks;           /* observations received */
-    cw_mark_t repeated;       /* observation that this host repeats, life 0: none */
+    cw_source_state_t own_state;          /* sent to the others */
+    uint32_t min_age_ms;                  /* lowest servers_age_ms received */
+    uint32_t observations;                /* observations received */
+    cw_quarantine_observation_t repeated; /* observation that this host repeats, life 0: none */
 } host_t;
 
 typedef struct fleet_t {
@@ -37,11 +37,11 @@
     (void)user;
 }
 
-static cw_knowledge_t knowledge(void* user) {
+static cw_source_state_t source_state(void* user) {
     return ((host_t*)user)->own_state;
 }
 
-static void on_knowledge(void* user, const char* share, bool far, const cw_knowledge_t* known) {
+static void on_source_state(void* user, const char* share, bool far, const cw_source_state_t* known) {
     (void)far;
     host_t* host = user;
     (void)share;
@@ -54,21 +54,21 @@
     (void)rank;
 }
 
-static void on_mark(void* user, const cw_mark_t* mark) {
-    ((host_t*)user)->marks += mark->request.content == 7 && mark->life == 101;
+static void on_observation(void* user, const cw_quarantine_observation_t* mark) {
+    ((host_t*)user)->observations += mark->request.content_hash == 7 && mark->incarnation == 101;
 }
 
-static uint32_t marks(void* user, uint32_t* at, cw_mark_t* out, uint32_t max) {
+static uint32_t observations(void* user, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max) {
     const host_t* host = user;
     *at = 0;
-    if (!max || !host->repeated.life) {
+    if (!max || !host->repeated.incarnation) {
         return 0;
     }
     out[0] = host->repeated;
     return 1;
 }
 
-static void on_room(void* user, pool_t* pool) {
+static void on_slot_free(void* user, pool_t* pool) {
     (void)user;
     (void)pool;
 }
@@ -103,14 +103,14 @@
     static const char document[] =
         "{\"revision\":1,\"pools\":[{\"name\":\"p\",\"engine\":{\"slots\":8,\"memory_tokens\":100000}}],\"routes\":[]}";
     cw_error_t err = {0};
-    cw_catalog_t* catalog = cw_catalog_read(document, strlen(document), &err);
+    cw_catalog_t* catalog = cw_catalog_parse(document, strlen(document), &err);
     ck_assert_msg(catalog != NULL, "%s", err.message);
     host->upstreams = upstreams_setup(&(upstreams_desc_t){.loop = fleet->loop,
                                                           .log = &fleet->log,
                                                           .dialect = &dialect_native,
                                                           .host = id,
-                                                          .max_links = 10,
-                                                          .on_room = on_room});
+                                                          .max_conns = 10,
+                                                          .on_slot_free = on_slot_free});
     upstreams_set_catalog(host->upstreams, catalog);
     cw_catalog_release(catalog);
     cw_servers_t list = {0};
@@ -138,17 +138,17 @@
         snprintf(host->settings.share, sizeof(host->settings.share), "%s:7206", base);
         snprintf(host->settings.seeds, sizeof(host->settings.seeds), "%s", fleet->hosts[0].settings.peer);
         host->min_age_ms = UINT32_MAX;
-        host->own_state = (cw_knowledge_t){.revision = 1, .servers = 1, .servers_age_ms = 1000};
+        host->own_state = (cw_source_state_t){.revision = 1, .servers = 1, .servers_age_ms = 1000};
         set_upstreams(fleet, host, (uint64_t)i + 1);
         host->mesh = mesh_setup(&(mesh_desc_t){.loop = fleet->loop,
                                                .log = &fleet->log,
                                                .settings = &host->settings,
                                                .upstreams = host->upstreams,
-                                               .knowledge = knowledge,
-                                               .on_knowledge = on_knowledge,
+                                               .source_state = source_state,
+                                               .on_source_state = on_source_state,
                                                .on_members = on_members,
-                                               .on_mark = on_mark,
-                                               .marks = marks,
+                                               .on_observation = on_observation,
+                                               .observations = observations,
                                                .user_data = host},
                                 &err);
         ck_assert_msg(host->mesh != NULL, "%s", cw_error_text(&err).text);
@@ -189,7 +189,7 @@
     cw_work_t same = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 5, .tokens = 800}}};
     for (int i = 0; i < HOSTS; i++) {
         cw_choice_t c = cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &same, NULL, 0);
-        if (c.running != 1 || c.kept != 800) {
+        if (c.running != 1 || c.cached_tokens != 800) {
             return false;
         }
     }
@@ -208,7 +208,7 @@
 START_TEST(load_reports_reach_every_host_of_every_hall) {
     fleet_t* fleet = fleet_setup();
     run_until(fleet, all_are_alive);
-    uint64_t passed_on = 0;
+    uint64_t forwarded = 0;
     cw_work_t work = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 5, .tokens = 800}}};
     cw_run_t run = cw_balance_begin(balance(&fleet->hosts[0]), clock_ms(), 0, &work);
     server_t* server = upstreams_server(fleet->hosts[0].upstreams, run.id);
@@ -216,9 +216,9 @@
     mesh_on_load(fleet->hosts[0].mesh, server, &work);
     run_until(fleet, all_know_the_load);
     for (int i = HALL_A_HOSTS; i < HOSTS; i++) {
-        passed_on += mesh_stats(fleet->hosts[i].mesh).news.passed_on;
+        forwarded += mesh_stats(fleet->hosts[i].mesh).reporter.forwarded;
     }
-    ck_assert_uint_gt(passed_on, 0); /* by hosts of the other hall */
+    ck_assert_uint_gt(forwarded, 0); /* by hosts of the other hall */
     fleet_shutdown(fleet);
 }
 END_TEST
@@ -239,8 +239,8 @@
     cw_work_t first = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 1, .tokens = 800}}};
     cw_work_t last = {.prompt_tokens = 900, .part_count = 1, .parts = {{.id = 150, .tokens = 800}}};
     for (int i = 1; i < HOSTS; i++) {
-        if (cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &first, NULL, 0).kept != 800 ||
-            cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &last, NULL, 0).kept != 800) {
+        if (cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &first, NULL, 0).cached_tokens != 800 ||
+            cw_balance_choose(balance(&fleet->hosts[i]), clock_ms(), &last, NULL, 0).cached_tokens != 800) {
             return false;
         }
     }
@@ -249,13 +249,13 @@
 
 START_TEST(cached_parts_are_reported_to_every_host) {
     fleet_t* fleet = fleet_setup();
-    cw_work_part_t parts[150];
+    cw_prompt_part_t parts[150];
     run_until(fleet, all_are_alive);
     for (uint32_t i = 0; i < 150; i++) {
-        parts[i] = (cw_work_part_t){.id = i + 1};
+        parts[i] = (cw_prompt_part_t){.id = i + 1};
     }
     pool_t* pool = upstreams_pool(fleet->hosts[0].upstreams, "p");
-    mesh_tell_kept(fleet->hosts[0].mesh, pool->servers, parts, 150);
+    mesh_announce_cached(fleet->hosts[0].mesh, pool->servers, parts, 150);
     run_until(fleet, all_know_the_cached_parts);
     fleet_shutdown(fleet);
 }
@@ -268,7 +268,7 @@
     for (uint64_t key = 1; key <= 200; key++) {
         uint32_t hosts = 0;
         for (int i = 0; i < HOSTS; i++) {
-            bool owned = mesh_is_mine(fleet->hosts[i].mesh, cw_mix(key, 7));
+            bool owned = mesh_owns_key(fleet->hosts[i].mesh, cw_mix(key, 7));
             hosts += owned;
             keys[i] += owned;
         }
@@ -283,7 +283,7 @@
 
 static bool all_received_the_observation(fleet_t* fleet) {
     for (int i = 0; i < HOSTS; i++) {
-        if (i != HOSTS - 1 && !fleet->hosts[i].marks) {
+        if (i != HOSTS - 1 && !fleet->hosts[i].observations) {
             return false;
         }
     }
@@ -293,7 +293,8 @@
 /* A server crashed while it ran a request. Every host of every hall gets the observation from the host that made it,
    or, if those datagrams were lost, from the hosts that repeat all observations. */
 START_TEST(an_observation_reaches_every_host_of_every_hall) {
-    static const cw_mark_t mark = {.kind = CW_MARK_ENDED, .request = {.content = 7}, .life = 101};
+    static const cw_quarantine_observation_t mark = {
+        .kind = CW_OBSERVED_CRASH, .request = {.content_hash = 7}, .incarnation = 101};
     for (int is_repetition = 0; is_repetition < 2; is_repetition++) {
         fleet_t* fleet = fleet_setup();
         run_until(fleet, all_are_alive);
@@ -301,7 +302,7 @@
             fleet->hosts[i].repeated = mark;
         }
         if (!is_repetition) {
-            mesh_on_mark(fleet->hosts[HOSTS - 1].mesh, &mark);
+            mesh_on_observation(fleet->hosts[HOSTS - 1].mesh, &mark);
         }
         run_until(fleet, all_received_the_observation);
         fleet_shutdown(fleet);
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -23,8 +23,8 @@
     for (int64_t now_ms = 0; now_ms < 5000; now_ms += SEND_INTERVAL_MS) {
         uint32_t slot = (uint32_t)(now_ms % TRANSIT_MS);
         for (int receiver = 0; receiver < 2 && now_ms >= TRANSIT_MS; receiver++) {
-            cw_knowledge_t k = {.revision_age_ms = sent_age_ms[slot][1 - receiver], .servers_age_ms = UINT32_MAX};
-            cw_knowledge_age(&k, ASSUMED_TRANSIT_MS);
+            cw_source_state_t k = {.revision_age_ms = sent_age_ms[slot][1 - receiver], .servers_age_ms = UINT32_MAX};
+            cw_source_state_add_age(&k, ASSUMED_TRANSIT_MS);
             int64_t received_ms = now_ms - k.revision_age_ms;
             known_ms[receiver] = received_ms > known_ms[receiver] ? received_ms : known_ms[receiver];
             ck_assert_uint_eq(k.servers_age_ms, UINT32_MAX); /* a list that was never read stays unknown */
@@ -44,12 +44,12 @@
     const uint32_t fleet_sizes[2] = {9, 90};
     for (int i = 0; i < 2; i++) {
         for (uint32_t rank = 0; rank < fleet_sizes[i]; rank++) {
-            datagrams_per_s[i] += 1000.0 / cw_load_quiet_ms(rank, fleet_sizes[i]);
+            datagrams_per_s[i] += 1000.0 / cw_load_heartbeat_interval_ms(rank, fleet_sizes[i]);
         }
     }
     ck_assert_double_lt(datagrams_per_s[1], 4 * datagrams_per_s[0]);
-    ck_assert_uint_eq(cw_load_quiet_ms(8, 9), 100);
-    ck_assert_uint_eq(cw_load_quiet_ms(0, 330), 100); /* the daemon that polls the source */
+    ck_assert_uint_eq(cw_load_heartbeat_interval_ms(8, 9), 100);
+    ck_assert_uint_eq(cw_load_heartbeat_interval_ms(0, 330), 100); /* the daemon that polls the source */
 }
 END_TEST
 
@@ -76,11 +76,12 @@
                 if (received_at_ms[holder] != now_ms) {
                     continue; /* it sends its offer when it receives the document */
                 }
-                cw_pull_told(&pulls[i], &(cw_pull_offer_t){.now_ms = now_ms,
-                                                           .version = 7,
-                                                           .peer = names[holder],
-                                                           .daemons = is_delayed ? DAEMONS : 0,
-                                                           .draw = cw_mix(seed, (uint64_t)(now_ms * DAEMONS + i))});
+                cw_pull_add_offer(&pulls[i],
+                                  &(cw_pull_offer_t){.now_ms = now_ms,
+                                                     .version = 7,
+                                                     .peer = names[holder],
+                                                     .daemons = is_delayed ? DAEMONS : 0,
+                                                     .random = cw_mix(seed, (uint64_t)(now_ms * DAEMONS + i))});
             }
             const char* peer = received_at_ms[i] == INT64_MAX ? cw_pull_due(&pulls[i], now_ms) : NULL;
             if (peer) {
@@ -112,14 +113,15 @@
     for (uint64_t seed = 0; seed < 50; seed++) {
         cw_pull_t pull = {0};
         for (uint64_t i = 0; i < 20; i++) {
-            cw_pull_told(&pull, &(cw_pull_offer_t){.version = 4,
-                                                   .peer = i == 10 ? "near" : "far",
-                                                   .far = i != 10,
-                                                   .daemons = 100,
-                                                   .draw = cw_mix(seed, i)});
+            cw_pull_add_offer(&pull, &(cw_pull_offer_t){.version = 4,
+                                                        .peer = i == 10 ? "near" : "far",
+                                                        .is_remote = i != 10,
+                                                        .daemons = 100,
+                                                        .random = cw_mix(seed, i)});
         }
         ck_assert_str_eq(cw_pull_due(&pull, 1000), "near");
-        cw_pull_told(&pull, &(cw_pull_offer_t){.now_ms = 1000, .version = 5, .peer = "far", .far = true, .daemons = 9});
+        cw_pull_add_offer(
+            &pull, &(cw_pull_offer_t){.now_ms = 1000, .version = 5, .peer = "far", .is_remote = true, .daemons = 9});
         ck_assert_str_eq(cw_pull_due(&pull, 2000), "far"); /* the only offer */
     }
 }
@@ -129,18 +131,18 @@
     cw_pull_t pull = {0};
     cw_pull_offer_t offer = {.now_ms = 0, .version = 4, .peer = "old", .daemons = 100};
     for (uint64_t i = 0; i < 50; i++) {
-        offer.draw = i;
-        cw_pull_told(&pull, &offer);
+        offer.random = i;
+        cw_pull_add_offer(&pull, &offer);
     }
     offer.version = 6;
     offer.peer = "new";
-    offer.draw = 99;
-    cw_pull_told(&pull, &offer);
+    offer.random = 99;
+    cw_pull_add_offer(&pull, &offer);
     const char* peer = cw_pull_due(&pull, 1000);
     ck_assert_ptr_nonnull(peer);
     ck_assert_str_eq(peer, "new");
     ck_assert_ptr_null(cw_pull_due(&pull, 2000)); /* asked once */
-    cw_pull_told(&pull, &offer);
+    cw_pull_add_offer(&pull, &offer);
     cw_pull_cancel(&pull);
     ck_assert_ptr_null(cw_pull_due(&pull, 3000));
 }
@@ -155,9 +157,9 @@
 static uint32_t calls_during_outage(uint32_t hosts, int64_t outage_ms) {
     uint32_t calls = 0;
     for (uint32_t rank = 0; rank < hosts; rank++) {
-        cw_reader_t r = {.read_ms = 400, .rank = rank, .seed = rank};
+        cw_poll_t r = {.poll_age_ms = 400, .rank = rank, .seed = rank};
         uint32_t failures = 0;
-        for (int64_t now_ms = 0; now_ms < outage_ms; now_ms += cw_reader_pause_ms(&r, ++failures, calls)) {
+        for (int64_t now_ms = 0; now_ms < outage_ms; now_ms += cw_poll_backoff_ms(&r, ++failures, calls)) {
             calls++;
         }
     }
@@ -170,20 +172,20 @@
     ck_assert_uint_gt(small_calls, SMALL_FLEET_CALLS_MIN); /* each host of a small fleet calls about once a second */
     /* ten times the hosts make less than five times the calls */
     ck_assert_uint_lt(large_calls, (uint64_t)5 * small_calls);
-    cw_reader_t first = {.read_ms = 400};
-    for (uint64_t draw = 0; draw < 1000; draw++) {
-        ck_assert_uint_le(cw_reader_pause_ms(&first, 20, draw), 1000);
-        ck_assert_uint_ge(cw_reader_pause_ms(&first, 1, draw), 50);
+    cw_poll_t first = {.poll_age_ms = 400};
+    for (uint64_t random = 0; random < 1000; random++) {
+        ck_assert_uint_le(cw_poll_backoff_ms(&first, 20, random), 1000);
+        ck_assert_uint_ge(cw_poll_backoff_ms(&first, 1, random), 50);
     }
 }
 END_TEST
 
 START_TEST(the_first_rank_polls_and_the_next_ones_when_it_fails) {
     for (uint32_t rank = 0; rank < 10; rank++) {
-        cw_reader_t r = {.read_ms = 400, .rank = rank};
+        cw_poll_t r = {.poll_age_ms = 400, .rank = rank};
         int64_t poll_age_limit_ms = 400 + 120 * (rank < 5 ? rank : 5);
-        ck_assert(!cw_reader_due(&r, 1000, 1000 + poll_age_limit_ms - 1));
-        ck_assert(cw_reader_due(&r, 1000, 1000 + poll_age_limit_ms));
+        ck_assert(!cw_poll_is_due(&r, 1000, 1000 + poll_age_limit_ms - 1));
+        ck_assert(cw_poll_is_due(&r, 1000, 1000 + poll_age_limit_ms));
     }
 }
 END_TEST
@@ -193,12 +195,12 @@
    hosts, each of them polled the source, 31 pages each. */
 START_TEST(a_delayed_confirmation_causes_few_polls) {
     enum { HOSTS = 584, MS = 20 };
-    cw_reader_t r = {.read_ms = 1000, .daemons = HOSTS, .late_ms = 3500};
+    cw_poll_t r = {.poll_age_ms = 1000, .daemons = HOSTS, .last_rank_poll_age_ms = 3500};
     uint32_t before = 0;
     for (int64_t age_ms = 0; age_ms <= 3500; age_ms += MS) {
         uint32_t due = 0;
         for (r.rank = 0; r.rank < HOSTS; r.rank++) {
-            due += cw_reader_due(&r, 1000, 1000 + age_ms);
+            due += cw_poll_is_due(&r, 1000, 1000 + age_ms);
         }
         ck_assert_uint_le(due - before, HOSTS / 20);
         before = due;
@@ -214,20 +216,19 @@
     uint32_t early_polls = 0;
     uint32_t within_a_second = 0;
     for (uint32_t rank = 0; rank < FLEET_HOSTS; rank++) {
-        cw_reader_t r = {
-            .read_ms = 400, .rank = rank, .daemons = FLEET_HOSTS, .started_ms = 5000, .seed = cw_mix(7, rank)};
-        early_polls += cw_reader_due(&r, CW_READER_NEVER, 5200);
-        within_a_second += cw_reader_due(&r, CW_READER_NEVER, 6000);
-        ck_assert(rank > 5 || cw_reader_due(&r, CW_READER_NEVER, 5700));
-        ck_assert(cw_reader_due(&r, CW_READER_NEVER, 5700 + 20 * (int64_t)rank));
+        cw_poll_t r = {
+            .poll_age_ms = 400, .rank = rank, .daemons = FLEET_HOSTS, .started_ms = 5000, .seed = cw_mix(7, rank)};
+        early_polls += cw_poll_is_due(&r, CW_POLL_NEVER, 5200);
+        within_a_second += cw_poll_is_due(&r, CW_POLL_NEVER, 6000);
+        ck_assert(rank > 5 || cw_poll_is_due(&r, CW_POLL_NEVER, 5700));
+        ck_assert(cw_poll_is_due(&r, CW_POLL_NEVER, 5700 + 20 * (int64_t)rank));
     }
     ck_assert_uint_ge(early_polls, 1);
     ck_assert_uint_le(early_polls, 5);
     ck_assert_uint_le(within_a_second, 30);
-    cw_reader_t single = {.read_ms = 400, .daemons = 1, .started_ms = 5000};
-    ck_assert(
-        !cw_reader_due(&single, CW_READER_NEVER, 5199)); /* it may be one of many that don't know each other yet */
-    ck_assert(cw_reader_due(&single, CW_READER_NEVER, 5400));
+    cw_poll_t single = {.poll_age_ms = 400, .daemons = 1, .started_ms = 5000};
+    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 5199)); /* it may be one of many that don't know each other yet */
+    ck_assert(cw_poll_is_due(&single, CW_POLL_NEVER, 5400));
 }
 END_TEST
 
@@ -236,16 +237,16 @@
 START_TEST(at_the_first_start_daemons_wait_for_each_other) {
     uint32_t early_polls = 0;
     for (uint32_t rank = 0; rank < FLEET_HOSTS; rank++) {
-        cw_reader_t r = {.read_ms = 400, .started_ms = 5000, .nobody_calls = true, .seed = cw_mix(7, rank)};
-        early_polls += cw_reader_due(&r, CW_READER_NEVER, 5200); /* ranks are not known yet */
+        cw_poll_t r = {.poll_age_ms = 400, .started_ms = 5000, .is_first_start = true, .seed = cw_mix(7, rank)};
+        early_polls += cw_poll_is_due(&r, CW_POLL_NEVER, 5200); /* ranks are not known yet */
         r.rank = rank;
-        ck_assert(cw_reader_due(&r, CW_READER_NEVER, 12000));
+        ck_assert(cw_poll_is_due(&r, CW_POLL_NEVER, 12000));
     }
     ck_assert_uint_ge(early_polls, 1);
     ck_assert_uint_le(early_polls, FLEET_HOSTS / 4);
-    cw_reader_t single = {.read_ms = 400, .daemons = 1, .started_ms = 5000, .nobody_calls = true};
-    ck_assert(!cw_reader_due(&single, CW_READER_NEVER, 6999)); /* by then it would know its peers and its rank */
-    ck_assert(cw_reader_due(&single, CW_READER_NEVER, 9000));
+    cw_poll_t single = {.poll_age_ms = 400, .daemons = 1, .started_ms = 5000, .is_first_start = true};
+    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 6999)); /* by then it would know its peers and its rank */
+    ck_assert(cw_poll_is_due(&single, CW_POLL_NEVER, 9000));
 }
 END_TEST
 
--- a/tests/test_packed.c
+++ b/tests/test_packed.c
@@ -10,7 +10,7 @@
 
 static cw_servers_t make_list(uint32_t count) {
     cw_servers_t list = {.at = 70000, .age_ms = 120, .closed = {.at = 69000}};
-    cw_closed_add(&list.closed, "hall-1");
+    cw_closed_halls_add(&list.closed, "hall-1");
     for (uint32_t i = 0; i < count; i++) {
         cw_server_t s = {.slots = 32, .leaving = i % 7 == 0, .cold_ms = i % 5 ? 0 : 300};
         snprintf(s.id, sizeof(s.id), "i-%010x", i * 2654435761U);
@@ -31,15 +31,15 @@
     cw_changes_t changes = {.since = 65000};
     cw_changes_t received_changes = {0};
     size_t size = 0;
-    cw_changes_add_gone(&changes, "i-gone", 66000);
-    cw_changes_add_gone(&changes, "i-gone-too", 70000);
-    char* bytes = cw_packed_write(&list, &changes, &size);
-    ck_assert(cw_packed_is(bytes, size));
-    ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, bytes, size, NULL), CW_OK);
+    cw_changes_add_removed(&changes, "i-gone", 66000);
+    cw_changes_add_removed(&changes, "i-gone-too", 70000);
+    char* bytes = cw_packed_encode(&list, &changes, &size);
+    ck_assert(cw_packed_has_magic(bytes, size));
+    ck_assert_int_eq(cw_packed_decode(&decoded, &received_changes, bytes, size, NULL), CW_OK);
     ck_assert(cw_servers_equal(&list, &decoded));
     ck_assert(received_changes.since == 65000 && received_changes.count == 2 &&
-              received_changes.gone[1].revision == 70000);
-    ck_assert_str_eq(received_changes.gone[0].id, "i-gone");
+              received_changes.removed[1].revision == 70000);
+    ck_assert_str_eq(received_changes.removed[0].id, "i-gone");
     ck_assert(decoded.at == list.at && decoded.age_ms == list.age_ms && decoded.closed.at == list.closed.at);
     for (uint32_t i = 0; i < count; i++) {
         ck_assert_int_eq(decoded.items[i].revision, list.items[i].revision);
@@ -64,8 +64,8 @@
     cw_servers_t list = make_list(6003);
     cw_changes_t changes = {0};
     size_t size = 0;
-    char* bytes = cw_packed_write(&list, &changes, &size);
-    char* text = cw_servers_text(&list);
+    char* bytes = cw_packed_encode(&list, &changes, &size);
+    char* text = cw_servers_to_json(&list);
     ck_assert_uint_le(size * 4, strlen(text));
     ck_assert_uint_le(size, (size_t)list.count * 48);
     free(bytes);
@@ -78,14 +78,14 @@
     rng_t rng = {.state = 5};
     cw_changes_t changes = {.since = 65000};
     cw_changes_t received_changes = {0};
-    cw_changes_add_gone(&changes, "i-gone", 66000);
+    cw_changes_add_removed(&changes, "i-gone", 66000);
     cw_servers_t list = make_list(20);
     size_t size = 0;
-    char* bytes = cw_packed_write(&list, &changes, &size);
+    char* bytes = cw_packed_encode(&list, &changes, &size);
     for (size_t cut = 0; cut < size; cut++) {
         cw_servers_t decoded = {0};
         cw_error_t err = {0};
-        ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, bytes, cut, &err), CW_ERR_INVALID);
+        ck_assert_int_eq(cw_packed_decode(&decoded, &received_changes, bytes, cut, &err), CW_ERR_INVALID);
         ck_assert_str_eq(err.step, "servers");
         ck_assert_uint_eq(decoded.count + received_changes.count, 0);
     }
@@ -96,7 +96,7 @@
             corrupted[rng_below(&rng, (uint32_t)size)] = (char)rng_below(&rng, 256);
         }
         cw_servers_t decoded = {0};
-        if (cw_packed_read(&decoded, &received_changes, corrupted, size, NULL) == CW_OK) {
+        if (cw_packed_decode(&decoded, &received_changes, corrupted, size, NULL) == CW_OK) {
             ck_assert_uint_le(decoded.count, list.count);
             for (uint32_t i = 0; i < decoded.count; i++) {
                 ck_assert(decoded.items[i].id[0] && decoded.items[i].pool[0] && decoded.items[i].slots);
@@ -109,7 +109,7 @@
     cw_servers_t decoded = {0};
     static const char array[] = "\xb2"
                                 "chalkway-servers-1\xdd\xff\xff\xff\xff";
-    ck_assert_int_eq(cw_packed_read(&decoded, &received_changes, array, sizeof(array) - 1, NULL), CW_ERR_INVALID);
+    ck_assert_int_eq(cw_packed_decode(&decoded, &received_changes, array, sizeof(array) - 1, NULL), CW_ERR_INVALID);
     free(bytes);
     cw_servers_free(&list);
     cw_changes_free(&changes);
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -122,21 +122,21 @@
     ck_assert(p50 >= 500 && p50 <= 625);
     ck_assert_uint_ge(cw_hist_quantile(&hist, 1.0), 1000);
     for (uint32_t i = 1; i < CW_HIST_BUCKETS; i++) {
-        ck_assert_uint_gt(cw_hist_bound(i), cw_hist_bound(i - 1));
+        ck_assert_uint_gt(cw_hist_upper_bound(i), cw_hist_upper_bound(i - 1));
     }
 }
 END_TEST
 
 START_TEST(estimate_follows_a_change) {
     cw_estimate_t est = {0};
-    ck_assert_uint_eq(cw_estimate_get(&est, 0.5, 77), 77);
+    ck_assert_uint_eq(cw_estimate_quantile(&est, 0.5, 77), 77);
     for (int i = 0; i < 5000; i++) {
         cw_estimate_add(&est, 100);
     }
     for (int i = 0; i < 5000; i++) {
         cw_estimate_add(&est, 1000);
     }
-    ck_assert_uint_ge(cw_estimate_get(&est, 0.5, 0), 1000);
+    ck_assert_uint_ge(cw_estimate_quantile(&est, 0.5, 0), 1000);
 }
 END_TEST
 
@@ -146,9 +146,9 @@
     for (int i = 0; i < 100; i++) {
         cw_estimate_add(&est, i % 10 ? 100 : 1000);
     }
-    ck_assert_uint_ge(cw_estimate_need(&est, 0.01, 0), 1000);
-    ck_assert_uint_le(cw_estimate_need(&est, 0.9, 0), 250);
-    ck_assert_uint_eq(cw_estimate_need(&(cw_estimate_t){0}, 0.01, 77), 77);
+    ck_assert_uint_ge(cw_estimate_cutoff(&est, 0.01, 0), 1000);
+    ck_assert_uint_le(cw_estimate_cutoff(&est, 0.9, 0), 250);
+    ck_assert_uint_eq(cw_estimate_cutoff(&(cw_estimate_t){0}, 0.01, 77), 77);
 }
 END_TEST
 
@@ -168,7 +168,7 @@
     cw_retry_budget_t budget = {.share = 0.1, .burst = 5};
     int retries = 0;
     for (int i = 0; i < 1000; i++) {
-        cw_retry_first(&budget);
+        cw_retry_on_first_attempt(&budget);
         retries += cw_retry_take(&budget);
     }
     ck_assert_int_le(retries, 105);
@@ -184,10 +184,10 @@
     }
     int owned[10] = {0};
     for (uint64_t key = 1; key <= 1000; key++) {
-        uint64_t with = cw_place_owner(key, hosts, 10);
-        uint64_t without = cw_place_owner(key, hosts, 9);
+        uint64_t with = cw_rendezvous_owner(key, hosts, 10);
+        uint64_t without = cw_rendezvous_owner(key, hosts, 9);
         ck_assert(with == without || with == hosts[9]);
-        ck_assert_uint_eq(cw_place_rank(key, with, hosts, 10), 0);
+        ck_assert_uint_eq(cw_rendezvous_rank(key, with, hosts, 10), 0);
         for (int i = 0; i < 10; i++) {
             owned[i] += hosts[i] == with;
         }
@@ -203,7 +203,7 @@
 START_TEST(stream_forwards_complete_events_only) {
     static const char text[] = "data: a\n\ndata: {\"b\":1}\n\ndata: [DONE]\n\n";
     rng_t rng = {.state = (uint64_t)_i};
-    cw_stream_t s = {0};
+    cw_token_stream_t s = {0};
     char pending[128];
     char forwarded[128] = "";
     size_t pending_size = 0;
@@ -215,7 +215,7 @@
         memcpy(pending + pending_size, text + at, n);
         pending_size += n;
         at += n;
-        size_t complete_size = cw_stream_take(&s, pending, pending_size);
+        size_t complete_size = cw_token_stream_take(&s, pending, pending_size);
         memcpy(forwarded + forwarded_size, pending, complete_size);
         forwarded_size += complete_size;
         pending_size -= complete_size;
@@ -236,15 +236,15 @@
         ids[i] = cw_mix(i + 1, 5);
     }
     for (uint32_t count = 1; count < 100; count++) {
-        uint32_t shards = cw_place_shard_count(count, 7);
+        uint32_t shards = cw_rendezvous_shard_count(count, 7);
         uint32_t sizes[16] = {0};
         uint32_t moved = 0;
         for (uint32_t i = 0; i < count; i++) {
-            uint64_t shard = cw_place_shard(9, ids[i], ids, count, shards);
+            uint64_t shard = cw_rendezvous_shard(9, ids[i], ids, count, shards);
             for (uint32_t k = 0; k < shards; k++) {
-                sizes[k] += shard == cw_place_shard_id(9, k);
+                sizes[k] += shard == cw_rendezvous_shard_id(9, k);
             }
-            moved += shard != cw_place_shard(9, ids[i], ids, count + 1, shards);
+            moved += shard != cw_rendezvous_shard(9, ids[i], ids, count + 1, shards);
         }
         for (uint32_t k = 0; k < shards; k++) {
             ck_assert_uint_ge(sizes[k], count / shards);
@@ -279,9 +279,9 @@
         HOST_SECTION "[entry]\nlookup_keep = 2m\nmax_body = 64k\nretry_share = 0.25\n[log]\nformat = json\n", &s);
     ck_assert_msg(errors.count == 0, "%s", errors.lines[0]);
     ck_assert_str_eq(s.name, "a");
-    ck_assert_uint_eq(s.lookup_ms, 120000);
-    ck_assert_uint_eq(s.max_body, 65536);
-    ck_assert_double_eq(s.retry_share, 0.25);
+    ck_assert_uint_eq(s.lookup_ttl_ms, 120000);
+    ck_assert_uint_eq(s.max_body_bytes, 65536);
+    ck_assert_double_eq(s.retry_ratio, 0.25);
     ck_assert_uint_eq(s.grant_ms, 500);
 }
 END_TEST
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -23,22 +23,22 @@
     char* text = NULL;
     cw_error_t err = {0};
     ck_assert_int_eq(platform_catalog_text(published, strlen(published), &text, &err), CW_OK);
-    cw_catalog_t* c = cw_catalog_read(text, strlen(text), &err);
+    cw_catalog_t* c = cw_catalog_parse(text, strlen(text), &err);
     ck_assert_msg(c != NULL, "%s", err.message);
     ck_assert_int_eq(c->revision, 7);
-    const cw_route_t* r = cw_catalog_route(c, "f.example", "/p/x", 4);
+    const cw_route_t* r = cw_catalog_find_route(c, "f.example", "/p/x", 4);
     ck_assert_int_eq(r->kind, CW_ROUTE_STREAM);
-    ck_assert(r->resume && !r->open);
+    ck_assert(r->is_resumable && !r->is_public);
     ck_assert_uint_eq(r->pool_count, 2);
     ck_assert_uint_eq(r->gap_ms, 150);
     ck_assert_uint_eq(r->attempts, 2);
-    ck_assert_int_eq(cw_catalog_route(c, "f.example", "/o/", 3)->kind, CW_ROUTE_ONCE);
-    ck_assert(cw_catalog_route(c, "f.example", "/o/", 3)->open);
+    ck_assert_int_eq(cw_catalog_find_route(c, "f.example", "/o/", 3)->kind, CW_ROUTE_ONCE);
+    ck_assert(cw_catalog_find_route(c, "f.example", "/o/", 3)->is_public);
     ck_assert_uint_eq(c->pools[0].slots, 48);
     ck_assert_uint_eq(c->pools[0].memory_tokens, 532839);
     ck_assert_uint_eq(c->pools[1].slots, 0);
     ck_assert_uint_eq(c->limits.idle_ms, 15000);
-    ck_assert_uint_eq(cw_catalog_workspace(c, "k2")->tier, 1);
+    ck_assert_uint_eq(cw_catalog_find_workspace(c, "k2")->tier, 1);
     cw_catalog_release(c);
     free(text);
 }
@@ -53,7 +53,7 @@
                                             "{\"version\":null,\"routes\":null,\"services\":[null]}"};
     for (size_t i = 0; i < sizeof(documents) / sizeof(documents[0]); i++) {
         ck_assert_int_eq(platform_catalog_text(documents[i], strlen(documents[i]), &text, &err), CW_OK);
-        ck_assert_ptr_null(cw_catalog_read(text, strlen(text), &err));
+        ck_assert_ptr_null(cw_catalog_parse(text, strlen(text), &err));
         free(text);
     }
 }
@@ -66,20 +66,20 @@
 START_TEST(responses_with_the_configuration_are_parsed_and_invalid_ones_rejected) {
     char value[4096];
     char body[8192];
-    source_news_t update = {0};
+    source_update_t update = {0};
     cw_error_t err = {0};
     base64(published, value, sizeof(value));
     snprintf(body, sizeof(body), "{\"tls_key\":\"op/config\",\"value\":\"%s\",\"revision\":412,\"at\":530}", value);
     ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 0, &update, &err), CW_OK);
-    ck_assert_int_eq(update.mark, 412);
+    ck_assert_int_eq(update.version, 412);
     ck_assert_ptr_nonnull(update.catalog);
     free(update.catalog);
-    update = (source_news_t){0};
+    update = (source_update_t){0};
     ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 412, &update, &err), CW_OK);
     ck_assert_ptr_null(update.catalog); /* the same as before */
     static const char* const invalid[] = {"", "{", "[]", "{\"value\":7}", "{\"value\":\"!!\",\"revision\":3}"};
     for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
-        update = (source_news_t){0};
+        update = (source_update_t){0};
         ck_assert_int_ne(platform_source.read_catalog(invalid[i], strlen(invalid[i]), 1, &update, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
         ck_assert_ptr_null(update.catalog);
@@ -106,7 +106,7 @@
     size_t end = strlen(body);
     snprintf(body + end, sizeof(body) - end, "],\"more\":true,\"at\":9}");
     cw_servers_t list = {0};
-    source_news_t update = {0};
+    source_update_t update = {0};
     ck_assert_int_eq(platform_source.read_servers(body, strlen(body), &list, &update, NULL), CW_OK);
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[0].id, "i-0");
@@ -133,11 +133,11 @@
     cw_servers_put(&list, &stays);
     ck_assert_str_eq(list.items[0].id, "i-1"); /* sorted */
     static const char body[] =
-        "{\"events\":[{\"tls_key\":\"servers/i-0\",\"value\":\"" DRAINING "\",\"revision\":8},"
-        "{\"tls_key\":\"servers/i-1\",\"value\":\"" DRAINING "\",\"revision\":9},"
+        "{\"events\":[{\"tls_key\":\"servers/i-0\",\"value\":\"" DRAINING_ENTRY_BASE64 "\",\"revision\":8},"
+        "{\"tls_key\":\"servers/i-1\",\"value\":\"" DRAINING_ENTRY_BASE64 "\",\"revision\":9},"
         "{\"tls_key\":\"servers/i-2\",\"revision\":10,\"gone\":true},"
         "{\"tls_key\":\"servers/i-3\",\"revision\":10,\"gone\":true},"
-        "{\"tls_key\":\"servers/\",\"value\":\"" DRAINING "\"},{\"tls_key\":\"op/x\"},7],\"at\":12}";
+        "{\"tls_key\":\"servers/\",\"value\":\"" DRAINING_ENTRY_BASE64 "\"},{\"tls_key\":\"op/x\"},7],\"at\":12}";
     ck_assert_int_eq(platform_source.read_changes(body, strlen(body), &list, &err), CW_OK);
     ck_assert_int_eq(list.at, 10); /* of the newest event: there may be more events up to 12 */
     ck_assert_uint_eq(list.count, 2);
@@ -159,7 +159,7 @@
 END_TEST
 
 START_TEST(zones_to_be_evacuated_are_closed_halls) {
-    cw_closed_t closed = {0};
+    cw_closed_halls_t closed = {0};
     cw_error_t err = {0};
     char path[128];
     platform_source.closed_path(path, sizeof(path));
@@ -169,10 +169,10 @@
     ck_assert_int_eq(platform_source.read_closed(body, strlen(body), &closed, &err), CW_OK);
     ck_assert_int_eq(closed.at, 31);
     ck_assert_uint_eq(closed.count, 1);
-    ck_assert(cw_closed_has(&closed, "b") && !cw_closed_has(&closed, "a"));
+    ck_assert(cw_closed_halls_contains(&closed, "b") && !cw_closed_halls_contains(&closed, "a"));
     static const char* const invalid[] = {"", "[]", "{}", "{\"items\":7}"};
     for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
-        closed = (cw_closed_t){0};
+        closed = (cw_closed_halls_t){0};
         ck_assert_int_ne(platform_source.read_closed(invalid[i], strlen(invalid[i]), &closed, &err), CW_OK);
         ck_assert_str_eq(err.step, "platform-store");
     }
@@ -182,7 +182,7 @@
 /* Pages are read one after the other, so changes made meanwhile must be read since the revision of the first page. */
 START_TEST(a_list_in_pages_has_the_revision_of_its_first_page) {
     cw_servers_t list = {0};
-    source_news_t update = {0};
+    source_update_t update = {0};
     static const char first[] = "{\"items\":[],\"more\":true,\"at\":40}";
     static const char second[] = "{\"items\":[],\"at\":44}";
     ck_assert_int_eq(platform_source.read_servers(first, strlen(first), &list, &update, NULL), CW_OK);
--- a/tests/test_pool_load.c
+++ b/tests/test_pool_load.c
@@ -158,26 +158,26 @@
 START_TEST(one_failure_raises_no_suspicion_however_often_it_is_reported) {
     cw_suspect_t s = {0};
     for (int64_t at_ms = 1000; at_ms < 1040; at_ms += 10) {
-        cw_suspect_failed(&s, 7, at_ms); /* repeated in a report with a longer transit time */
-        ck_assert(!cw_suspect_holds(&s, at_ms));
+        cw_suspect_on_failure(&s, 7, at_ms); /* repeated in a report with a longer transit time */
+        ck_assert(!cw_suspect_is_active(&s, at_ms));
     }
-    cw_suspect_failed(&s, 8, 1040);
-    ck_assert(cw_suspect_holds(&s, 1040));
-    ck_assert(!cw_suspect_holds(&s, 2040)); /* expires without a probe, so that requests reach the server again */
+    cw_suspect_on_failure(&s, 8, 1040);
+    ck_assert(cw_suspect_is_active(&s, 1040));
+    ck_assert(!cw_suspect_is_active(&s, 2040)); /* expires without a probe, so that requests reach the server again */
 }
 END_TEST
 
 START_TEST(only_a_response_to_a_later_request_ends_a_suspicion) {
     cw_suspect_t s = {0};
-    cw_suspect_failed(&s, 7, 1000);
-    cw_suspect_failed(&s, 8, 1010);
-    ck_assert(!cw_suspect_alive(&s, 900)); /* it finishes requests from before the failures */
-    ck_assert(cw_suspect_holds(&s, 1020));
-    ck_assert(cw_suspect_alive(&s, 1015));
-    ck_assert(!cw_suspect_holds(&s, 1020));
-    cw_suspect_failed(&s, 9, 1012); /* reported late: it happened before the answered request was sent */
-    cw_suspect_failed(&s, 10, 1013);
-    ck_assert(!cw_suspect_holds(&s, 1020));
+    cw_suspect_on_failure(&s, 7, 1000);
+    cw_suspect_on_failure(&s, 8, 1010);
+    ck_assert(!cw_suspect_on_response(&s, 900)); /* it finishes requests from before the failures */
+    ck_assert(cw_suspect_is_active(&s, 1020));
+    ck_assert(cw_suspect_on_response(&s, 1015));
+    ck_assert(!cw_suspect_is_active(&s, 1020));
+    cw_suspect_on_failure(&s, 9, 1012); /* reported late: it happened before the answered request was sent */
+    cw_suspect_on_failure(&s, 10, 1013);
+    ck_assert(!cw_suspect_is_active(&s, 1020));
 }
 END_TEST
 
@@ -186,15 +186,15 @@
     for (uint64_t host = 1; host <= 80; host++) {
         cw_suspect_t s = {0};
         for (int64_t now_ms = 200; now_ms <= 20000; now_ms += 200) { /* 100 time slices */
-            tries += cw_suspect_may_try(&s, now_ms, host, 5, 80);
+            tries += cw_suspect_may_probe(&s, now_ms, host, 5, 80);
         }
     }
     ck_assert_uint_ge(tries, 50);
     ck_assert_uint_le(tries, 200);
     cw_suspect_t own = {0};
-    cw_suspect_failed_here(&own, 1, 1000);
-    ck_assert(!cw_suspect_may_try(&own, 1100, 1, 5, 1)); /* its last probe has just failed */
-    ck_assert(cw_suspect_may_try(&own, 1200, 1, 5, 1));
+    cw_suspect_on_own_failure(&own, 1, 1000);
+    ck_assert(!cw_suspect_may_probe(&own, 1100, 1, 5, 1)); /* its last probe has just failed */
+    ck_assert(cw_suspect_may_probe(&own, 1200, 1, 5, 1));
 }
 END_TEST
 
@@ -206,14 +206,14 @@
     cw_balance_t* b = m->balance[0];
     cw_work_t work = m->classes[0].work;
     for (uint32_t i = 0; i < m->engines; i++) {
-        cw_load_t impossible = {.failed_ago_ms = UINT32_MAX, .alive_ago_ms = UINT32_MAX};
-        cw_balance_news(b, m->now_ms, 99, m->engine[i].id, &impossible);
-        cw_balance_news(b, m->now_ms, 98, m->engine[i].id, &impossible);
+        cw_load_t impossible = {.failed_ago_ms = UINT32_MAX, .answered_ago_ms = UINT32_MAX};
+        cw_balance_on_peer_load(b, m->now_ms, 99, m->engine[i].id, &impossible);
+        cw_balance_on_peer_load(b, m->now_ms, 98, m->engine[i].id, &impossible);
     }
     ck_assert_uint_ge(cw_balance_choose(b, m->now_ms, &work, NULL, 0).candidates, 100);
     for (uint32_t i = 0; i < m->engines; i++) {
-        cw_balance_news(b, m->now_ms, 99, m->engine[i].id, &(cw_load_t){.failed_ago_ms = 400});
-        cw_balance_news(b, m->now_ms, 99, m->engine[i].id, &(cw_load_t){.failed_ago_ms = 1});
+        cw_balance_on_peer_load(b, m->now_ms, 99, m->engine[i].id, &(cw_load_t){.failed_ago_ms = 400});
+        cw_balance_on_peer_load(b, m->now_ms, 99, m->engine[i].id, &(cw_load_t){.failed_ago_ms = 1});
     }
     ck_assert_uint_ge(cw_balance_choose(b, m->now_ms, &work, NULL, 0).candidates, 100);
     model_shutdown(m);
--- a/tests/test_pushback.c
+++ b/tests/test_pushback.c
@@ -21,24 +21,25 @@
     "\"target_ms\":300,\"attempts\":1,\"open\":true,\"pools\":[{\"pool\":\"p\"}]}]}"
 #define REQUEST "POST /once/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 0\r\n\r\n"
 #define OK_RESPONSE                                                                                                    \
-    { RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 4\r\n\r\nfine" }
+    { RIG_RESPOND, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 4\r\n\r\nfine" }
 #define LEAVING_RESPONSE                                                                                               \
     {                                                                                                                  \
-        RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 1\r\n"                   \
-                    "Content-Length: 4\r\n\r\nfine"                                                                    \
+        RIG_RESPOND, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 1\r\n"                  \
+                     "Content-Length: 4\r\n\r\nfine"                                                                   \
     }
 #define BACKOFF_RESPONSE(retry_after)                                                                                  \
     {                                                                                                                  \
-        RIG_ANSWER, "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\nChalkway-Not-Run: 1\r\nRetry-After: " retry_after \
-                    "\r\nContent-Length: 0\r\n\r\n"                                                                    \
+        RIG_RESPOND,                                                                                                   \
+            "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\nChalkway-Not-Run: 1\r\nRetry-After: " retry_after         \
+            "\r\nContent-Length: 0\r\n\r\n"                                                                            \
     }
 #define CALLS 8
 #define BACKOFF_MS 30000
 #define IN_FLIGHT_MS 500 /* requests that were in flight when the server responded may still arrive for this time */
 
-static void expect_status(const char* answer, const char* status) {
-    ck_assert_msg(strncmp(answer, "HTTP/1.1 ", 9) == 0 && strncmp(answer + 9, status, 3) == 0, "wanted %s, got: %s",
-                  status, answer);
+static void expect_status(const char* response, const char* status) {
+    ck_assert_msg(strncmp(response, "HTTP/1.1 ", 9) == 0 && strncmp(response + 9, status, 3) == 0, "wanted %s, got: %s",
+                  status, response);
 }
 
 /* Makes this many calls one after the other and checks the status of each. Returns how many reached the server. */
@@ -105,9 +106,9 @@
 START_TEST(any_response_can_announce_leaving) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t leaving = call_first(r,
-                                  (rig_step_t){RIG_ANSWER, "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\n"
-                                                           "Chalkway-Not-Run: 1\r\nChalkway-Server-Leaving: 1\r\n"
-                                                           "Content-Length: 0\r\n\r\n"},
+                                  (rig_step_t){RIG_RESPOND, "HTTP/1.1 503 No\r\nChalkway-Request-Id: @ID@\r\n"
+                                                            "Chalkway-Not-Run: 1\r\nChalkway-Server-Leaving: 1\r\n"
+                                                            "Content-Length: 0\r\n\r\n"},
                                   "503");
     ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
     rig_shutdown(r);
@@ -117,8 +118,9 @@
 START_TEST(other_values_of_the_leaving_field_change_nothing) {
     rig_t* r = rig_setup(ROUTES, 1);
     call_first(r,
-               (rig_step_t){RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 0\r\n"
-                                        "Content-Length: 4\r\n\r\nfine"},
+               (rig_step_t){RIG_RESPOND,
+                            "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 0\r\n"
+                            "Content-Length: 4\r\n\r\nfine"},
                "200");
     ck_assert_uint_eq(call(r, CALLS, "200", 0), CALLS);
     rig_shutdown(r);
@@ -130,11 +132,11 @@
 START_TEST(server_in_backoff_gets_no_requests_until_it_ends) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t backoff_server = call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
-    cw_clock_suspend(IN_FLIGHT_MS);
+    cw_clock_simulate_suspend(IN_FLIGHT_MS);
     ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
-    cw_clock_suspend(BACKOFF_MS / 2);
+    cw_clock_simulate_suspend(BACKOFF_MS / 2);
     ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
-    cw_clock_suspend(BACKOFF_MS);
+    cw_clock_simulate_suspend(BACKOFF_MS);
     rig_set_servers(r, 2, 2 - backoff_server); /* the other server leaves */
     ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), CALLS);
     rig_shutdown(r);
@@ -145,10 +147,10 @@
 START_TEST(request_is_refused_with_the_earliest_end_when_all_servers_are_in_backoff) {
     rig_t* r = rig_setup(ROUTES, 1);
     call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
-    cw_clock_suspend(IN_FLIGHT_MS);
+    cw_clock_simulate_suspend(IN_FLIGHT_MS);
     ck_assert_uint_eq(call(r, 3, "503", 0), 0);
-    const char* field = strstr(cw_buffer_text(&r->answer), "Retry-After: ");
-    ck_assert_msg(field && atof(field + strlen("Retry-After: ")) > 20, "%s", cw_buffer_text(&r->answer));
+    const char* field = strstr(cw_buffer_text(&r->response), "Retry-After: ");
+    ck_assert_msg(field && atof(field + strlen("Retry-After: ")) > 20, "%s", cw_buffer_text(&r->response));
     rig_shutdown(r);
 }
 END_TEST
@@ -158,8 +160,8 @@
     rig_t* r = rig_setup(ROUTES, 1);
     call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
     server_t* s = upstreams_pool(r->upstreams, "p")->servers;
-    cw_balance_rest(s->pool->balance, clock_ms(), s->key, 1);
-    cw_clock_suspend(IN_FLIGHT_MS);
+    cw_balance_back_off(s->pool->balance, clock_ms(), s->key, 1);
+    cw_clock_simulate_suspend(IN_FLIGHT_MS);
     ck_assert_uint_eq(call(r, 3, "503", 0), 0);
     rig_shutdown(r);
 }
@@ -167,20 +169,20 @@
 
 /* Requests that waited for the end of the backoff are not sent all at once. */
 START_TEST(server_gets_few_requests_at_first_after_a_backoff) {
-    cw_rest_t rest = {0};
-    ck_assert_uint_eq(cw_rest_wait_ms(&rest, 1000), 0);
-    cw_rest_ask(&rest, 1000, 3000);
-    ck_assert_uint_eq(cw_rest_wait_ms(&rest, 1500), 2500);
+    cw_backoff_t rest = {0};
+    ck_assert_uint_eq(cw_backoff_wait_ms(&rest, 1000), 0);
+    cw_backoff_start(&rest, 1000, 3000);
+    ck_assert_uint_eq(cw_backoff_wait_ms(&rest, 1500), 2500);
     uint32_t sent = 0;
     for (int64_t now_ms = 4000; now_ms < 4500; now_ms += 5) {
-        for (uint32_t i = 0; i < 10 && !cw_rest_wait_ms(&rest, now_ms); i++) {
-            cw_rest_take(&rest, now_ms);
+        for (uint32_t i = 0; i < 10 && !cw_backoff_wait_ms(&rest, now_ms); i++) {
+            cw_backoff_on_send(&rest, now_ms);
             sent++;
         }
     }
     ck_assert_uint_ge(sent, 5);
     ck_assert_uint_le(sent, 12);
-    ck_assert_uint_eq(cw_rest_wait_ms(&rest, 6000), 0);
+    ck_assert_uint_eq(cw_backoff_wait_ms(&rest, 6000), 0);
 }
 END_TEST
 
@@ -192,19 +194,20 @@
     for (size_t i = 0; i < sizeof(invalid) / sizeof(*invalid); i++) {
         double per_s = 7;
         uint32_t ms = 7;
-        ck_assert_msg(!cw_pushback_limit(invalid[i], &per_s) && !cw_pushback_rest(invalid[i], 1000, &ms), "%s",
-                      invalid[i]);
+        ck_assert_msg(!cw_pushback_parse_rate(invalid[i], &per_s) &&
+                          !cw_pushback_parse_retry_after(invalid[i], 1000, &ms),
+                      "%s", invalid[i]);
         ck_assert(per_s == 7 && ms == 7);
     }
     double per_s = 0;
     uint32_t ms = 0;
-    ck_assert(cw_pushback_limit(" 2.5 ", &per_s) && per_s == 2.5);
-    ck_assert(cw_pushback_limit("0", &per_s) && per_s == 0);
-    ck_assert(cw_pushback_limit("99999999999999999999", &per_s) && per_s == CW_PUSHBACK_LIMIT_MAX);
-    ck_assert(cw_pushback_rest("0.0005", 1000, &ms) && ms == 1);
-    ck_assert(cw_pushback_rest("0", 1000, &ms) && ms == 0);
-    ck_assert(cw_pushback_rest("99999999999999999999", 1000, &ms) && ms == 1000);
-    ck_assert(!cw_pushback_limit(NULL, &per_s) && !cw_pushback_rest(NULL, 1000, &ms));
+    ck_assert(cw_pushback_parse_rate(" 2.5 ", &per_s) && per_s == 2.5);
+    ck_assert(cw_pushback_parse_rate("0", &per_s) && per_s == 0);
+    ck_assert(cw_pushback_parse_rate("99999999999999999999", &per_s) && per_s == CW_PUSHBACK_LIMIT_MAX);
+    ck_assert(cw_pushback_parse_retry_after("0.0005", 1000, &ms) && ms == 1);
+    ck_assert(cw_pushback_parse_retry_after("0", 1000, &ms) && ms == 0);
+    ck_assert(cw_pushback_parse_retry_after("99999999999999999999", 1000, &ms) && ms == 1000);
+    ck_assert(!cw_pushback_parse_rate(NULL, &per_s) && !cw_pushback_parse_retry_after(NULL, 1000, &ms));
 }
 END_TEST
 
--- a/tests/test_rate.c
+++ b/tests/test_rate.c
@@ -9,65 +9,65 @@
 
 START_TEST(a_response_without_a_rate_withdraws_it_only_if_it_is_newer) {
     cw_rate_t r = {0};
-    ck_assert(cw_rate_named(&r, 1000, 1020, 2));
-    ck_assert(!cw_rate_lifted(&r, 1010, 1030)); /* its request was sent before the rate had arrived */
-    ck_assert(cw_rate_holds(&r, 1030));
-    ck_assert(cw_rate_lifted(&r, 1021, 1040));
-    ck_assert(!cw_rate_holds(&r, 1040));
+    ck_assert(cw_rate_on_advertised(&r, 1000, 1020, 2));
+    ck_assert(!cw_rate_on_withdrawn(&r, 1010, 1030)); /* its request was sent before the rate had arrived */
+    ck_assert(cw_rate_is_active(&r, 1030));
+    ck_assert(cw_rate_on_withdrawn(&r, 1021, 1040));
+    ck_assert(!cw_rate_is_active(&r, 1040));
 }
 END_TEST
 
 /* The head of a long-running request's response arrives late, but its transit time is bounded. */
 START_TEST(a_late_response_head_without_a_rate_withdraws_it) {
     cw_rate_t r = {0};
-    cw_rate_named(&r, 1000, 1020, 2);
-    ck_assert(cw_rate_lifted(&r, 1010, 1020 + CW_RATE_DELAY_MS + 1));
+    cw_rate_on_advertised(&r, 1000, 1020, 2);
+    ck_assert(cw_rate_on_withdrawn(&r, 1010, 1020 + CW_RATE_RESPONSE_DELAY_MAX_MS + 1));
 }
 END_TEST
 
 START_TEST(the_lower_of_two_rates_in_undecided_order_is_active) {
     cw_rate_t r = {0};
-    cw_rate_named(&r, 1000, 1020, 2);
-    cw_rate_named(&r, 1010, 1030, 5);
-    ck_assert_double_eq(r.word.per_s, 2);
-    cw_rate_named(&r, 1031, 1050, 5);
-    ck_assert_double_eq(r.word.per_s, 5);
+    cw_rate_on_advertised(&r, 1000, 1020, 2);
+    cw_rate_on_advertised(&r, 1010, 1030, 5);
+    ck_assert_double_eq(r.observation.per_s, 2);
+    cw_rate_on_advertised(&r, 1031, 1050, 5);
+    ck_assert_double_eq(r.observation.per_s, 5);
 }
 END_TEST
 
 START_TEST(an_older_observation_of_another_host_changes_nothing) {
     cw_rate_t r = {0};
-    cw_rate_named(&r, 1000, 1020, 2);
-    cw_rate_lifted(&r, 1100, 1120);
-    cw_rate_word_t named = {.said = CW_RATE_NAMED, .per_s = 3, .at_ms = 1050};
-    ck_assert(!cw_rate_heard(&r, &named, 10));
-    cw_rate_word_t lifted = {.said = CW_RATE_LIFTED, .at_ms = 1205};
-    cw_rate_named(&r, 1180, 1200, 2);
-    ck_assert(!cw_rate_heard(&r, &lifted, 10)); /* it may be older: it was in transit for up to 10 ms */
+    cw_rate_on_advertised(&r, 1000, 1020, 2);
+    cw_rate_on_withdrawn(&r, 1100, 1120);
+    cw_rate_observation_t named = {.state = CW_RATE_ADVERTISED, .per_s = 3, .at_ms = 1050};
+    ck_assert(!cw_rate_on_peer(&r, &named, 10));
+    cw_rate_observation_t lifted = {.state = CW_RATE_WITHDRAWN, .at_ms = 1205};
+    cw_rate_on_advertised(&r, 1180, 1200, 2);
+    ck_assert(!cw_rate_on_peer(&r, &lifted, 10)); /* it may be older: it was in transit for up to 10 ms */
     lifted.at_ms = 1211;
-    ck_assert(cw_rate_heard(&r, &lifted, 10));
+    ck_assert(cw_rate_on_peer(&r, &lifted, 10));
 }
 END_TEST
 
 START_TEST(a_rate_without_further_observations_expires) {
     cw_rate_t r = {0};
     cw_rate_hosts_t alone = {.server = 5, .own = 1};
-    cw_rate_named(&r, 1000, 1020, 0);
+    cw_rate_on_advertised(&r, 1000, 1020, 0);
     cw_rate_set_hosts(&r, 1020, &alone);
     ck_assert_uint_gt(cw_rate_wait_ms(&r, 1020), 0);
-    ck_assert_uint_eq(cw_rate_wait_ms(&r, 1020 + CW_RATE_FORGET_MS + 1), 0);
-    ck_assert(cw_rate_named(&r, 50000, 50020, 0)); /* after its expiry, the same rate is a change */
+    ck_assert_uint_eq(cw_rate_wait_ms(&r, 1020 + CW_RATE_EXPIRY_MS + 1), 0);
+    ck_assert(cw_rate_on_advertised(&r, 50000, 50020, 0)); /* after its expiry, the same rate is a change */
 }
 END_TEST
 
 /* An owner that takes over starts with an empty bucket, since the previous owner may just have used up the rate. */
 START_TEST(an_owner_that_takes_over_waits_first) {
     uint64_t ids[2] = {rate_id(0), rate_id(1)};
-    uint32_t second = cw_place_rank(5, ids[0], ids, 2) ? 0 : 1;
+    uint32_t second = cw_rendezvous_rank(5, ids[0], ids, 2) ? 0 : 1;
     cw_rate_hosts_t both = {.server = 5, .own = ids[second], .ids = ids, .count = 2};
     cw_rate_hosts_t alone = {.server = 5, .own = ids[second], .ids = &ids[second], .count = 1};
     cw_rate_t r = {0};
-    cw_rate_named(&r, 1000, 1020, 1);
+    cw_rate_on_advertised(&r, 1000, 1020, 1);
     cw_rate_set_hosts(&r, 1020, &both);
     ck_assert_uint_eq(cw_rate_wait_ms(&r, 5000), CW_RATE_NEVER);
     cw_rate_set_hosts(&r, 5000, &alone);
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -42,7 +42,7 @@
             continue;
         }
         uint32_t at = count++;
-        for (; at > 0 && cw_relay_before(&f->hosts[i].info, &f->hosts[out[at - 1]].info); at--) {
+        for (; at > 0 && cw_relay_ranks_before(&f->hosts[i].info, &f->hosts[out[at - 1]].info); at--) {
             out[at] = out[at - 1];
         }
         out[at] = i;
@@ -132,14 +132,14 @@
     double previous_per_s = 1000.0 * WIDE_RELAYS / 4;
     for (uint32_t hosts = 17; hosts <= HOSTS_MAX; hosts++) {
         cw_relay_plan_t plan = cw_relay_plan(hosts);
-        double received = WIDE_RELAYS * 1000.0 / plan.gather_ms;
+        double received = WIDE_RELAYS * 1000.0 / plan.batch_ms;
         ck_assert_double_le(received, previous_per_s);
         ck_assert(hosts < 256 || received <= 200.0);
-        ck_assert_uint_ge(plan.repeat_ms, cw_relay_plan(hosts - 1).repeat_ms);
+        ck_assert_uint_ge(plan.resend_ms, cw_relay_plan(hosts - 1).resend_ms);
         previous_per_s = received;
     }
-    ck_assert_uint_le(cw_relay_plan(10000).gather_ms, 25); /* longest time that an update waits at a relay */
-    ck_assert_uint_eq(cw_relay_plan(9).gather_ms, 0);
+    ck_assert_uint_le(cw_relay_plan(10000).batch_ms, 25); /* longest time that an update waits at a relay */
+    ck_assert_uint_eq(cw_relay_plan(9).batch_ms, 0);
 }
 END_TEST
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -15,14 +15,14 @@
 
 START_TEST(complete_response_is_delivered) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = true});
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_START), CW_DO_WANT);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_START), CW_DO_REQUEST_SLOT);
     ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT), CW_DO_CONNECT);
     ck_assert_int_eq(cw_request_outcome(&r), CW_OUTCOME_NOT_RUN);
     ck_assert_uint_eq(cw_request_event(&r, CW_EV_SENDING), 0);
     ck_assert_int_eq(cw_request_outcome(&r), CW_OUTCOME_UNKNOWN);
-    cw_request_event(&r, CW_EV_HEAD);
+    cw_request_event(&r, CW_EV_RESPONSE_HEAD);
     ck_assert_int_eq(cw_request_outcome(&r), CW_OUTCOME_FAILED);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_END), CW_DO_RETURN | CW_DO_ANSWER);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_RESPONSE_END), CW_DO_RELEASE_SLOT | CW_DO_RESPOND);
     ck_assert_int_eq(cw_request_outcome(&r), CW_OUTCOME_DELIVERED);
 }
 END_TEST
@@ -31,7 +31,7 @@
     cw_request_t r = cw_request_new(&(cw_request_desc_t){0});
     cw_request_event(&r, CW_EV_START);
     cw_request_event(&r, CW_EV_GRANT);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT_EXPIRED), CW_DO_ABORT | CW_DO_RETURN | CW_DO_WANT);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT_EXPIRED), CW_DO_ABORT | CW_DO_RELEASE_SLOT | CW_DO_REQUEST_SLOT);
     ck_assert_int_eq(r.state, CW_REQ_WAITING);
     ck_assert_int_eq(cw_request_outcome(&r), CW_OUTCOME_NOT_RUN);
 }
@@ -42,9 +42,9 @@
     cw_request_event(&r, CW_EV_START);
     cw_request_event(&r, CW_EV_GRANT);
     cw_request_event(&r, CW_EV_SENDING);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_GONE), 0);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_CALLER_CLOSED), 0);
     ck_assert_int_eq(r.state, CW_REQ_DETACHED);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_END), CW_DO_RETURN | CW_DO_ANSWER);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_RESPONSE_END), CW_DO_RELEASE_SLOT | CW_DO_RESPOND);
 }
 END_TEST
 
@@ -54,11 +54,11 @@
         cw_request_event(&r, CW_EV_START);
         cw_request_event(&r, CW_EV_GRANT);
         cw_request_event(&r, CW_EV_SENDING);
-        cw_request_event(&r, CW_EV_HEAD);
-        cw_request_event(&r, CW_EV_DELIVERED_PART);
-        uint32_t actions = cw_request_event(&r, CW_EV_BROKEN);
-        ck_assert_int_eq((actions & CW_DO_WANT) != 0, resumable);
-        ck_assert_int_eq((actions & CW_DO_ANSWER) != 0, !resumable);
+        cw_request_event(&r, CW_EV_RESPONSE_HEAD);
+        cw_request_event(&r, CW_EV_BODY_FORWARDED);
+        uint32_t actions = cw_request_event(&r, CW_EV_UPSTREAM_FAILED);
+        ck_assert_int_eq((actions & CW_DO_REQUEST_SLOT) != 0, resumable);
+        ck_assert_int_eq((actions & CW_DO_RESPOND) != 0, !resumable);
     }
 }
 END_TEST
@@ -66,13 +66,13 @@
 START_TEST(late_grant_is_released) {
     cw_request_t r = cw_request_new(&(cw_request_desc_t){0});
     cw_request_event(&r, CW_EV_START);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_DEADLINE), CW_DO_WITHDRAW | CW_DO_ANSWER);
-    ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT), CW_DO_RETURN_NEW);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_DEADLINE), CW_DO_CANCEL_SLOT_REQUEST | CW_DO_RESPOND);
+    ck_assert_uint_eq(cw_request_event(&r, CW_EV_GRANT), CW_DO_RELEASE_NEW_SLOT);
 }
 END_TEST
 
 static void check_actions(facts_t* f, uint32_t actions, bool sent) {
-    if (actions & CW_DO_RETURN) {
+    if (actions & CW_DO_RELEASE_SLOT) {
         ck_assert_msg(f->has_slot, "a slot is released that is not held");
         f->has_slot = false;
     }
@@ -80,7 +80,7 @@
         ck_assert_msg(!f->has_slot, "two slots are held at once");
         f->has_slot = true;
     }
-    f->response_count += (actions & CW_DO_ANSWER) ? 1 : 0;
+    f->response_count += (actions & CW_DO_RESPOND) ? 1 : 0;
     f->send_count += sent;
     f->may_have_run += sent;
 }
@@ -92,8 +92,8 @@
     for (int k = 0; k < SEEDS / 10; k++) {
         bool repeatable = rng_below(&rng, 2);
         cw_request_t r = cw_request_new(&(cw_request_desc_t){.repeatable = repeatable,
-                                                             .cancel_when_gone = rng_below(&rng, 2),
-                                                             .count_sent = rng_below(&rng, 2),
+                                                             .cancel_on_caller_close = rng_below(&rng, 2),
+                                                             .counts_sent_only = rng_below(&rng, 2),
                                                              .max_attempts = 3});
         facts_t f = {0};
         check_actions(&f, cw_request_event(&r, CW_EV_START), false);
@@ -114,7 +114,7 @@
             ck_assert_int_le(f.send_count, 3);
         }
         cw_request_event(&r, CW_EV_DEADLINE);
-        cw_request_event(&r, CW_EV_BROKEN);
+        cw_request_event(&r, CW_EV_UPSTREAM_FAILED);
         ck_assert_int_eq(r.state, CW_REQ_ENDED);
     }
 }
