--- a/tests/test_restart.c
+++ b/tests/test_restart.c
@@ -28,7 +28,7 @@
    changed. */
 static uint32_t list_server(rig_t* r, int64_t started_ms, int64_t at) {
     cw_servers_t list = {.at = at};
-    rig_list(r, &list, 1, 0);
+    rig_make_list(r, &list, 1, 0);
     list.items[0].started_ms = started_ms;
     uint32_t changes = upstreams_set_servers(r->upstreams, clock_ms(), &list, false);
     cw_servers_free(&list);
@@ -37,13 +37,13 @@
 
 static uint64_t incarnation_id(int64_t started_ms) {
     cw_server_t s = {.id = "s0", .started_ms = started_ms};
-    return cw_server_life(&s);
+    return cw_server_incarnation_id(&s);
 }
 
 /* Whether the incarnation may be chosen. */
 static bool is_usable(const rig_t* r, int64_t started_ms) {
     const server_t* s = upstreams_server(r->upstreams, incarnation_id(started_ms));
-    return s && !s->gone;
+    return s && !s->is_removed;
 }
 
 static cw_choice_t choose(const rig_t* r) {
@@ -56,24 +56,29 @@
 static void report_bad_state(rig_t* r, int64_t started_ms) {
     cw_balance_t* b = upstreams_pool(r->upstreams, "p")->balance;
     uint64_t key = incarnation_id(started_ms);
-    cw_load_t load = {.running = 8, .streaming = 2, .gap_ms = 100, .deepest = 9000, .tokens = 90000, .pace_us = 90000};
-    for (uint32_t i = 0; i < CW_URGENCIES; i++) {
+    cw_load_t load = {.running = 8,
+                      .streaming = 2,
+                      .gap_ms = 100,
+                      .longest_prompt_tokens = 9000,
+                      .tokens = 90000,
+                      .event_interval_us = 90000};
+    for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
         load.backlog_ms[i] = 4000;
     }
-    cw_balance_kept(b, key, &(cw_work_part_t){request_part_id("a1"), 4000});
-    cw_balance_news(b, clock_ms(), 7, key, &load);
-    cw_balance_news(b, clock_ms(), 8, key, &(cw_load_t){.failed_ago_ms = 2});
-    cw_balance_news(b, clock_ms(), 9, key, &(cw_load_t){.failed_ago_ms = 1});
-    cw_balance_away(b, clock_ms(), key, true);
+    cw_balance_on_peer_prompt(b, key, &(cw_prompt_part_t){request_part_id("a1"), 4000});
+    cw_balance_on_peer_load(b, clock_ms(), 7, key, &load);
+    cw_balance_on_peer_load(b, clock_ms(), 8, key, &(cw_load_t){.failed_ago_ms = 2});
+    cw_balance_on_peer_load(b, clock_ms(), 9, key, &(cw_load_t){.failed_ago_ms = 1});
+    cw_balance_set_unreachable(b, clock_ms(), key, true);
 }
 
 static void expect_clean_state(const rig_t* r, int64_t started_ms) {
     cw_choice_t c = choose(r);
     ck_assert_uint_eq(c.id, incarnation_id(started_ms));
-    ck_assert_uint_eq(c.running + c.kept + c.streaming, 0);
+    ck_assert_uint_eq(c.running + c.cached_tokens + c.streaming, 0);
     ck_assert_double_eq(c.wait_ms, 0);
     ck_assert(
-        !cw_balance_suspected(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), incarnation_id(started_ms)));
+        !cw_balance_is_suspected(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), incarnation_id(started_ms)));
 }
 
 START_TEST(a_restarted_server_is_a_new_incarnation) {
@@ -106,15 +111,15 @@
 START_TEST(an_older_list_with_an_earlier_start_changes_nothing) {
     rig_t* r = rig_setup(ROUTES, 0);
     list_server(r, SECOND_START_MS, 20);
-    cw_balance_kept(upstreams_pool(r->upstreams, "p")->balance, incarnation_id(SECOND_START_MS),
-                    &(cw_work_part_t){request_part_id("a1"), 4000});
+    cw_balance_on_peer_prompt(upstreams_pool(r->upstreams, "p")->balance, incarnation_id(SECOND_START_MS),
+                              &(cw_prompt_part_t){request_part_id("a1"), 4000});
     ck_assert_uint_eq(list_server(r, FIRST_START_MS, 10), 0);
     ck_assert_uint_eq(list_server(r, FIRST_START_MS, 0), 0);
     ck_assert_uint_eq(list_server(r, FIRST_START_MS, 20), 0);
     ck_assert(is_usable(r, SECOND_START_MS) && !is_usable(r, FIRST_START_MS));
-    ck_assert_uint_eq(choose(r).kept, 4000);
+    ck_assert_uint_eq(choose(r).cached_tokens, 4000);
     ck_assert_uint_eq(list_server(r, 0, 21), 0); /* a list without start times */
-    ck_assert_uint_eq(choose(r).kept, 4000);
+    ck_assert_uint_eq(choose(r).cached_tokens, 4000);
     rig_shutdown(r);
 }
 END_TEST
@@ -180,33 +185,33 @@
     list_server(r, FIRST_START_MS, 10);
     rig_script(
         r,
-        (rig_step_t[]){{RIG_ANSWER_RESET, ""},
-                       {RIG_ANSWER, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 1\r\n\r\na"}},
+        (rig_step_t[]){{RIG_RESPOND_RESET, ""},
+                       {RIG_RESPOND, "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: 1\r\n\r\na"}},
         2);
     rig_write(r, CALL("/once/"));
     while (!r->arrival_count) {
         ev_run(r->loop, EVRUN_ONCE);
     }
     list_server(r, SECOND_START_MS, 11); /* while the request runs */
-    r->stop_on_answer = true;
-    if (!rig_answer_whole(cw_buffer_text(&r->answer))) {
+    r->stop_on_response = true;
+    if (!rig_is_response_complete(cw_buffer_text(&r->response))) {
         rig_run(r);
     }
-    ck_assert(strncmp(cw_buffer_text(&r->answer), "HTTP/1.1 502", 12) == 0);
+    ck_assert(strncmp(cw_buffer_text(&r->response), "HTTP/1.1 502", 12) == 0);
     ck_assert_uint_eq(r->arrival_count, 1);
-    const char* answer = rig_call(r, CALL("/once/")); /* a new request uses the new incarnation */
-    ck_assert(strncmp(answer, "HTTP/1.1 200", 12) == 0);
+    const char* response = rig_call(r, CALL("/once/")); /* a new request uses the new incarnation */
+    ck_assert(strncmp(response, "HTTP/1.1 200", 12) == 0);
     rig_shutdown(r);
 }
 END_TEST
 
-static bool is_mine(void* user, uint64_t server) {
+static bool owns_server(void* user, uint64_t server) {
     (void)user;
     (void)server;
     return true;
 }
 
-static void on_parts(void* user, server_t* server, const cw_work_part_t* parts, uint32_t count) {
+static void on_cached_parts(void* user, server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
     (void)server;
     (void)parts;
     *(uint32_t*)user += count;
@@ -225,14 +230,14 @@
         int size = snprintf(body, sizeof(body), "{\"born\":%lld,\"epoch\":1,\"held\":[[\"\",\"a1\",4000,\"m\"]]}",
                             (long long)answered_starts[i]);
         snprintf(text, sizeof(text), "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, body);
-        rig_script(r, (rig_step_t[]){{RIG_ANSWER_CLOSE, text}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_RESPOND_CLOSE, text}}, 1);
         inventory_t* v = inventory_setup(&(inventory_desc_t){.loop = r->loop,
                                                              .log = &r->log,
                                                              .dialect = &platform_dialect,
                                                              .upstreams = r->upstreams,
-                                                             .settle_ms = 1,
-                                                             .is_mine = is_mine,
-                                                             .on_parts = on_parts,
+                                                             .settle_delay_ms = 1,
+                                                             .owns_server = owns_server,
+                                                             .on_cached_parts = on_cached_parts,
                                                              .user_data = &learned});
         int64_t now_ms = clock_ms();
         inventory_tick(v, now_ms);
@@ -258,7 +263,7 @@
         "\"pools\":[{\"pool\":\"p\"}]}]}";
     rig_t* r = rig_setup(ROUTES, 0);
     cw_servers_t list = {.at = 10};
-    rig_list(r, &list, 2, 0);
+    rig_make_list(r, &list, 2, 0);
     cw_copy(list.items[1].pool, sizeof(list.items[1].pool), "late");
     ck_assert_uint_eq(upstreams_set_servers(r->upstreams, clock_ms(), &list, false), 1);
     ck_assert_ptr_null(upstreams_pool(r->upstreams, "late"));
@@ -278,10 +283,10 @@
         snprintf(s.id, sizeof(s.id), "s%u", i);
         cw_servers_add(&list, &s);
     }
-    cw_servers_drop_unstarted(&list);
+    cw_servers_refuse_without_start(&list);
     ck_assert_uint_eq(list.count, 4); /* no entry has a start time */
     list.items[0].started_ms = list.items[3].started_ms = FIRST_START_MS;
-    cw_servers_drop_unstarted(&list);
+    cw_servers_refuse_without_start(&list);
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[1].id, "s3");
     ck_assert_uint_eq(list.refused.count, 2);
@@ -296,13 +301,13 @@
     cw_server_t s = {
         .id = "s0", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 4, .started_ms = FIRST_START_MS};
     cw_servers_add(&list, &s);
-    char* text = cw_servers_text(&list);
-    ck_assert_int_eq(cw_servers_read(&back, text, strlen(text), NULL), CW_OK);
+    char* text = cw_servers_to_json(&list);
+    ck_assert_int_eq(cw_servers_from_json(&back, text, strlen(text), NULL), CW_OK);
     ck_assert(cw_servers_equal(&list, &back));
-    ck_assert_uint_eq(cw_servers_id(&list), cw_servers_id(&back));
+    ck_assert_uint_eq(cw_servers_hash(&list), cw_servers_hash(&back));
     back.items[0].started_ms = SECOND_START_MS;
     ck_assert(!cw_servers_equal(&list, &back));
-    ck_assert_uint_ne(cw_servers_id(&list), cw_servers_id(&back));
+    ck_assert_uint_ne(cw_servers_hash(&list), cw_servers_hash(&back));
     free(text);
     cw_servers_free(&list);
     cw_servers_free(&back);
--- a/tests/test_runonce.c
+++ b/tests/test_runonce.c
@@ -12,13 +12,13 @@
     return cw_runonce_setup(&(cw_runonce_desc_t){.host = host,
                                                  .incarnation = incarnation,
                                                  .ticket_ms = 1000,
-                                                 .longest_ms = 500,
+                                                 .max_deadline_ms = 500,
                                                  .max_records = 4,
-                                                 .max_answer_bytes = 100});
+                                                 .max_response_bytes = 100});
 }
 
 typedef struct idempotency_key_t {
-    char text[CW_CALL_NAME_MAX];
+    char text[CW_IDEMPOTENCY_KEY_MAX];
 } idempotency_key_t;
 
 static idempotency_key_t make_key(const cw_runonce_t* t, int64_t now, const char* suffix) {
@@ -37,11 +37,11 @@
     cw_runonce_begin_t b = cw_runonce_begin(t, 1, WORKSPACE, key.text, BODY);
     ck_assert_int_eq(b.verdict, CW_RUN_NEW);
     ck_assert_int_eq(begin_verdict(t, 2, key), CW_RUN_JOIN);
-    int answer = 1;
-    cw_runonce_keep(t, b.record, &answer, 10);
+    int response = 1;
+    cw_runonce_complete(t, b.record, &response, 10);
     cw_runonce_begin_t retry = cw_runonce_begin(t, 3, WORKSPACE, key.text, BODY);
-    ck_assert_int_eq(retry.verdict, CW_RUN_KEPT);
-    ck_assert_ptr_eq(retry.answer, &answer);
+    ck_assert_int_eq(retry.verdict, CW_RUN_REPLAY);
+    ck_assert_ptr_eq(retry.response, &response);
     cw_runonce_shutdown(t);
 }
 END_TEST
@@ -49,7 +49,7 @@
 START_TEST(call_that_did_not_run_may_be_retried) {
     cw_runonce_t* t = make_table("a", 9);
     idempotency_key_t key = make_key(t, 0, "x");
-    cw_runonce_release(t, cw_runonce_begin(t, 1, WORKSPACE, key.text, BODY).record);
+    cw_runonce_abort(t, cw_runonce_begin(t, 1, WORKSPACE, key.text, BODY).record);
     ck_assert_int_eq(begin_verdict(t, 2, key), CW_RUN_NEW);
     cw_runonce_shutdown(t);
 }
@@ -73,8 +73,8 @@
     cw_runonce_t* t = make_table("a", 9);
     idempotency_key_t used = make_key(t, 0, "used");
     idempotency_key_t fresh = make_key(t, 0, "fresh");
-    cw_runonce_keep(t, cw_runonce_begin(t, 900, WORKSPACE, used.text, BODY).record, NULL, 0);
-    ck_assert_int_eq(begin_verdict(t, 1400, used), CW_RUN_LOST);
+    cw_runonce_complete(t, cw_runonce_begin(t, 900, WORKSPACE, used.text, BODY).record, NULL, 0);
+    ck_assert_int_eq(begin_verdict(t, 1400, used), CW_RUN_RESPONSE_LOST);
     ck_assert_int_eq(begin_verdict(t, 1001, fresh), CW_RUN_UNKNOWN);
     ck_assert_int_eq(begin_verdict(t, 1501, used), CW_RUN_UNKNOWN);
     ck_assert_uint_eq(cw_runonce_count(t), 0);
@@ -114,25 +114,25 @@
 }
 END_TEST
 
-static void count_free(void* answer, void* user) {
-    (void)answer;
+static void count_free(void* response, void* user) {
+    (void)response;
     ++*(int*)user;
 }
 
 START_TEST(oldest_responses_are_dropped_first) {
     int freed = 0;
     cw_runonce_t* t = cw_runonce_setup(&(cw_runonce_desc_t){
-        .host = "a", .incarnation = 9, .max_answer_bytes = 100, .free_answer = count_free, .user_data = &freed});
+        .host = "a", .incarnation = 9, .max_response_bytes = 100, .free_response = count_free, .user_data = &freed});
     idempotency_key_t keys[3];
     for (int i = 0; i < 3; i++) {
         char suffix[16];
         snprintf(suffix, sizeof(suffix), "%d", i);
         keys[i] = make_key(t, 0, suffix);
-        cw_runonce_keep(t, cw_runonce_begin(t, i, WORKSPACE, keys[i].text, BODY).record, &freed, 40);
+        cw_runonce_complete(t, cw_runonce_begin(t, i, WORKSPACE, keys[i].text, BODY).record, &freed, 40);
     }
     ck_assert_int_eq(freed, 1);
-    ck_assert_int_eq(begin_verdict(t, 5, keys[0]), CW_RUN_LOST);
-    ck_assert_int_eq(begin_verdict(t, 5, keys[1]), CW_RUN_KEPT);
+    ck_assert_int_eq(begin_verdict(t, 5, keys[0]), CW_RUN_RESPONSE_LOST);
+    ck_assert_int_eq(begin_verdict(t, 5, keys[1]), CW_RUN_REPLAY);
     cw_runonce_shutdown(t);
     ck_assert_int_eq(freed, 3);
 }
--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -15,30 +15,30 @@
     for (uint32_t i = 0; i < UPSTREAMS; i++) {
         specs[i] = (cw_pick_spec_t){.id = 11 + i, .hall = 1, .slots = slots};
     }
-    ck_assert_int_eq(cw_shard_upstreams(s, specs, UPSTREAMS), CW_OK);
+    ck_assert_int_eq(cw_shard_set_upstreams(s, specs, UPSTREAMS), CW_OK);
     return s;
 }
 
-static cw_want_t make_request(uint64_t entry, uint32_t seq, uint8_t tier, uint64_t workspace) {
-    return (cw_want_t){.entry = entry,
-                       .seq = seq,
-                       .tier = tier,
-                       .weight = 1,
-                       .workspace = workspace,
-                       .cost = 10,
-                       .est_ms = 10,
-                       .queue_ms = 10000,
-                       .left_ms = 20000};
+static cw_slot_request_t make_request(uint64_t entry, uint32_t seq, uint8_t tier, uint64_t workspace) {
+    return (cw_slot_request_t){.entry = entry,
+                               .seq = seq,
+                               .tier = tier,
+                               .weight = 1,
+                               .workspace = workspace,
+                               .cost = 10,
+                               .est_ms = 10,
+                               .queue_ms = 10000,
+                               .remaining_ms = 20000};
 }
 
-static cw_want_t make_protected_request(uint64_t entry, uint32_t seq) {
-    cw_want_t w = make_request(entry, seq, 0, 1);
-    w.flags = CW_WANT_PROTECTED;
+static cw_slot_request_t make_protected_request(uint64_t entry, uint32_t seq) {
+    cw_slot_request_t w = make_request(entry, seq, 0, 1);
+    w.flags = CW_SLOT_REQUEST_PROTECTED;
     return w;
 }
 
-static void request_slot(cw_shard_t* s, int64_t now, cw_want_t w) {
-    ck_assert_int_eq(cw_shard_want(s, now, &w), CW_OK);
+static void request_slot(cw_shard_t* s, int64_t now, cw_slot_request_t w) {
+    ck_assert_int_eq(cw_shard_request_slot(s, now, &w), CW_OK);
 }
 
 /* Actions of one call to drain_actions: their number by kind, and the last of each. */
@@ -50,7 +50,7 @@
 static actions_t drain_actions(cw_shard_t* s, int64_t now) {
     actions_t actions = {0};
     cw_shard_action_t a;
-    while (cw_shard_next(s, now, &a)) {
+    while (cw_shard_next_action(s, now, &a)) {
         actions.grants += a.kind == CW_SHARD_GRANT;
         actions.refusals += a.kind == CW_SHARD_REFUSE;
         actions.preempts += a.kind == CW_SHARD_PREEMPT;
@@ -67,8 +67,8 @@
 }
 
 static void release_grant(cw_shard_t* s, int64_t now, uint64_t grant) {
-    const cw_done_t done = {.grant = grant, .result = CW_PICK_SERVED, .took_ms = 10, .cost = 10};
-    ck_assert_int_eq(cw_shard_done(s, now, &done), CW_OK);
+    const cw_grant_release_t done = {.grant = grant, .result = CW_PICK_SERVED, .took_ms = 10, .cost = 10};
+    ck_assert_int_eq(cw_shard_release_grant(s, now, &done), CW_OK);
 }
 
 START_TEST(grants_are_limited_by_slots) {
@@ -112,7 +112,7 @@
     uint32_t low_seq = 200000;
     cw_shard_action_t a;
     for (int now = 0; now < rounds;) {
-        if (!cw_shard_next(s, now, &a)) {
+        if (!cw_shard_next_action(s, now, &a)) {
             break;
         }
         if (a.kind != CW_SHARD_GRANT) {
@@ -162,7 +162,7 @@
     ck_assert_int_eq(actions.refusals, 1);
     ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_EVICTED);
     ck_assert_uint_eq(actions.refusal.seq, 16); /* the newest of the lowest tier */
-    ck_assert(cw_shard_waits(s, ENTRY_B, 30));
+    ck_assert(cw_shard_is_queued(s, ENTRY_B, 30));
     cw_shard_shutdown(s);
 }
 END_TEST
@@ -170,7 +170,7 @@
 START_TEST(refusal_is_immediate_and_has_a_retry_delay) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 40; i++) {
-        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
+        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
         w.est_ms = 1000;
         w.queue_ms = 5000;
         request_slot(s, 0, w);
@@ -185,9 +185,9 @@
 
 START_TEST(requests_that_miss_their_deadline_are_refused) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    cw_want_t w = make_request(ENTRY_A, 1, 1, 1);
+    cw_slot_request_t w = make_request(ENTRY_A, 1, 1, 1);
     w.est_ms = 500;
-    w.left_ms = 400;
+    w.remaining_ms = 400;
     request_slot(s, 0, w);
     actions_t actions = drain_actions(s, 0);
     ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_LATE);
@@ -201,7 +201,7 @@
 START_TEST(workspace_concurrency_is_limited_across_entries) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 4);
     for (uint32_t i = 1; i <= 6; i++) {
-        cw_want_t w = make_request(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
+        cw_slot_request_t w = make_request(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
         w.max_running = 2;
         request_slot(s, 0, w);
     }
@@ -225,7 +225,7 @@
     int64_t now = 0;
     for (uint32_t i = 1; i <= 100; i++) { /* 20 per second for 5 s; 10 per second are allowed */
         now += 50;
-        cw_want_t w = make_request(ENTRY_A + i % 2, i, 1, 1);
+        cw_slot_request_t w = make_request(ENTRY_A + i % 2, i, 1, 1);
         w.max_rate = 10;
         request_slot(s, now, w);
         actions_t actions = drain_actions(s, now);
@@ -244,7 +244,7 @@
 START_TEST(queued_request_is_refused_after_its_queue_time) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 3; i++) {
-        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
+        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
         w.queue_ms = 100;
         request_slot(s, 0, w);
     }
@@ -275,8 +275,8 @@
     }
     actions_t actions = drain_actions(s, 0);
     release_grant(s, 1, actions.grant.grant);
-    const cw_done_t again = {.grant = actions.grant.grant};
-    ck_assert_int_eq(cw_shard_done(s, 1, &again), CW_ERR_NOT_FOUND);
+    const cw_grant_release_t again = {.grant = actions.grant.grant};
+    ck_assert_int_eq(cw_shard_release_grant(s, 1, &again), CW_ERR_NOT_FOUND);
     ck_assert_int_eq(drain_actions(s, 1).grants, 1);
     cw_shard_shutdown(s);
 }
@@ -287,13 +287,14 @@
     request_slot(s, 0, make_request(ENTRY_A, 1, 1, 1));
     request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
     actions_t actions = drain_actions(s, 0);
-    cw_digest_t d = {.entry = ENTRY_A, .last = actions.grant.grant, .xored = actions.grant.grant, .count = 1};
-    cw_shard_digest(s, 100, &d); /* the entry reports only one of its two grants */
+    cw_grant_digest_t d = {.entry = ENTRY_A, .last = actions.grant.grant, .ids_xor = actions.grant.grant, .count = 1};
+    cw_shard_check_digest(s, 100, &d); /* the entry reports only one of its two grants */
     ck_assert_int_eq(drain_actions(s, 100).resyncs, 1);
-    const cw_held_t held = {.grant = actions.grant.grant, .upstream = actions.grant.upstream, .seq = actions.grant.seq};
-    cw_shard_list(s, 101, &d, &held, 1);
+    const cw_held_grant_t held = {
+        .grant = actions.grant.grant, .upstream = actions.grant.upstream, .seq = actions.grant.seq};
+    cw_shard_sync_grants(s, 101, &d, &held, 1);
     ck_assert_uint_eq(cw_shard_stats(s, 101).running, 1);
-    cw_shard_digest(s, 102, &d);
+    cw_shard_check_digest(s, 102, &d);
     ck_assert_int_eq(drain_actions(s, 102).resyncs, 0);
     cw_shard_shutdown(s);
 }
@@ -306,8 +307,8 @@
     actions_t first = drain_actions(s, 0);
     request_slot(s, 1, make_request(ENTRY_A, 2, 1, 1));
     ck_assert_int_eq(drain_actions(s, 1).grants, 1);
-    const cw_digest_t d = {.entry = ENTRY_A, .last = first.grant.grant, .xored = first.grant.grant, .count = 1};
-    cw_shard_digest(s, 2, &d);
+    const cw_grant_digest_t d = {.entry = ENTRY_A, .last = first.grant.grant, .ids_xor = first.grant.grant, .count = 1};
+    cw_shard_check_digest(s, 2, &d);
     ck_assert_int_eq(drain_actions(s, 2).resyncs, 0);
     cw_shard_shutdown(s);
 }
@@ -332,7 +333,7 @@
     request_slot(s, 0, make_request(ENTRY_A, 2, 1, 1));
     request_slot(s, 0, make_request(ENTRY_A, 3, 1, 1));
     ck_assert_int_eq(drain_actions(s, 0).grants, 2);
-    cw_shard_entry_gone(s, 10, ENTRY_A);
+    cw_shard_entry_failed(s, 10, ENTRY_A);
     ck_assert_uint_eq(cw_shard_stats(s, 10).waiting, 0);
     ck_assert_uint_eq(cw_shard_stats(s, 10).running, 2);
     drain_actions(s, 200);
@@ -345,11 +346,11 @@
    matches the entries that have reported. */
 START_TEST(new_allocator_adopts_grants_and_limits_slots) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 4);
-    cw_shard_cautious(s, 500, 2);
-    const cw_held_t held[] = {{.grant = 900, .upstream = 11, .workspace = 1, .seq = 1},
-                              {.grant = 901, .upstream = 12, .workspace = 1, .seq = 2}};
-    const cw_digest_t d = {.entry = ENTRY_A, .count = 2};
-    cw_shard_list(s, 0, &d, held, 2);
+    cw_shard_begin_takeover(s, 500, 2);
+    const cw_held_grant_t held[] = {{.grant = 900, .upstream = 11, .workspace = 1, .seq = 1},
+                                    {.grant = 901, .upstream = 12, .workspace = 1, .seq = 2}};
+    const cw_grant_digest_t d = {.entry = ENTRY_A, .count = 2};
+    cw_shard_sync_grants(s, 0, &d, held, 2);
     for (uint32_t i = 10; i < 30; i++) {
         request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
@@ -364,11 +365,11 @@
    two slots usable during the takeover instead of from the full capacity. */
 START_TEST(takeover_ends_when_all_entries_report_without_refusals) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 8);
-    cw_shard_cautious(s, 500, 2);
-    cw_shard_ask(s, 0, ENTRY_A);
-    cw_shard_ask(s, 0, ENTRY_B);
+    cw_shard_begin_takeover(s, 500, 2);
+    cw_shard_request_resync(s, 0, ENTRY_A);
+    cw_shard_request_resync(s, 0, ENTRY_B);
     for (uint32_t i = 1; i <= 30; i++) {
-        cw_want_t w = make_request(ENTRY_A, i, 1, 1);
+        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
         w.est_ms = 50;
         w.queue_ms = 100;
         request_slot(s, 0, w);
@@ -376,9 +377,9 @@
     actions_t actions = drain_actions(s, 0);
     ck_assert_int_eq(actions.resyncs, 2);
     ck_assert_int_eq(actions.refusals, 0);
-    const cw_digest_t none[] = {{.entry = ENTRY_A}, {.entry = ENTRY_B}};
-    cw_shard_list(s, 1, &none[0], NULL, 0);
-    cw_shard_list(s, 1, &none[1], NULL, 0);
+    const cw_grant_digest_t none[] = {{.entry = ENTRY_A}, {.entry = ENTRY_B}};
+    cw_shard_sync_grants(s, 1, &none[0], NULL, 0);
+    cw_shard_sync_grants(s, 1, &none[1], NULL, 0);
     drain_actions(s, 2);
     ck_assert_uint_eq(cw_shard_stats(s, 2).running, 16);
     cw_shard_shutdown(s);
@@ -387,7 +388,7 @@
 
 START_TEST(partition_uses_its_share_of_slots) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 8);
-    cw_shard_visible(s, 3, 4);
+    cw_shard_set_visible_entries(s, 3, 4);
     for (uint32_t i = 1; i < 30; i++) {
         request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
@@ -398,8 +399,8 @@
 
 START_TEST(only_preemptible_lower_tier_is_preempted) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){.preempt_ms = 50}, 1);
-    cw_want_t low = make_request(ENTRY_A, 1, 3, 1);
-    low.flags = CW_WANT_PREEMPTIBLE;
+    cw_slot_request_t low = make_request(ENTRY_A, 1, 3, 1);
+    low.flags = CW_SLOT_REQUEST_PREEMPTIBLE;
     request_slot(s, 0, low);
     request_slot(s, 0, make_request(ENTRY_A, 2, 3, 1));
     ck_assert_int_eq(drain_actions(s, 0).grants, 2);
@@ -416,13 +417,13 @@
 
 START_TEST(leaving_upstream_gets_no_new_requests) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 2);
-    cw_shard_report(s, 0, 11, 0, true);
+    cw_shard_report_load(s, 0, 11, 0, true);
     for (uint32_t i = 1; i <= 6; i++) {
         request_slot(s, 1, make_request(ENTRY_A, i, 1, 1));
     }
     cw_shard_action_t a;
     int grants = 0;
-    while (cw_shard_next(s, 1, &a)) {
+    while (cw_shard_next_action(s, 1, &a)) {
         ck_assert_uint_eq(a.upstream, 12);
         grants++;
     }
@@ -445,21 +446,21 @@
     static uint8_t tiers[4000]; /* by seq */
     for (int64_t now = 1; now < 3000; now += 1 + rng_below(&rng, 4)) {
         uint8_t tier = (uint8_t)rng_below(&rng, CW_TIERS);
-        cw_want_t w = tier ? make_request(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
-                           : make_protected_request(ENTRY_A + rng_below(&rng, 3), ++seq);
+        cw_slot_request_t w = tier ? make_request(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
+                                   : make_protected_request(ENTRY_A + rng_below(&rng, 3), ++seq);
         w.est_ms = 5 + rng_below(&rng, 50);
         w.queue_ms = 20 + rng_below(&rng, 400);
         lower_waiting_before = 0;
         tiers[seq] = tier;
         for (uint32_t i = 1; !tier && i < seq; i++) {
             for (uint32_t e = 0; tiers[i] && e < 3; e++) {
-                lower_waiting_before += cw_shard_waits(s, ENTRY_A + e, i);
+                lower_waiting_before += cw_shard_is_queued(s, ENTRY_A + e, i);
             }
         }
-        cw_status_t status = cw_shard_want(s, now, &w);
+        cw_status_t status = cw_shard_request_slot(s, now, &w);
         ck_assert(status == CW_OK || status == CW_ERR_FULL);
         cw_shard_action_t a;
-        while (cw_shard_next(s, now, &a)) {
+        while (cw_shard_next_action(s, now, &a)) {
             if (a.kind == CW_SHARD_GRANT && held_count < 64) {
                 held[held_count++] = a.grant;
             }
@@ -471,9 +472,9 @@
         ck_assert_uint_le(cw_shard_stats(s, now).running, slots);
         if (held_count && rng_below(&rng, 3)) {
             uint32_t i = rng_below(&rng, held_count);
-            const cw_done_t done = {.grant = held[i], .took_ms = 5, .cost = 1 + rng_below(&rng, 30)};
+            const cw_grant_release_t done = {.grant = held[i], .took_ms = 5, .cost = 1 + rng_below(&rng, 30)};
             if (rng_below(&rng, 20)) { /* otherwise the release is lost */
-                cw_shard_done(s, now, &done);
+                cw_shard_release_grant(s, now, &done);
             }
             held[i] = held[--held_count];
         }
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -30,8 +30,8 @@
     static const char* const none[] = {NULL};
     static const char* const engine[] = {"--slots", "4", "--step", "3", NULL};
     site_setup(&site, build_dir());
-    site.daemon_extra = "[platform]\nhosts = 200ms\n[entry]\nlookup_keep = 300ms\n[member]\nprobe = "
-                        "200ms\nprobe_timeout = 150ms\nsuspect = 1s\n";
+    site.extra_daemon_settings = "[platform]\nhosts = 200ms\n[entry]\nlookup_keep = 300ms\n[member]\nprobe = "
+                                 "200ms\nprobe_timeout = 150ms\nsuspect = 1s\n";
     static const char* const platform[] = {"--host-lag", "0", NULL};
     ck_assert(site_start(&site, SITE_PLATFORM, "platform", "h1", platform) != NULL);
     site_proc_t* e = site_start(&site, SITE_ENGINE, "engine", "h1", engine);
@@ -66,7 +66,7 @@
     ck_assert_int_eq(site_shutdown(&site), 0);
 }
 
-static site_answer_t send_summary(const char* address, const char* id, bool stream, unsigned tokens) {
+static site_response_t send_summary(const char* address, const char* id, bool stream, unsigned tokens) {
     char body[256];
     snprintf(body, sizeof(body), "{\"model\":\"m\",\"stream\":%s,\"messages\":[{\"content\":\"id=%s len=%u\"}]}",
              stream ? "true" : "false", id, tokens);
@@ -74,7 +74,7 @@
         .address = address, .path = "/v1/chat/completions", .token = TOKEN, .class_name = "summary", .body = body});
 }
 
-static site_answer_t send_status_call_as(const char* address, const char* token) {
+static site_response_t send_status_call_as(const char* address, const char* token) {
     return site_call(&(site_request_t){.address = address,
                                        .path = "/v1/services/sched/status",
                                        .token = token,
@@ -82,13 +82,13 @@
                                        .body = "{\"kiosk\":1}"});
 }
 
-static site_answer_t send_status_call(const char* address) {
+static site_response_t send_status_call(const char* address) {
     return send_status_call_as(address, TOKEN);
 }
 
 /* Makes an idempotency key from a ticket of the daemon. */
 static void make_idempotency_key(const char* address, const char* suffix, char out[256]) {
-    site_answer_t a = site_call(&(site_request_t){.address = address, .path = "/v1/lookup"});
+    site_response_t a = site_call(&(site_request_t){.address = address, .path = "/v1/lookup"});
     json_t* root = json_loads(a.body, 0, NULL);
     const char* ticket = json_string_value(json_object_get(root, "ticket"));
     ck_assert_ptr_nonnull(ticket);
@@ -96,7 +96,7 @@
     json_decref(root);
 }
 
-static site_answer_t send_booking(const char* address, const char* key, const char* call, long timeout_ms) {
+static site_response_t send_booking(const char* address, const char* key, const char* call, long timeout_ms) {
     char body[128];
     snprintf(body, sizeof(body), BOOKING_BODY, call);
     return site_call(&(site_request_t){.address = address,
@@ -109,11 +109,11 @@
 }
 
 static const char* http_of(const char* name) {
-    return site_find(&site, name)->http;
+    return site_find_process(&site, name)->http;
 }
 
 static double service_count(const char* key) {
-    return site_number(http_of("service"), "/admin/stats", key);
+    return site_get_number(http_of("service"), "/admin/stats", key);
 }
 
 static void set_service(const char* query) {
@@ -137,7 +137,7 @@
 START_TEST(requests_of_each_kind_are_served) {
     start_site();
     ck_assert_int_eq(send_summary(http_of("a"), "x", false, 10).status, 200);
-    site_answer_t stream = send_summary(http_of("b"), "y", true, 10);
+    site_response_t stream = send_summary(http_of("b"), "y", true, 10);
     ck_assert_int_eq(stream.status, 200);
     ck_assert(stream.whole && strstr(stream.body, "[DONE]"));
     ck_assert_int_eq(send_status_call(http_of("c")).status, 200);
@@ -148,7 +148,7 @@
 START_TEST(an_aborted_stream_ends_with_an_error_event) {
     start_site();
     site_call(&(site_request_t){.address = http_of("engine"), .path = "/admin/set?cut_after=5", .body = ""});
-    site_answer_t a = send_summary(http_of("a"), "x", true, 50);
+    site_response_t a = send_summary(http_of("a"), "x", true, 50);
     ck_assert(!a.whole);
     ck_assert_ptr_nonnull(strstr(a.body, "event: error"));
     ck_assert_ptr_null(strstr(a.body, "[DONE]"));
@@ -229,11 +229,11 @@
     for (int i = 0; i < 16; i++) {
         children[i] = fork();
         if (children[i] == 0) {
-            site_answer_t a = site_call(&(site_request_t){.address = http_of("a"),
-                                                          .path = "/v1/services/sched/pay",
-                                                          .token = TOKEN,
-                                                          .class_name = "pay",
-                                                          .body = "{}"});
+            site_response_t a = site_call(&(site_request_t){.address = http_of("a"),
+                                                            .path = "/v1/services/sched/pay",
+                                                            .token = TOKEN,
+                                                            .class_name = "pay",
+                                                            .body = "{}"});
             _exit(a.status == 200 ? 0 : 1);
         }
     }
@@ -255,13 +255,13 @@
     publish_items(
         "{\"items\":[{\"key\":\"pools/lang\",\"value\":{\"kind\":\"engine\",\"model\":\"m\",\"resumes\":true}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
-    site_answer_t uncut = send_summary(http_of("a"), "x", true, 50);
+    site_response_t uncut = send_summary(http_of("a"), "x", true, 50);
     ck_assert(uncut.whole);
     for (int cut_after = 1; cut_after < 50; cut_after += 16) {
         char path[64];
         snprintf(path, sizeof(path), "/admin/set?cut_after=%d", cut_after);
         site_call(&(site_request_t){.address = http_of("engine"), .path = path, .body = ""});
-        site_answer_t cut = send_summary(http_of("a"), "x", true, 50);
+        site_response_t cut = send_summary(http_of("a"), "x", true, 50);
         ck_assert(cut.whole);
         ck_assert_str_eq(cut.body, uncut.body);
     }
@@ -284,7 +284,7 @@
         other->http);
     publish_items(items);
     ck_assert(site_wait_revision(&site, 10, WAIT_MS));
-    site_proc_t* engine = site_find(&site, "engine");
+    site_proc_t* engine = site_find_process(&site, "engine");
     site_call(&(site_request_t){.address = engine->http, .path = "/admin/set?step_ms=20", .body = ""});
     pid_t children[4];
     for (int i = 0; i < 4; i++) {
@@ -292,7 +292,7 @@
         if (children[i] == 0) {
             char id[16];
             snprintf(id, sizeof(id), "s%d", i);
-            site_answer_t a = send_summary(http_of("a"), id, true, 60);
+            site_response_t a = send_summary(http_of("a"), id, true, 60);
             _exit(a.whole && strstr(a.body, "[DONE]") ? 0 : 1);
         }
     }
@@ -315,7 +315,7 @@
     make_idempotency_key(http_of("a"), "one", key);
     ck_assert_int_eq(send_status_call(http_of("a")).status, 200); /* leaves an idle connection that could be reused */
     set_service("reset_after=1");
-    site_answer_t a = send_booking(http_of("a"), key, "one", 10000);
+    site_response_t a = send_booking(http_of("a"), key, "one", 10000);
     ck_assert_int_eq(a.status, 502);
     ck_assert_msg(strcmp(a.outcome, "unknown") == 0 || strcmp(a.outcome, "failed") == 0, "outcome %s", a.outcome);
     for (int i = 0; i < 3; i++) {
@@ -334,7 +334,7 @@
     make_idempotency_key(http_of("a"), "two", key);
     set_service("ms=700");
     ck_assert_int_eq(send_booking(http_of("a"), key, "two", 200).status, 0);
-    site_answer_t a = send_booking(http_of("a"), key, "two", 10000);
+    site_response_t a = send_booking(http_of("a"), key, "two", 10000);
     ck_assert_int_eq(a.status, 200);
     ck_assert_ptr_nonnull(strstr(a.body, "\"ran\":1"));
     ck_assert_double_eq(service_count("repeated"), 0);
@@ -347,11 +347,11 @@
     char key[256];
     make_idempotency_key(http_of("a"), "three", key);
     ck_assert_int_eq(send_booking(http_of("b"), key, "three", 10000).status, 409);
-    site_proc_t* a = site_find(&site, "a");
+    site_proc_t* a = site_find_process(&site, "a");
     site_kill(a);
     ck_assert(site_restart_daemon(&site, a));
     ck_assert(site_wait_ready(&site, WAIT_MS));
-    site_answer_t again = send_booking(http_of("a"), key, "three", 10000);
+    site_response_t again = send_booking(http_of("a"), key, "three", 10000);
     ck_assert_int_eq(again.status, 409);
     ck_assert_str_eq(again.outcome, "unknown");
     ck_assert_double_eq(service_count("runs"), 0);
@@ -366,7 +366,7 @@
     for (int i = 0; i < 3; i++) {
         ck_assert_int_eq(send_status_call(http_of(names[i])).status, 200);
     }
-    site_kill(site_find(&site, names[_i]));
+    site_kill(site_find_process(&site, names[_i]));
     for (int i = 0; i < 3; i++) {
         ck_assert(i == _i || is_served_within(http_of(names[i]), WAIT_MS));
     }
@@ -380,7 +380,7 @@
     for (int i = 0; i < 3; i++) {
         ck_assert_int_eq(send_status_call(http_of(names[i])).status, 200);
     }
-    site_proc_t* frozen = site_find(&site, names[_i]);
+    site_proc_t* frozen = site_find_process(&site, names[_i]);
     kill(frozen->pid, SIGSTOP);
     for (int i = 0; i < 3; i++) {
         ck_assert(i == _i || is_served_within(http_of(names[i]), WAIT_MS));
@@ -394,7 +394,7 @@
 START_TEST(a_graceful_stop_aborts_no_request) {
     start_site();
     set_service("ms=1500");
-    site_proc_t* a = site_find(&site, "a");
+    site_proc_t* a = site_find_process(&site, "a");
     pid_t child = fork();
     if (child == 0) {
         _exit(send_status_call(a->http).status == 200 ? 0 : 1);
@@ -410,17 +410,17 @@
 
 START_TEST(lookup_omits_a_leaving_host) {
     start_site();
-    site_proc_t* a = site_find(&site, "a");
-    site_stop_begin(a);
+    site_proc_t* a = site_find_process(&site, "a");
+    site_send_stop(a);
     int64_t until_ms = site_now_ms() + WAIT_MS;
     bool named = true;
     while (named && site_now_ms() < until_ms) {
-        site_answer_t lookup = site_call(&(site_request_t){.address = http_of("b"), .path = "/v1/lookup"});
+        site_response_t lookup = site_call(&(site_request_t){.address = http_of("b"), .path = "/v1/lookup"});
         named = strstr(lookup.body, a->http) != NULL;
         site_sleep_ms(20);
     }
     ck_assert(!named);
-    ck_assert_int_eq(site_stop_wait(a), 0);
+    ck_assert_int_eq(site_wait_stopped(a), 0);
     stop_site();
 }
 END_TEST
@@ -432,7 +432,7 @@
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     const char* platform = http_of("platform");
     site_call(&(site_request_t){.address = platform, .path = "/admin/mode?down=1", .body = ""});
-    site_proc_t* a = site_find(&site, "a");
+    site_proc_t* a = site_find_process(&site, "a");
     site_kill(a);
     ck_assert(site_restart_daemon(&site, a));
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
@@ -446,8 +446,8 @@
     publish_items("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     ck_assert_int_eq(send_status_call(http_of("a")).status, 200);
-    site_answer_t a = site_call(
-        &(site_request_t){.address = site_find(&site, "b")->operator_http, .path = "/v1/resources/classes/status"});
+    site_response_t a = site_call(&(site_request_t){.address = site_find_process(&site, "b")->operator_http,
+                                                    .path = "/v1/resources/classes/status"});
     ck_assert_ptr_nonnull(strstr(a.body, "\"status\":false"));
     ck_assert_ptr_nonnull(strstr(a.body, "tier"));
     stop_site();
@@ -490,10 +490,10 @@
     int limit = -1;
     for (int i = 0; i < site.count; i++) {
         const site_proc_t* p = &site.procs[i];
-        if (p->kind != SITE_DAEMON || p == site_find(&site, "c")) {
+        if (p->kind != SITE_DAEMON || p == site_find_process(&site, "c")) {
             continue;
         }
-        site_answer_t a =
+        site_response_t a =
             site_call(&(site_request_t){.address = p->operator_http, .path = "/v1/status", .timeout_ms = 2000});
         json_t* root = json_loads(a.body, 0, NULL);
         size_t k = 0;
@@ -510,10 +510,10 @@
 
 /* A listed host that is unreachable may be serving callers with an allocator of its own. The reachable hosts must use
    only their share of the slots, and all slots once the host is back. */
-START_TEST(a_cut_off_host_leaves_its_share_unused) {
+START_TEST(the_share_of_an_unreachable_host_stays_unused) {
     start_site();
     ck_assert(site_publish_hosts(&site, NULL));
-    kill(site_find(&site, "c")->pid, SIGSTOP);
+    kill(site_find_process(&site, "c")->pid, SIGSTOP);
     int64_t until_ms = site_now_ms() + WAIT_MS;
     int limit = 0;
     while (limit != 16 * 2 / 3 && site_now_ms() < until_ms) {
@@ -521,11 +521,11 @@
         limit = pool_slot_limit("sched");
     }
     ck_assert_int_eq(limit, 16 * 2 / 3);
-    kill(site_find(&site, "c")->pid, SIGCONT);
+    kill(site_find_process(&site, "c")->pid, SIGCONT);
     until_ms = site_now_ms() + WAIT_MS;
     while (limit != 16 && site_now_ms() < until_ms) {
         is_served_within(http_of("a"), WAIT_MS);
-        site_proc_t* c = site_find(&site, "c");
+        site_proc_t* c = site_find_process(&site, "c");
         limit = pool_slot_limit("sched");
         limit = limit == -1 && send_status_call(c->http).status == 200 ? 16 : limit; /* c allocates the pool again */
     }
@@ -559,7 +559,7 @@
     char command[256];
     char out[4096] = "";
     snprintf(command, sizeof(command), "%s/chalkwayctl -a %s get classes", build_dir(),
-             site_find(&site, "c")->operator_http);
+             site_find_process(&site, "c")->operator_http);
     FILE* pipe = popen(command, "r");
     ck_assert_ptr_nonnull(pipe);
     out[fread(out, 1, sizeof(out) - 1, pipe)] = 0;
@@ -619,7 +619,7 @@
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         site_request_t r = cases[i].request;
         r.address = a;
-        site_answer_t answer = site_call(&r);
+        site_response_t answer = site_call(&r);
         ck_assert_msg(answer.status == cases[i].status, "case %zu: %ld %s", i, answer.status, answer.body);
         ck_assert_str_eq(answer.outcome, "not-run");
     }
@@ -645,7 +645,7 @@
     tcase_add_test(t, lookup_omits_a_leaving_host);
     tcase_add_test(t, configuration_survives_a_platform_outage_and_never_reverts);
     tcase_add_test(t, an_invalid_change_keeps_the_last_valid_document);
-    tcase_add_test(t, a_cut_off_host_leaves_its_share_unused);
+    tcase_add_test(t, the_share_of_an_unreachable_host_stays_unused);
     tcase_add_test(t, a_leaving_upstream_gets_no_new_requests);
     tcase_add_test(t, the_load_generator_reports_its_requests);
     tcase_add_test(t, chalkwayctl_shows_why_a_document_is_invalid);
--- a/tests/test_suspended.c
+++ b/tests/test_suspended.c
@@ -21,7 +21,7 @@
 
 typedef struct suspension_t {
     rig_t* rig;
-    wake_t detector;
+    suspend_detector_t detector;
     ev_timer suspend_timer;
     int64_t duration_ms;
     bool was_suspended, was_resumed;
@@ -29,11 +29,11 @@
     bool sends_response;      /* the first server responds when the machine resumes */
 } suspension_t;
 
-static void on_wake(void* user, int64_t suspended_ms) {
+static void on_resume(void* user, int64_t suspended_ms) {
     suspension_t* s = user;
     ck_assert_int_ge(suspended_ms, s->duration_ms);
-    exchanges_on_wake(s->rig->exchanges);
-    upstreams_on_wake(s->rig->upstreams);
+    exchanges_on_resume(s->rig->exchanges);
+    upstreams_on_resume(s->rig->upstreams);
     s->was_resumed = true;
     s->active_requests = exchanges_stats(s->rig->exchanges).active;
 }
@@ -42,7 +42,7 @@
     (void)loop;
     (void)events;
     suspension_t* s = w->data;
-    cw_clock_suspend(s->duration_ms);
+    cw_clock_simulate_suspend(s->duration_ms);
     s->was_suspended = true;
     if (s->sends_response) {
         static const char text[] = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: q1\r\nContent-Length: 4\r\n\r\nlate";
@@ -53,15 +53,15 @@
 
 static void suspension_setup(suspension_t* s, rig_t* r, int64_t duration_ms) {
     *s = (suspension_t){.rig = r, .duration_ms = duration_ms};
-    wake_setup(&s->detector, r->loop, on_wake, s);
+    suspend_detector_setup(&s->detector, r->loop, on_resume, s);
     ev_timer_init(&s->suspend_timer, on_suspend_timer, 0.05, 0.0);
     s->suspend_timer.data = s;
     ev_timer_start(r->loop, &s->suspend_timer);
 }
 
-static void expect_status(const char* answer, const char* status) {
-    ck_assert_msg(strncmp(answer, "HTTP/1.1 ", 9) == 0 && strncmp(answer + 9, status, 3) == 0, "wanted %s, got: %s",
-                  status, answer);
+static void expect_status(const char* response, const char* status) {
+    ck_assert_msg(strncmp(response, "HTTP/1.1 ", 9) == 0 && strncmp(response + 9, status, 3) == 0, "wanted %s, got: %s",
+                  status, response);
 }
 
 /* A request runs at a server while the machine is suspended past its deadline. */
@@ -70,13 +70,13 @@
     for (int i = 0; i < 2; i++) {
         rig_t* r = rig_setup(ROUTES, 2);
         suspension_t s;
-        rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
+        rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}}, 1);
         suspension_setup(&s, r, 30000);
         expect_status(rig_call(r, texts[i]), "504");
         ck_assert(s.was_resumed);
         ck_assert_uint_eq(s.active_requests, i); /* one that may not be retried stays at the server for a while */
         ck_assert_uint_eq(r->arrival_count, 1);
-        wake_shutdown(&s.detector);
+        suspend_detector_shutdown(&s.detector);
         rig_shutdown(r);
     }
 }
@@ -86,17 +86,17 @@
 START_TEST(a_queued_request_whose_wait_limit_passed_is_refused) {
     rig_t* r = rig_setup(ROUTES, 1);
     suspension_t s;
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
+    rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}}, 1);
     pool_t* pool = upstreams_pool(r->upstreams, "p");
-    cw_balance_away(pool->balance, clock_ms(), cw_name_id("s0"), true);
+    cw_balance_set_unreachable(pool->balance, clock_ms(), cw_name_id("s0"), true);
     for (server_t* server = pool->servers; server; server = server->next) {
-        cw_balance_away(pool->balance, clock_ms(), server->key, true);
+        cw_balance_set_unreachable(pool->balance, clock_ms(), server->key, true);
     }
     suspension_setup(&s, r, 4000);
     expect_status(rig_call(r, "POST /once/x" HEAD), "503");
     ck_assert(s.was_resumed && !s.active_requests);
     ck_assert_uint_eq(r->arrival_count, 0);
-    wake_shutdown(&s.detector);
+    suspend_detector_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
@@ -106,7 +106,7 @@
 START_TEST(idle_connections_are_not_reused_after_a_suspension) {
     rig_t* r = rig_setup(ROUTES, 1);
     suspension_t s;
-    rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("one", "3")}, {RIG_ANSWER, OK("two", "3")}}, 2);
+    rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK("one", "3")}, {RIG_RESPOND, OK("two", "3")}}, 2);
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
     ck_assert_uint_eq(r->conn_count, 1);
     suspension_setup(&s, r, 1000);
@@ -115,7 +115,7 @@
     }
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
     ck_assert_uint_eq(r->conn_count, 2);
-    wake_shutdown(&s.detector);
+    suspend_detector_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
@@ -124,11 +124,11 @@
 START_TEST(a_request_with_time_left_continues) {
     rig_t* r = rig_setup(ROUTES, 1);
     suspension_t s;
-    rig_script(r, (rig_step_t[]){{RIG_SILENT, NULL}}, 1);
+    rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, NULL}}, 1);
     suspension_setup(&s, r, 1000);
     s.sends_response = true;
     expect_status(rig_call(r, "POST /once/x" HEAD), "200");
-    wake_shutdown(&s.detector);
+    suspend_detector_shutdown(&s.detector);
     rig_shutdown(r);
 }
 END_TEST
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -92,7 +92,7 @@
         return;
     }
     snprintf(body, sizeof(body), "{\"items\":[{\"tls_key\":\"servers/i%u\",\"value\":\"%s\"}],\"more\":%s,\"at\":1}",
-             page, fixture->leaving ? DRAINING : READY, page < 2 ? "true" : "false");
+             page, fixture->leaving ? DRAINING_ENTRY_BASE64 : READY_ENTRY_BASE64, page < 2 ? "true" : "false");
     reply(x, fixture, 200, body);
 }
 
@@ -153,7 +153,7 @@
     fixture->list_count++;
     fixture->after_outage = after_outage;
     fixture->list_leaving = list->items[0].leaving;
-    fixture->list_closed = cw_closed_has(&list->closed, "a");
+    fixture->list_closed = cw_closed_halls_contains(&list->closed, "a");
 }
 
 static void write_line(const char* line, void* user) {
@@ -203,8 +203,8 @@
                                               .source = source,
                                               .address = cw_httpd_address(fixture->source),
                                               .share = "127.0.0.1:0",
-                                              .read_ms = 30,
-                                              .closed_ms = source->closed_path ? 1 : 0,
+                                              .poll_age_ms = 30,
+                                              .closed_poll_age_ms = source->closed_path ? 1 : 0,
                                               .on_catalog = on_catalog,
                                               .on_servers = on_servers,
                                               .user_data = fixture},
@@ -227,7 +227,7 @@
     custom_source.servers_path = platform_source.servers_path;
     custom_source.read_servers = platform_source.read_servers;
     custom_source.changes_path = platform_source.changes_path;
-    custom_source.life_field = platform_source.life_field;
+    custom_source.epoch_field = platform_source.epoch_field;
     custom_source.read_changes = platform_source.read_changes;
     return fixture_setup_source(5, &custom_source);
 }
@@ -242,7 +242,7 @@
 }
 
 static bool is_ready(fixture_t* fixture) {
-    return sync_ready(fixture->sync);
+    return sync_is_ready(fixture->sync);
 }
 
 static bool has_revision_9(fixture_t* fixture) {
@@ -258,7 +258,7 @@
 }
 
 static bool is_source_unavailable(fixture_t* fixture) {
-    return sync_stats(fixture->sync).source_lost;
+    return sync_stats(fixture->sync).is_source_lost;
 }
 
 static bool is_list_outdated(fixture_t* fixture) {
@@ -356,7 +356,7 @@
     run_until(fixture, polled_changes_4_times);
     ck_assert_uint_eq(fixture->first_page_calls, 1);
     ck_assert_uint_eq(fixture->list_count, 1); /* none of the responses changed the list */
-    fixture->change = "{\"tls_key\":\"servers/i0\",\"value\":\"" DRAINING "\",\"revision\":3}";
+    fixture->change = "{\"tls_key\":\"servers/i0\",\"value\":\"" DRAINING_ENTRY_BASE64 "\",\"revision\":3}";
     run_until(fixture, is_server_leaving);
     ck_assert_uint_eq(fixture->first_page_calls, 1);
     ck_assert_uint_eq(fixture->list_count, 2);
@@ -371,7 +371,7 @@
     fixture->leaving = true;
     run_until(fixture, is_server_leaving);
     ck_assert_uint_ge(fixture->first_page_calls, 2);
-    ck_assert(!sync_stats(fixture->sync).source_lost);
+    ck_assert(!sync_stats(fixture->sync).is_source_lost);
     fixture_shutdown(fixture);
 }
 END_TEST
@@ -392,7 +392,7 @@
 START_TEST(a_list_of_one_page_is_polled_in_full) {
     custom_source = source_native;
     custom_source.changes_path = platform_source.changes_path;
-    custom_source.life_field = platform_source.life_field;
+    custom_source.epoch_field = platform_source.epoch_field;
     custom_source.read_changes = platform_source.read_changes;
     fixture_t* fixture = fixture_setup_source(5, &custom_source);
     run_until(fixture, is_ready);
@@ -409,7 +409,7 @@
     fixture->change = "7],\"at\":{},\"other\":[";
     run_until(fixture, polled_full_list_twice);
     ck_assert_uint_eq(fixture->list_count, 1);
-    ck_assert(sync_ready(fixture->sync));
+    ck_assert(sync_is_ready(fixture->sync));
     fixture_shutdown(fixture);
 }
 END_TEST
@@ -420,16 +420,16 @@
     cw_server_t s = {.id = "i", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 1};
     cw_servers_put(&list, &s);
     cw_delta_t delta = {.since = 1, .at = 7};
-    ck_assert_uint_eq(sync_knowledge(fixture->sync).servers, cw_servers_id(&list));
+    ck_assert_uint_eq(sync_source_state(fixture->sync).servers, cw_servers_hash(&list));
     s.leaving = true;
     cw_servers_put(&list, &s);
-    delta.to = cw_servers_id(&list) + is_wrong;
-    cw_servers_put(&delta.put, &s);
-    char* text = cw_delta_text(&delta);
+    delta.result_hash = cw_servers_hash(&list) + is_wrong;
+    cw_servers_put(&delta.updated, &s);
+    char* text = cw_delta_to_json(&delta);
     snprintf(out, size, "%s", text);
     fixture->delta = out;
-    cw_knowledge_t offered_state = {.revision = 5, .servers = delta.to};
-    sync_on_peer(fixture->sync, cw_httpd_address(fixture->source), false, &offered_state);
+    cw_source_state_t offered_state = {.revision = 5, .servers = delta.result_hash};
+    sync_on_peer_state(fixture->sync, cw_httpd_address(fixture->source), false, &offered_state);
     free(text);
     cw_servers_free(&list);
     cw_delta_free(&delta);
@@ -455,9 +455,9 @@
     run_until(fixture, fetched_delta);
     run_until(fixture, called_6_times);
     ck_assert(!fixture->list_leaving && strstr(fixture->log_text, "changes of another list"));
-    cw_knowledge_t offered_state = {.revision = 5, .servers = 99};
+    cw_source_state_t offered_state = {.revision = 5, .servers = 99};
     fixture->leaving = true;
-    sync_on_peer(fixture->sync, cw_httpd_address(fixture->source), false, &offered_state);
+    sync_on_peer_state(fixture->sync, cw_httpd_address(fixture->source), false, &offered_state);
     run_until(fixture, is_server_leaving);
     ck_assert_uint_eq(fixture->delta_calls, 1); /* the full list was requested this time */
     fixture_shutdown(fixture);
@@ -466,8 +466,8 @@
 
 /* Has the peer offer its documents to the fixture. They come from the peer's source, which serves the same ones. */
 static void offer(fixture_t* fixture, fixture_t* peer) {
-    cw_knowledge_t offered_state = sync_knowledge(peer->sync);
-    sync_on_peer(fixture->sync, cw_httpd_address(peer->source), false, &offered_state);
+    cw_source_state_t offered_state = sync_source_state(peer->sync);
+    sync_on_peer_state(fixture->sync, cw_httpd_address(peer->source), false, &offered_state);
 }
 
 /* A host of a large fleet that starts and applies the documents that a peer offers. */
@@ -475,7 +475,7 @@
     fixture_t* fixture = fixture_setup_with_changes();
     sync_set_rank(fixture->sync, 3, 50);
     fixture->condition = is_ready;
-    while (!sync_ready(fixture->sync)) {
+    while (!sync_is_ready(fixture->sync)) {
         offer(fixture, peer);
         ev_run(fixture->loop, EVRUN_NOWAIT);
         ev_run(peer->loop, EVRUN_NOWAIT);
@@ -491,7 +491,7 @@
     fixture_t* fixture = fixture_setup_with_changes();
     struct sockaddr_in addr = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t size = sizeof(addr);
-    char share[CW_ADDR_TEXT];
+    char share[CW_ADDR_TEXT_SIZE];
     int silent_peer =
         socket(AF_INET, SOCK_STREAM,
                0); /* a peer that has not responded yet, as its link is busy sending the list to many hosts */
@@ -499,13 +499,13 @@
     ck_assert_int_eq(listen(silent_peer, 8), 0);
     ck_assert_int_eq(getsockname(silent_peer, (struct sockaddr*)&addr, &size), 0);
     cw_addr_format(&addr, share);
-    cw_knowledge_t offered_state = sync_knowledge(peer->sync);
+    cw_source_state_t offered_state = sync_source_state(peer->sync);
     fixture->condition = is_ready;
     while (sync_stats(fixture->sync).peer_calls < 2) { /* the list and the document */
-        sync_on_peer(fixture->sync, share, false, &offered_state);
+        sync_on_peer_state(fixture->sync, share, false, &offered_state);
         ev_run(fixture->loop, EVRUN_NOWAIT);
     }
-    cw_clock_suspend(1000);
+    cw_clock_simulate_suspend(1000);
     for (int i = 0; i < 20; i++) {
         sync_tick(fixture->sync, clock_ms());
         ev_run(fixture->loop, EVRUN_NOWAIT);
@@ -563,14 +563,14 @@
     ck_assert(!fixture->list_closed);
     fixture->closes_hall_a = true;
     run_until(fixture, is_hall_closed);
-    uint64_t closed_id = sync_knowledge(fixture->sync).servers;
+    uint64_t closed_id = sync_source_state(fixture->sync).servers;
     fixture->mode = SOURCE_FAILS;
     run_until(fixture, is_source_unavailable);
     ck_assert(fixture->list_closed);
     fixture->closes_hall_a = false;
     fixture->mode = SOURCE_RESPONDS;
     run_until(fixture, is_hall_open);
-    ck_assert_uint_ne(sync_knowledge(fixture->sync).servers, closed_id); /* so that peers fetch it */
+    ck_assert_uint_ne(sync_source_state(fixture->sync).servers, closed_id); /* so that peers fetch it */
     fixture_shutdown(fixture);
 }
 END_TEST
@@ -581,7 +581,7 @@
     fixture->calls = 0;
     fixture->mode = SOURCE_SENDS_GARBAGE;
     run_until(fixture, called_6_times);
-    ck_assert(sync_ready(fixture->sync));
+    ck_assert(sync_is_ready(fixture->sync));
     ck_assert_int_eq(sync_revision(fixture->sync), 9);
     ck_assert_msg(strstr(fixture->log_text, "config-invalid peer=127.0.0.1:"), "%s", fixture->log_text);
     fixture->mode = SOURCE_RESPONDS; /* a newer document that is invalid */
@@ -603,12 +603,12 @@
     fixture->mode = SOURCE_FAILS;
     run_until(fixture, is_source_unavailable);
     /* sync.h doesn't tell the peer's share address; another source serves the same documents */
-    cw_knowledge_t knowledge = sync_knowledge(peer->sync);
+    cw_source_state_t source_state = sync_source_state(peer->sync);
     fixture_t* shared = fixture_setup(9);
     shared->condition = is_ready;
-    sync_on_peer(fixture->sync, cw_httpd_address(shared->source), false, &knowledge);
+    sync_on_peer_state(fixture->sync, cw_httpd_address(shared->source), false, &source_state);
     fixture->condition = is_ready;
-    while (!sync_ready(fixture->sync)) {
+    while (!sync_is_ready(fixture->sync)) {
         ev_run(fixture->loop, EVRUN_NOWAIT);
         ev_run(shared->loop, EVRUN_NOWAIT);
     }
@@ -643,7 +643,7 @@
 /* A response that was delayed for long comes from an earlier epoch: neither its configuration nor its list is used. */
 START_TEST(a_response_of_an_earlier_epoch_changes_nothing) {
     custom_source = source_native;
-    custom_source.life_field = platform_source.life_field;
+    custom_source.epoch_field = platform_source.epoch_field;
     fixture_t* fixture = fixture_setup_source(5, &custom_source);
     fixture->epoch = 3;
     run_until(fixture, is_ready);
@@ -666,7 +666,7 @@
    not open meanwhile. It opens after that time if the operator doesn't close it again. */
 START_TEST(a_hall_closed_after_the_copy_stays_closed_after_a_restore) {
     custom_source = source_native;
-    custom_source.life_field = platform_source.life_field;
+    custom_source.epoch_field = platform_source.epoch_field;
     custom_source.closed_path = platform_source.closed_path;
     custom_source.read_closed = platform_source.read_closed;
     fixture_t* fixture = fixture_setup_source(5, &custom_source);
@@ -680,7 +680,7 @@
         run_until(fixture, next_tick);
         ck_assert(fixture->list_closed);
     }
-    cw_clock_suspend(6000);
+    cw_clock_simulate_suspend(6000);
     run_until(fixture, is_hall_open);
     fixture_shutdown(fixture);
 }
@@ -707,14 +707,14 @@
 START_TEST(a_peer_with_the_same_state_refreshes_it) {
     fixture_t* fixture = fixture_setup(9);
     run_until(fixture, is_ready);
-    cw_knowledge_t known = sync_knowledge(fixture->sync);
+    cw_source_state_t known = sync_source_state(fixture->sync);
     fixture->mode = SOURCE_FAILS;
     run_until(fixture, is_source_unavailable);
-    ck_assert_uint_gt(sync_knowledge(fixture->sync).servers_age_ms, 0);
+    ck_assert_uint_gt(sync_source_state(fixture->sync).servers_age_ms, 0);
     known.servers_age_ms = known.revision_age_ms = 0;
-    sync_on_peer(fixture->sync, "127.0.0.1:1", false, &known);
-    ck_assert_uint_le(sync_knowledge(fixture->sync).servers_age_ms, 5000);
-    cw_knowledge_t after = sync_knowledge(fixture->sync);
+    sync_on_peer_state(fixture->sync, "127.0.0.1:1", false, &known);
+    ck_assert_uint_le(sync_source_state(fixture->sync).servers_age_ms, 5000);
+    cw_source_state_t after = sync_source_state(fixture->sync);
     ck_assert_uint_eq(after.servers, known.servers);
     ck_assert_uint_eq(after.revision, 9);
     fixture_shutdown(fixture);
--- a/tests/test_turns.c
+++ b/tests/test_turns.c
@@ -31,21 +31,21 @@
 /* Sets the number of slots of the only engine that requests of another host use, by a load report. */
 static void set_running(rig_t* r, uint32_t running) {
     cw_load_t load = {.running = running};
-    cw_balance_news(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &load);
+    cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &load);
 }
 
 /* Advances the clock while all slots are in use. */
 static void advance_full(rig_t* r, int64_t ms) {
-    cw_clock_suspend(ms);
+    cw_clock_simulate_suspend(ms);
     set_running(r, 8);
-    exchanges_on_wake(r->exchanges);
+    exchanges_on_resume(r->exchanges);
 }
 
 /* First cause: a request left the queue after 0.4 of the shortest target of its pool, 100 ms, although its caller would
    have waited for seconds and a slot became free shortly after. */
 START_TEST(a_request_waits_for_a_slot_as_long_as_its_caller_waits) {
     rig_t* r = rig_setup(ROUTES, 1);
-    rig_script(r, (rig_step_t[]){{RIG_ANSWER, OK("a", "1")}, {RIG_ANSWER, OK("b", "1")}}, 2);
+    rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}}, 2);
     ck_assert_ptr_nonnull(strstr(rig_call(r, CALL("/urgent/")), "200")); /* the pool learns this target */
     set_running(r, 8);
     rig_write(r, CALL("/short/"));
@@ -56,9 +56,9 @@
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 0);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).waiting, 1);
     set_running(r, 7);
-    exchanges_on_room(r->exchanges, upstreams_pool(r->upstreams, "p"));
+    exchanges_on_slot_free(r->exchanges, upstreams_pool(r->upstreams, "p"));
     rig_run(r);
-    ck_assert_ptr_nonnull(strstr(cw_buffer_text(&r->answer), "200"));
+    ck_assert_ptr_nonnull(strstr(cw_buffer_text(&r->response), "200"));
     rig_shutdown(r);
 }
 END_TEST
@@ -72,13 +72,13 @@
     cw_work_t tolerant = {.urgency = 7, .prompt_tokens = 12000, .output_tokens = 400, .target_ms = 2000, .gap_ms = 500};
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 1});
     int64_t now_ms = 1000;
-    cw_balance_set(b, now_ms, &spec, 1);
+    cw_balance_set_servers(b, now_ms, &spec, 1);
     cw_balance_set_fleet(b, now_ms, &(cw_fleet_t){.ids = (uint64_t[]){1}, .count = 1});
     cw_run_t runs[40];
     for (uint32_t i = 0; i < 40; i++, now_ms += 500) { /* two per second, each for two seconds: four slots */
-        cw_balance_asked(b, now_ms, &urgent);
+        cw_balance_on_request(b, now_ms, &urgent);
         runs[i] = cw_balance_begin(b, now_ms, 0, &urgent);
-        cw_balance_first(b, now_ms + 20, &runs[i]);
+        cw_balance_on_first_byte(b, now_ms + 20, &runs[i]);
         if (i >= 4) {
             cw_balance_end(b, now_ms, &runs[i - 4], CW_TRY_SERVED);
         }
@@ -86,7 +86,7 @@
         ck_assert_uint_eq(c.server, 0); /* at the usual rate there are slots for long prompts */
     }
     for (uint32_t i = 0; i < 32; i++, now_ms += i % 2 ? 12 : 13) { /* 80 per second need 160 slots; 36 are in use */
-        cw_balance_asked(b, now_ms, &urgent);
+        cw_balance_on_request(b, now_ms, &urgent);
         cw_balance_begin(b, now_ms, 0, &urgent);
     }
     ck_assert_uint_eq(cw_balance_choose(b, now_ms, &urgent, NULL, 0).server, 0);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -16,7 +16,7 @@
     snprintf(last_line, sizeof(last_line), "%s", line);
 }
 
-static void on_room(void* user, pool_t* pool) {
+static void on_slot_free(void* user, pool_t* pool) {
     (void)user;
     (void)pool;
 }
@@ -24,8 +24,12 @@
 static const cw_log_t test_log = {.level = CW_LOG_WARN, .write = store_line};
 
 static upstreams_t* make_upstreams(struct ev_loop* loop) {
-    return upstreams_setup(&(upstreams_desc_t){
-        .loop = loop, .log = &test_log, .dialect = &dialect_native, .host = 1, .max_links = 10, .on_room = on_room});
+    return upstreams_setup(&(upstreams_desc_t){.loop = loop,
+                                               .log = &test_log,
+                                               .dialect = &dialect_native,
+                                               .host = 1,
+                                               .max_conns = 10,
+                                               .on_slot_free = on_slot_free});
 }
 
 static cw_server_t server(uint32_t number, const char* pool) {
@@ -78,16 +82,16 @@
                                                          .log = &test_log,
                                                          .dialect = &dialect_native,
                                                          .host = 1,
-                                                         .max_links = 10,
+                                                         .max_conns = 10,
                                                          .max_servers = 20000,
-                                                         .on_room = on_room});
+                                                         .on_slot_free = on_slot_free});
     cw_servers_t list = {0};
     for (uint32_t i = 0; i < ENGINES + SERVICES; i++) {
         cw_server_t s = server(i, i < ENGINES ? "engines" : "services");
         cw_servers_add(&list, &s);
     }
     ck_assert_uint_eq(set_servers(u, 1000, list, false), ENGINES + SERVICES);
-    ck_assert_uint_eq(upstreams_refused(u), 0);
+    ck_assert_uint_eq(upstreams_servers_rejected(u), 0);
     pool_t* engines = upstreams_pool(u, "engines");
     ck_assert_uint_eq(upstreams_pool(u, "services")->ready, SERVICES);
     ck_assert_uint_eq(engines->listed, ENGINES);
@@ -106,7 +110,7 @@
     uint32_t known = set_servers(u, 1000, list_of(0, 3 * SERVERS), false);
     ck_assert_uint_ge(known, SERVERS);
     ck_assert_uint_lt(known, (uint64_t)3 * SERVERS);
-    ck_assert_uint_eq(upstreams_refused(u), 3 * SERVERS - known);
+    ck_assert_uint_eq(upstreams_servers_rejected(u), 3 * SERVERS - known);
     ck_assert_ptr_nonnull(strstr(last_line, "servers-full"));
     ck_assert_uint_eq(set_servers(u, 1000, list_of(3 * SERVERS - 5, 3 * SERVERS), false), known); /* all removed */
     ck_assert_uint_eq(set_servers(u, 1000, list_of(3 * SERVERS - 5, 3 * SERVERS), false), 5);     /* 5 fit */
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -7,7 +7,7 @@
 static cw_msg_t msg, decoded;
 
 static void check_round_trip(cw_wire_t* wire) {
-    cw_bytes_t frame = cw_wire_frame(wire, &msg);
+    cw_bytes_t frame = cw_wire_encode_frame(wire, &msg);
     ck_assert_uint_eq(cw_wire_body_size(frame.data), frame.size - CW_FRAME_HEADER);
     cw_error_t err = {0};
     cw_status_t status =
@@ -18,12 +18,13 @@
 
 START_TEST(slot_requests_and_actions_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
-    msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 9};
-    msg.want = (cw_want_t){.seq = 3, .tier = 2, .flags = 1, .workspace = UINT64_MAX, .cost = 77, .left_ms = 5};
+    msg = (cw_msg_t){.type = CW_MSG_SLOT_REQUEST, .shard = 9};
+    msg.slot_request =
+        (cw_slot_request_t){.seq = 3, .tier = 2, .flags = 1, .workspace = UINT64_MAX, .cost = 77, .remaining_ms = 5};
     /* Remains of an earlier message were once taken for a limit of the workspace. */
     memset(&decoded, 0xff, sizeof(decoded));
     check_round_trip(wire);
-    ck_assert_mem_eq(&decoded.want, &msg.want, sizeof(msg.want));
+    ck_assert_mem_eq(&decoded.slot_request, &msg.slot_request, sizeof(msg.slot_request));
     msg = (cw_msg_t){.type = CW_MSG_ACTION, .shard = 9, .wait_ms = 12};
     msg.action = (cw_shard_action_t){.kind = CW_SHARD_GRANT, .seq = 3, .grant = 1ULL << 40, .upstream = 5};
     check_round_trip(wire);
@@ -35,22 +36,22 @@
 
 START_TEST(grant_lists_and_document_chunks_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
-    cw_held_t held[3] = {{.grant = 1, .workspace = 1, .seq = 1},
-                         {.grant = 2, .workspace = 1, .tier = 3},
-                         {.grant = 3, .workspace = 1, .cost = 9}};
-    msg = (cw_msg_t){.type = CW_MSG_LIST, .shard = 4};
-    msg.digest = (cw_digest_t){.last = 3, .xored = 0, .count = 3};
+    cw_held_grant_t held[3] = {{.grant = 1, .workspace = 1, .seq = 1},
+                               {.grant = 2, .workspace = 1, .tier = 3},
+                               {.grant = 3, .workspace = 1, .cost = 9}};
+    msg = (cw_msg_t){.type = CW_MSG_GRANT_LIST, .shard = 4};
+    msg.digest = (cw_grant_digest_t){.last = 3, .ids_xor = 0, .count = 3};
     msg.held = held;
     msg.held_count = 3;
     check_round_trip(wire);
     ck_assert_uint_eq(decoded.held_count, 3);
     ck_assert_uint_eq(decoded.held[2].cost, 9);
-    msg = (cw_msg_t){.type = CW_MSG_CHUNK};
+    msg = (cw_msg_t){.type = CW_MSG_DOCUMENT_CHUNK};
     msg.chunk.revision = 8;
     msg.chunk.last = true;
     msg.chunk.count = 2;
-    msg.chunk.items[0] = (cw_chunk_item_t){.key = "pools/a", .value = "{}", .revision = 7};
-    msg.chunk.items[1] = (cw_chunk_item_t){.key = "pools/b", .value = NULL, .revision = 8};
+    msg.chunk.items[0] = (cw_document_t){.key = "pools/a", .value = "{}", .revision = 7};
+    msg.chunk.items[1] = (cw_document_t){.key = "pools/b", .value = NULL, .revision = 8};
     check_round_trip(wire);
     ck_assert_str_eq(decoded.chunk.items[0].value, "{}");
     ck_assert_ptr_null(decoded.chunk.items[1].value);
@@ -79,13 +80,13 @@
     static cw_gossip_t g, in;
     g = (cw_gossip_t){.kind = CW_GOSSIP_PING, .seq = 1};
     cw_copy(g.from.name, sizeof(g.from.name), "a");
-    cw_bytes_t bytes = cw_wire_datagram(wire, "one", &g);
+    cw_bytes_t bytes = cw_wire_encode_datagram(wire, "one", &g);
     uint8_t copy[2048];
     memcpy(copy, bytes.data, bytes.size);
     size_t size = bytes.size;
-    ck_assert_int_eq(cw_wire_gossip(wire, "one", copy, size, &in, NULL), CW_OK);
+    ck_assert_int_eq(cw_wire_decode_datagram(wire, "one", copy, size, &in, NULL), CW_OK);
     ck_assert_uint_eq(in.from.id, cw_name_id("a"));
-    ck_assert_int_eq(cw_wire_gossip(wire, "two", copy, size, &in, NULL), CW_ERR_PROTOCOL);
+    ck_assert_int_eq(cw_wire_decode_datagram(wire, "two", copy, size, &in, NULL), CW_ERR_PROTOCOL);
     cw_wire_shutdown(wire);
 }
 END_TEST
@@ -94,7 +95,7 @@
 START_TEST(summaries_survive_the_round_trip) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_gossip_t g, in;
-    static const uint32_t sizes[] = {0, 1, 256, CW_SUMMARY_BUCKETS, 4};
+    static const uint32_t sizes[] = {0, 1, 256, CW_SUMMARY_MAX_BUCKETS, 4};
     cw_bytes_t bytes;
     for (size_t k = 0; k < sizeof(sizes) / sizeof(sizes[0]); k++) {
         g = (cw_gossip_t){.kind = CW_GOSSIP_PING, .seq = 1, .summary = {.buckets = sizes[k]}};
@@ -102,8 +103,8 @@
         for (uint32_t i = 0; i < sizes[k]; i++) {
             g.summary.sums[i] = (uint16_t)cw_mix(k, i);
         }
-        bytes = cw_wire_datagram(wire, "one", &g);
-        ck_assert_int_eq(cw_wire_gossip(wire, "one", bytes.data, bytes.size, &in, NULL), CW_OK);
+        bytes = cw_wire_encode_datagram(wire, "one", &g);
+        ck_assert_int_eq(cw_wire_decode_datagram(wire, "one", bytes.data, bytes.size, &in, NULL), CW_OK);
         ck_assert_mem_eq(&in.summary, &g.summary, sizeof(in.summary));
     }
     uint8_t three[2048];
@@ -111,7 +112,7 @@
     memcpy(three, bytes.data, size);
     ck_assert_uint_eq(three[size - 7], 0xa8); /* fixstr of 8 bytes */
     three[size - 7] = 0xa6;
-    ck_assert_int_eq(cw_wire_gossip(wire, "one", three, size, &in, NULL), CW_ERR_PROTOCOL);
+    ck_assert_int_eq(cw_wire_decode_datagram(wire, "one", three, size, &in, NULL), CW_ERR_PROTOCOL);
     cw_wire_shutdown(wire);
 }
 END_TEST
@@ -139,20 +140,20 @@
 /* An id of zero means none and would violate the preconditions of the modules: the decoder refuses it. */
 START_TEST(zero_ids_are_refused) {
     cw_wire_t* wire = cw_wire_setup(NULL);
-    cw_held_t held = {.grant = 0, .workspace = 1};
-    msg = (cw_msg_t){.type = CW_MSG_LIST, .shard = 4};
+    cw_held_grant_t held = {.grant = 0, .workspace = 1};
+    msg = (cw_msg_t){.type = CW_MSG_GRANT_LIST, .shard = 4};
     msg.held = &held;
     msg.held_count = 1;
-    cw_bytes_t f = cw_wire_frame(wire, &msg);
+    cw_bytes_t f = cw_wire_encode_frame(wire, &msg);
     ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
-    msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 4};
-    msg.want.seq = 1;
-    f = cw_wire_frame(wire, &msg);
+    msg = (cw_msg_t){.type = CW_MSG_SLOT_REQUEST, .shard = 4};
+    msg.slot_request.seq = 1;
+    f = cw_wire_encode_frame(wire, &msg);
     ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
     msg = (cw_msg_t){.type = CW_MSG_HELLO};
-    f = cw_wire_frame(wire, &msg);
+    f = cw_wire_encode_frame(wire, &msg);
     ck_assert_int_eq(cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL),
                      CW_ERR_PROTOCOL);
     cw_wire_shutdown(wire);
@@ -164,10 +165,10 @@
     rng_t rng = {.state = (uint64_t)_i};
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_gossip_t in;
-    msg = (cw_msg_t){.type = CW_MSG_WANT, .shard = 9};
-    msg.want.seq = 1;
-    msg.want.workspace = 1;
-    cw_bytes_t frame = cw_wire_frame(wire, &msg);
+    msg = (cw_msg_t){.type = CW_MSG_SLOT_REQUEST, .shard = 9};
+    msg.slot_request.seq = 1;
+    msg.slot_request.workspace = 1;
+    cw_bytes_t frame = cw_wire_encode_frame(wire, &msg);
     uint8_t good[256];
     size_t size = frame.size - CW_FRAME_HEADER;
     memcpy(good, frame.data + CW_FRAME_HEADER, size);
@@ -179,8 +180,9 @@
         }
         cw_status_t status = cw_wire_decode(wire, bytes, 1 + rng_below(&rng, (uint32_t)size), &decoded, NULL);
         ck_assert(status == CW_OK || status == CW_ERR_PROTOCOL);
-        ck_assert(status != CW_OK || decoded.type != CW_MSG_WANT || (decoded.want.tier < CW_TIERS && decoded.want.seq));
-        cw_wire_gossip(wire, "x", bytes, size, &in, NULL);
+        ck_assert(status != CW_OK || decoded.type != CW_MSG_SLOT_REQUEST ||
+                  (decoded.slot_request.tier < CW_TIERS && decoded.slot_request.seq));
+        cw_wire_decode_datagram(wire, "x", bytes, size, &in, NULL);
     }
     cw_wire_shutdown(wire);
 }
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -70,9 +70,9 @@
     add_item(items, "classes/stock-summary",
              json_pack("{s:i,s:i,s:i,s:[s],s:b}", "tier", 3, "deadline_ms", 20000, "queue_ms", 400, "pools", "language",
                        "preemptible", 1));
-    add_upstream(items, site_find(s, "engine-1"), "language", 8);
-    add_upstream(items, site_find(s, "engine-2"), "language", 8);
-    add_upstream(items, site_find(s, "booking-1"), "scheduling", 16);
+    add_upstream(items, site_find_process(s, "engine-1"), "language", 8);
+    add_upstream(items, site_find_process(s, "engine-2"), "language", 8);
+    add_upstream(items, site_find_process(s, "booking-1"), "scheduling", 16);
     json_t* root = json_pack("{s:o}", "items", items);
     char* text = json_dumps(root, 0);
     bool ok = site_publish(s, text);
@@ -122,11 +122,11 @@
     char got[4096];
     format_prompt("stream-1", 40, true, body, sizeof(body));
     format_expected_text("stream-1", 40, expected, sizeof(expected));
-    site_answer_t a = site_call(&(site_request_t){.address = address,
-                                                  .path = "/v1/chat/completions",
-                                                  .token = BEARER_TOKEN,
-                                                  .class_name = "fault-diagnosis",
-                                                  .body = body});
+    site_response_t a = site_call(&(site_request_t){.address = address,
+                                                    .path = "/v1/chat/completions",
+                                                    .token = BEARER_TOKEN,
+                                                    .class_name = "fault-diagnosis",
+                                                    .body = body});
     bool has_done_event = join_stream(a.body, got, sizeof(got));
     bool is_ok = a.status == 200 && a.whole && has_done_event && strcmp(got, expected) == 0;
     char observed[128];
@@ -140,11 +140,11 @@
     char expected[4096];
     format_prompt("whole-1", 25, false, body, sizeof(body));
     format_expected_text("whole-1", 25, expected, sizeof(expected));
-    site_answer_t a = site_call(&(site_request_t){.address = address,
-                                                  .path = "/v1/chat/completions",
-                                                  .token = BEARER_TOKEN,
-                                                  .class_name = "stock-summary",
-                                                  .body = body});
+    site_response_t a = site_call(&(site_request_t){.address = address,
+                                                    .path = "/v1/chat/completions",
+                                                    .token = BEARER_TOKEN,
+                                                    .class_name = "stock-summary",
+                                                    .body = body});
     json_t* root = json_loads(a.body, 0, NULL);
     json_t* choice = json_array_get(json_object_get(root, "choices"), 0);
     const char* got = json_string_value(json_object_get(json_object_get(choice, "message"), "content"));
@@ -155,7 +155,7 @@
     json_decref(root);
 }
 
-static int read_run_count(const site_answer_t* a) {
+static int read_run_count(const site_response_t* a) {
     json_t* root = json_loads(a->body, 0, NULL);
     int ran = (int)json_integer_value(json_object_get(root, "ran"));
     json_decref(root);
@@ -163,7 +163,7 @@
 }
 
 static void check_booking(demo_t* d, const char* lookup_address) {
-    site_answer_t lookup = site_call(&(site_request_t){.address = lookup_address, .path = "/v1/lookup"});
+    site_response_t lookup = site_call(&(site_request_t){.address = lookup_address, .path = "/v1/lookup"});
     json_t* root = json_loads(lookup.body, 0, NULL);
     const char* ticket = json_string_value(json_object_get(root, "ticket"));
     const char* address = json_string_value(json_object_get(root, "ticket_address"));
@@ -180,8 +180,8 @@
                                      .class_name = "booking",
                                      .key = key,
                                      .body = "{\"call\":\"booking-77\",\"slot\":\"08:00\"}"};
-        site_answer_t first = site_call(&call);
-        site_answer_t second = site_call(&call);
+        site_response_t first = site_call(&call);
+        site_response_t second = site_call(&call);
         bool is_same = strcmp(first.body, second.body) == 0 && read_run_count(&first) == 1;
         snprintf(observed, sizeof(observed), "%ld and %ld, runs %d, answers %s", first.status, second.status,
                  read_run_count(&second), is_same ? "the same" : "differ");
@@ -192,13 +192,13 @@
             const site_proc_t* p = &d->site.procs[i];
             other.address = (p->kind == SITE_DAEMON && strcmp(p->http, address) != 0) ? p->http : other.address;
         }
-        site_answer_t third = site_call(&other);
+        site_response_t third = site_call(&other);
         snprintf(observed, sizeof(observed), "%ld %s", third.status, third.outcome);
         report_check(d, third.status == 409 && strcmp(third.outcome, "unknown") == 0,
                      "the same idempotency key at another host", observed);
     }
     json_decref(root);
-    double runs = site_number(site_find(&d->site, "booking-1")->http, "/admin/stats", "runs");
+    double runs = site_get_number(site_find_process(&d->site, "booking-1")->http, "/admin/stats", "runs");
     snprintf(observed, sizeof(observed), "the service counted %.0f", runs);
     report_check(d, runs == 1, "runs of that booking", observed);
 }
@@ -224,8 +224,9 @@
     static char bodies[BURST_REQUESTS][256];
     burst_t b = {.remaining = BURST_REQUESTS, .loop = ev_default_loop(EVFLAG_AUTO)};
     cw_client_t* client = cw_client_setup(b.loop, 0);
-    const char* daemons[] = {site_find(&d->site, "router-1")->http, site_find(&d->site, "router-2")->http,
-                             site_find(&d->site, "router-3")->http};
+    const char* daemons[] = {site_find_process(&d->site, "router-1")->http,
+                             site_find_process(&d->site, "router-2")->http,
+                             site_find_process(&d->site, "router-3")->http};
     const cw_header_t headers[] = {{"Authorization", "Bearer " BEARER_TOKEN},
                                    {"Chalkway-Class", "stock-summary"},
                                    {"Content-Type", "application/json"}};
@@ -253,18 +254,18 @@
 }
 
 static void check_wrong_token(demo_t* d, const char* address) {
-    site_answer_t a = site_call(&(site_request_t){.address = address,
-                                                  .path = "/v1/chat/completions",
-                                                  .token = "wrong",
-                                                  .class_name = "stock-summary",
-                                                  .body = "{}"});
+    site_response_t a = site_call(&(site_request_t){.address = address,
+                                                    .path = "/v1/chat/completions",
+                                                    .token = "wrong",
+                                                    .class_name = "stock-summary",
+                                                    .body = "{}"});
     char observed[128];
     snprintf(observed, sizeof(observed), "%ld %s", a.status, a.outcome);
     report_check(d, a.status == 401 && strcmp(a.outcome, "not-run") == 0, "wrong bearer token", observed);
 }
 
 static void check_stop(demo_t* d) {
-    site_proc_t* p = site_find(&d->site, "router-3");
+    site_proc_t* p = site_find_process(&d->site, "router-3");
     int code = site_stop(p);
     char observed[64];
     snprintf(observed, sizeof(observed), "exit code %d", code);
@@ -279,13 +280,13 @@
     demo_t* d = &demo;
     setvbuf(stdout, NULL, _IOLBF, 0);
     site_setup(&d->site, argc > 1 ? argv[1] : "build");
-    d->site.daemon_extra = "[entry]\nlookup_keep = 1s\n";
+    d->site.extra_daemon_settings = "[entry]\nlookup_keep = 1s\n";
     if (!start_processes(d) || !publish_configuration(d) || !site_wait_ready(&d->site, READY_TIMEOUT_MS)) {
         fprintf(stderr, "the site did not become ready; logs are in %s\n", d->site.dir);
         site_shutdown(&d->site);
         return 1;
     }
-    const char* address = site_find(&d->site, "router-2")->http;
+    const char* address = site_find_process(&d->site, "router-2")->http;
     printf("\n  3 routers in 2 halls, 2 engines, 1 service\n\n");
     check_stream(d, address);
     check_complete_response(d, address);
--- a/tools/site.c
+++ b/tools/site.c
@@ -42,7 +42,7 @@
 
 /* -- processes ------------------------------------------------------------ */
 
-site_proc_t* site_find(site_t* s, const char* name) {
+site_proc_t* site_find_process(site_t* s, const char* name) {
     for (int i = 0; i < s->count; i++) {
         if (strcmp(s->procs[i].name, name) == 0) {
             return &s->procs[i];
@@ -147,7 +147,7 @@
         platform = s->procs[i].kind == SITE_PLATFORM ? s->procs[i].http : platform;
     }
     fprintf(f, "\n[platform]\nurl = http://%s\nrate = 10\n[log]\nlevel = %s\n%s", platform,
-            s->log_level ? s->log_level : "warn", s->daemon_extra ? s->daemon_extra : "");
+            s->log_level ? s->log_level : "warn", s->extra_daemon_settings ? s->extra_daemon_settings : "");
     fclose(f);
 }
 
@@ -168,14 +168,14 @@
     return start_and_wait_ready(s, p, args);
 }
 
-void site_stop_begin(const site_proc_t* p) {
+void site_send_stop(const site_proc_t* p) {
     if (p->pid) {
         kill(p->pid, SIGCONT);
         kill(p->pid, SIGTERM);
     }
 }
 
-int site_stop_wait(site_proc_t* p) {
+int site_wait_stopped(site_proc_t* p) {
     int status = 0;
     int64_t deadline_ms = site_now_ms() + STOP_TIMEOUT_MS;
     while (p->pid && waitpid(p->pid, &status, WNOHANG) == 0) {
@@ -191,8 +191,8 @@
 }
 
 int site_stop(site_proc_t* p) {
-    site_stop_begin(p);
-    return site_stop_wait(p);
+    site_send_stop(p);
+    return site_wait_stopped(p);
 }
 
 void site_kill(site_proc_t* p) {
@@ -207,13 +207,13 @@
     int failed = 0;
     for (int i = 0; i < s->count; i++) {
         if (s->procs[i].kind == SITE_DAEMON) {
-            site_stop_begin(&s->procs[i]);
+            site_send_stop(&s->procs[i]);
         }
     }
     for (int i = 0; i < s->count; i++) {
         site_proc_t* p = &s->procs[i];
         if (p->kind == SITE_DAEMON && p->pid) {
-            failed += site_stop_wait(p) != 0;
+            failed += site_wait_stopped(p) != 0;
         }
     }
     for (int i = 0; i < s->count; i++) {
@@ -227,7 +227,7 @@
 /* -- requests ------------------------------------------------------------- */
 
 static size_t on_body(char* data, size_t size, size_t count, void* user) {
-    site_answer_t* a = user;
+    site_response_t* a = user;
     size_t used = strlen(a->body);
     size_t n = size * count;
     size_t available = sizeof(a->body) - 1 - used;
@@ -237,7 +237,7 @@
 }
 
 static size_t on_header(char* data, size_t size, size_t count, void* user) {
-    site_answer_t* a = user;
+    site_response_t* a = user;
     size_t n = size * count;
     char line[256];
     cw_copy(line, n + 1 < sizeof(line) ? n + 1 : sizeof(line), data);
@@ -256,8 +256,8 @@
     return curl_slist_append(list, line);
 }
 
-site_answer_t site_call(const site_request_t* r) {
-    site_answer_t response = {0};
+site_response_t site_call(const site_request_t* r) {
+    site_response_t response = {0};
     char url[512];
     char bearer[256];
     snprintf(url, sizeof(url), "http://%s%s", r->address, r->path);
@@ -299,7 +299,7 @@
 bool site_publish(site_t* s, const char* items) {
     for (int i = 0; i < s->count; i++) {
         if (s->procs[i].kind == SITE_PLATFORM) {
-            site_answer_t a = site_call(
+            site_response_t a = site_call(
                 &(site_request_t){.address = s->procs[i].http, .path = "/admin/put", .body = items, .method = "POST"});
             return a.status == 200;
         }
@@ -331,8 +331,8 @@
     return ok;
 }
 
-double site_number(const char* address, const char* path, const char* key) {
-    site_answer_t a = site_call(&(site_request_t){.address = address, .path = path, .timeout_ms = 2000});
+double site_get_number(const char* address, const char* path, const char* key) {
+    site_response_t a = site_call(&(site_request_t){.address = address, .path = path, .timeout_ms = 2000});
     json_t* root = json_loads(a.body, 0, NULL);
     json_t* value = json_object_get(root, key);
     double number = json_is_number(value) ? json_number_value(value) : -1;
@@ -341,7 +341,7 @@
 }
 
 static int count_live_members(const char* address) {
-    site_answer_t a = site_call(&(site_request_t){.address = address, .path = "/v1/status", .timeout_ms = 2000});
+    site_response_t a = site_call(&(site_request_t){.address = address, .path = "/v1/status", .timeout_ms = 2000});
     json_t* root = json_loads(a.body, 0, NULL);
     int live = 0;
     size_t i = 0;
@@ -364,7 +364,7 @@
         if (p->kind != SITE_DAEMON || !p->pid) {
             continue;
         }
-        site_answer_t a =
+        site_response_t a =
             site_call(&(site_request_t){.address = p->operator_http, .path = "/readyz", .timeout_ms = 2000});
         if (a.status != 200 || count_live_members(p->operator_http) < daemons) {
             return false;
@@ -389,7 +389,7 @@
     for (int i = 0; i < s->count; i++) {
         const site_proc_t* p = &s->procs[i];
         while (p->kind == SITE_DAEMON && p->pid &&
-               site_number(p->operator_http, "/v1/status", "revision") < (double)revision) {
+               site_get_number(p->operator_http, "/v1/status", "revision") < (double)revision) {
             if (site_now_ms() > deadline_ms) {
                 return false;
             }
--- a/tools/site.h
+++ b/tools/site.h
@@ -32,19 +32,19 @@
     char dir[64];    /* temporary directory of settings files and logs */
     site_proc_t procs[SITE_MAX_PROCS];
     int count;
-    const char* daemon_extra; /* lines appended to the daemons' settings files, or NULL */
-    const char* log_level;    /* of the daemons; NULL: warn */
+    const char* extra_daemon_settings; /* lines appended to the daemons' settings files, or NULL */
+    const char* log_level;             /* of the daemons; NULL: warn */
 } site_t;
 
 /* Response to a blocking request. */
-typedef struct site_answer_t {
+typedef struct site_response_t {
     long status; /* 0: no response */
     bool whole;  /* received completely */
     char outcome[32];
     char retry_after[16];
     long bytes; /* of the request and its response, headers included */
     char body[SITE_BODY_MAX];
-} site_answer_t;
+} site_response_t;
 
 typedef struct site_request_t {
     const char* method;
@@ -68,12 +68,12 @@
 site_proc_t* site_start_daemon(site_t* s, const char* name, const char* hall);
 /* Restarts a daemon that was stopped, under its previous name and addresses. */
 bool site_restart_daemon(site_t* s, site_proc_t* p);
-site_proc_t* site_find(site_t* s, const char* name);
+site_proc_t* site_find_process(site_t* s, const char* name);
 /* Sends SIGTERM and waits for the end; returns the exit code, or -1 if a signal ended the process. */
 int site_stop(site_proc_t* p);
 /* The two halves of site_stop: sends SIGTERM, and waits for the end, killing the process after 60 s. */
-void site_stop_begin(const site_proc_t* p);
-int site_stop_wait(site_proc_t* p);
+void site_send_stop(const site_proc_t* p);
+int site_wait_stopped(site_proc_t* p);
 /* Sends SIGKILL and waits for the end. */
 void site_kill(site_proc_t* p);
 /* Publishes documents on the platform stand-in; items is JSON: {"items": [...]}. */
@@ -81,9 +81,9 @@
 /* Publishes the list of hosts: all running processes; leaving names the one in state "leaving", or NULL. */
 bool site_publish_hosts(site_t* s, const char* leaving);
 /* Sends a blocking HTTP request. */
-site_answer_t site_call(const site_request_t* request);
+site_response_t site_call(const site_request_t* request);
 /* Sends GET and returns the number at a top-level key of the JSON response, or -1 if there is none. */
-double site_number(const char* address, const char* path, const char* key);
+double site_get_number(const char* address, const char* path, const char* key);
 /* Waits until GET /readyz of every daemon gives 200 and each daemon lists at least as many live members as there are
    daemons; false on timeout. */
 bool site_wait_ready(site_t* s, int timeout_ms);
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -30,7 +30,7 @@
         soak_start_callers(s);
         soak_record_event(s, "over start -");
     }
-    s->faults_until_ms = standin_now() + FAULT_PHASE_MS;
+    s->faults_until_ms = standin_now_ms() + FAULT_PHASE_MS;
     soak_faults_begin(s);
     soak_start_timer(s, &s->phase_timer, FAULT_PHASE_MS + CALM_PHASE_MS);
 }
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -49,7 +49,7 @@
     cw_stream_t stream;
     cw_message_t response;
     bool is_open, in_body;
-    char host[CW_ADDR_TEXT];
+    char host[CW_ADDR_TEXT_SIZE];
     /* the current request */
     bool is_busy;
     char id[20];
@@ -90,7 +90,7 @@
 
 static void record_event(callers_t* c, const char* what, const char* rest) {
     char line[240];
-    snprintf(line, sizeof(line), "C %" PRId64 " %s %s", standin_now(), what, rest);
+    snprintf(line, sizeof(line), "C %" PRId64 " %s %s", standin_now_ms(), what, rest);
     cw_lines_add(&c->lines, line);
 }
 
@@ -153,7 +153,7 @@
 
 static void on_body(void* owner, const char* data, size_t size) {
     caller_t* w = owner;
-    w->first_byte_ms = w->first_byte_ms ? w->first_byte_ms : standin_now();
+    w->first_byte_ms = w->first_byte_ms ? w->first_byte_ms : standin_now_ms();
     cw_buffer_add(&w->body, data, size);
 }
 
@@ -165,8 +165,8 @@
         close_connection(w); /* data without a request */
         return;
     }
-    cw_message_read(&w->response, data, size);
-    if (w->response.state == CW_MESSAGE_BROKEN) {
+    cw_message_parse(&w->response, data, size);
+    if (w->response.state == CW_MESSAGE_MALFORMED) {
         close_connection(w);
         finish(w, 0, false);
     } else if (w->response.state == CW_MESSAGE_COMPLETE) {
@@ -179,11 +179,11 @@
     }
 }
 
-static void on_end(void* owner, cw_stream_end_t end) {
+static void on_end(void* owner, cw_stream_end_reason_t end) {
     caller_t* w = owner;
     bool in_response = w->response.state == CW_MESSAGE_HEAD || w->response.state == CW_MESSAGE_BODY;
     w->is_open = false;
-    if (w->is_busy && end != CW_STREAM_REFUSED) {
+    if (w->is_busy && end != CW_STREAM_CONNECT_FAILED) {
         finish(w, in_response ? w->response.status : 0, false);
     } else if (!w->is_busy) {
         schedule_next(w, RECONNECT_DELAY_MS / 1000.0);
@@ -193,7 +193,7 @@
 
 /* Returns the number of the query of death to send now, or 0 for an ordinary request. */
 static uint32_t next_query_of_death(callers_t* c) {
-    uint32_t body = (uint32_t)((standin_now() - c->start_ms) / 1000 / QOD_DURATION_S) + 1;
+    uint32_t body = (uint32_t)((standin_now_ms() - c->start_ms) / 1000 / QOD_DURATION_S) + 1;
     return body <= c->qod_body_count && next_random_unit(c) < QOD_PER_S / (c->requests_per_s * c->rate_factor) ? body
                                                                                                                : 0;
 }
@@ -242,7 +242,7 @@
                   w->body_text);
     w->is_busy = true;
     w->first_byte_ms = 0;
-    w->sent_ms = standin_now();
+    w->sent_ms = standin_now_ms();
     bool is_query_of_death = strncmp(w->body_text, "deadly", strlen("deadly")) == 0;
     snprintf(rest, sizeof(rest), "%s %s %s %u %s", w->id, kind->name, w->host, w->tokens,
              is_query_of_death ? w->body_text : "-");
@@ -326,9 +326,9 @@
     snprintf(url, sizeof(url), "http://%s/v1/lookup?hall=a", c->hosts[next_random(c) % c->host_count]);
     w->lookup[0] = 0;
     cw_client_call(c->client, &(cw_call_desc_t){.url = url,
-                                                .connect_ms = LOOKUP_TIMEOUT_MS,
+                                                .connect_timeout_ms = LOOKUP_TIMEOUT_MS,
                                                 .timeout_ms = LOOKUP_TIMEOUT_MS,
-                                                .fresh = true,
+                                                .use_new_connection = true,
                                                 .on_data = on_lookup_data,
                                                 .on_done = on_lookup_done,
                                                 .user_data = w});
@@ -423,7 +423,7 @@
     argp_parse(&argp, argc, argv, 0, NULL, c);
     signal(SIGPIPE, SIG_IGN);
     c->loop = ev_default_loop(0);
-    c->start_ms = standin_now();
+    c->start_ms = standin_now_ms();
     c->client = cw_client_setup(c->loop, MAX_HOSTS);
     printf("ready\n");
     fflush(stdout);
--- a/tools/soak_deadly.h
+++ b/tools/soak_deadly.h
@@ -1,5 +1,5 @@
-#ifndef CW_TOOLS_SOAK_DEADLY_H
-#define CW_TOOLS_SOAK_DEADLY_H
+#ifndef CW_TOOLS_SOAK_QOD_H
+#define CW_TOOLS_SOAK_QOD_H
 /*
     Counts, for each query of death in a soak, how many upstreams it crashed, and how often it still reached an upstream
     when all hosts should have quarantined it.
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -54,7 +54,7 @@
 }
 
 static bool suspend_begin(active_fault_t* a) {
-    a->target->suspended_since_ms = standin_now();
+    a->target->suspended_since_ms = standin_now_ms();
     return freeze_begin(a);
 }
 
@@ -134,7 +134,7 @@
     char path[40];
     snprintf(path, sizeof(path), "/admin/set?limit=%s", rates[soak_random(a->soak) % 4]);
     soak_post(a->soak, a->target->address, path, "");
-    int64_t remaining_ms = a->soak->faults_until_ms - standin_now();
+    int64_t remaining_ms = a->soak->faults_until_ms - standin_now_ms();
     soak_start_timer(a->soak, &a->timer, remaining_ms < RATE_LIMIT_DURATION_MS ? remaining_ms : RATE_LIMIT_DURATION_MS);
     return true;
 }
@@ -265,7 +265,7 @@
         return;
     }
     char name[48];
-    int64_t remaining_ms = s->faults_until_ms - standin_now();
+    int64_t remaining_ms = s->faults_until_ms - standin_now_ms();
     int64_t duration_ms = FAULT_DURATION_MIN_MS + (int64_t)(soak_random(s) % FAULT_DURATION_SPREAD_MS);
     *a = (active_fault_t){.soak = s, .kind = kind, .target = target};
     ev_timer_init(&a->timer, on_fault_end, 0.0, 0.0);
@@ -294,7 +294,7 @@
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    if (standin_now() + FAULT_DURATION_MIN_MS > s->faults_until_ms) {
+    if (standin_now_ms() + FAULT_DURATION_MIN_MS > s->faults_until_ms) {
         return;
     }
     uint32_t weight_sum = 0;
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -35,7 +35,7 @@
 
 void soak_record_event(soak_t* s, const char* fmt, ...) {
     char line[200];
-    int n = snprintf(line, sizeof(line), "S %" PRId64 " ", standin_now());
+    int n = snprintf(line, sizeof(line), "S %" PRId64 " ", standin_now_ms());
     va_list args;
     va_start(args, fmt);
     n += vsnprintf(line + n, sizeof(line) - (size_t)n - 1, fmt, args);
@@ -65,7 +65,7 @@
     (void)loop;
     (void)events;
     soak_t* s = w->data;
-    int64_t now_ms = standin_now();
+    int64_t now_ms = standin_now_ms();
     if (s->last_watch_ms && now_ms - s->last_watch_ms > LATE_WAKEUP_MS) {
         record_late_wakeup(s, now_ms);
     }
@@ -140,7 +140,7 @@
 
 void soak_publish_servers(soak_t* s) {
     cw_buffer_t text = {0};
-    add_text(&text, "{\"at\":%" PRId64 ",\"servers\":[", standin_now());
+    add_text(&text, "{\"at\":%" PRId64 ",\"servers\":[", standin_now_ms());
     bool first = true;
     for (uint32_t i = 0; i < s->proc_count; i++) {
         const proc_t* p = &s->procs[i];
@@ -200,7 +200,7 @@
         handle_line(p, p->line.data + used);
         used = (size_t)(end - p->line.data) + 1;
     }
-    cw_buffer_drop(&p->line, used);
+    cw_buffer_consume(&p->line, used);
 }
 
 static void on_restart(struct ev_loop* loop, ev_timer* w, int events) {
@@ -251,7 +251,7 @@
 }
 
 void soak_resume_host(proc_t* p) {
-    p->suspended_total_ms += standin_now() - p->suspended_since_ms;
+    p->suspended_total_ms += standin_now_ms() - p->suspended_since_ms;
     soak_suspend_write(p);
     kill(p->pid, SIGCONT);
 }
@@ -317,7 +317,7 @@
 static void launch_upstream(proc_t* p) {
     char slots[8];
     bool is_engine = p->is_engine;
-    p->started_ms = standin_now();
+    p->started_ms = standin_now_ms();
     snprintf(slots, sizeof(slots), "%d", is_engine ? ENGINE_SLOTS : SERVICE_SLOTS);
     const char* const args[] = {"--id",
                                 p->name,
