--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "../chalkway_hist.h"
-#include "../chalkway_place.h"
+#include "../chalkway_rendezvous.h"
 #include "../chalkway_runonce.h"
 #include "../chalkway_shard.h"
 #include "../chalkway_store.h"
--- a/chalkway_rest.h
+++ b/chalkway_backoff.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_BACKOFF_H
 #define CHALKWAY_BACKOFF_H
 /*
-    chalkway_rest.h -- backoff that a server requested from this host
+    chalkway_backoff.h -- backoff that a server requested from this host
 
     WHAT IT IS
         The time until which this host sends no requests to a server that
--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -22,7 +22,7 @@
         first. A server's backlog for an urgency is therefore the time that it
         needs to prefill all pending prompts that are no less urgent. The
         prefill time of a token is learned from the time to the first byte
-        (chalkway_reading.h). Prompt parts that a server has prefilled count as
+        (chalkway_prefill.h). Prompt parts that a server has prefilled count as
         cached there until as many further tokens were prefilled as fit into
         its prefix cache.
 
@@ -44,15 +44,15 @@
         MIT, see LICENSE.
 */
 #include "chalkway_backlog.h"
+#include "chalkway_backoff.h"
 #include "chalkway_contention.h"
-#include "chalkway_gaps.h"
-#include "chalkway_holding.h"
-#include "chalkway_home.h"
+#include "chalkway_gap_limits.h"
 #include "chalkway_limit.h"
+#include "chalkway_occupancy.h"
+#include "chalkway_owner.h"
+#include "chalkway_prefill.h"
 #include "chalkway_prefix.h"
 #include "chalkway_rate.h"
-#include "chalkway_reading.h"
-#include "chalkway_rest.h"
 #include "chalkway_suspect.h"
 
 #define CW_BALANCE_NONE UINT32_MAX
@@ -74,11 +74,11 @@
     uint32_t urgency; /* as sent to engines: 0 is prefilled first and preempted last */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    uint32_t target_ms;      /* to the first byte */
-    uint32_t gap_ms;         /* gap limit: longest accepted gap between events; 0: none */
-    bool repeatable;         /* a failed attempt may be retried, so a recent failure of a server weighs half */
-    bool is_late;            /* it waited so long for a slot that it can hardly meet its target (chalkway_turn.h) */
-    bool is_light;           /* its class needs few slots, see cw_balance_is_light */
+    uint32_t target_ms; /* to the first byte */
+    uint32_t gap_ms;    /* gap limit: longest accepted gap between events; 0: none */
+    bool repeatable;    /* a failed attempt may be retried, so a recent failure of a server weighs half */
+    bool is_late;       /* it waited so long for a slot that it can hardly meet its target (chalkway_queue_order.h) */
+    bool is_light;      /* its class needs few slots, see cw_balance_is_light */
     uint64_t rendezvous_key; /* if not 0, the server is chosen by rendezvous hashing of this key, not by cost */
     uint32_t part_count;
     cw_prompt_part_t parts[CW_PROMPT_PARTS]; /* the prompt from its start */
@@ -187,7 +187,7 @@
     uint32_t count;
     uint32_t missing;        /* hosts that vanished without a clean stop: they may run on behind a network partition */
     uint32_t propagation_ms; /* time until a load report has reached all hosts */
-    uint32_t direct_propagation_ms; /* the same for the other owner hosts of the server (chalkway_home.h) */
+    uint32_t direct_propagation_ms; /* the same for the other owner hosts of the server (chalkway_owner.h) */
 } cw_fleet_t;
 
 /* Numbers of servers that throttle this host now. */
@@ -290,7 +290,7 @@
 #include <string.h>
 
 #include "chalkway_map.h"
-#include "chalkway_pause.h"
+#include "chalkway_stall.h"
 
 /* Slow start. */
 #define _CW_COLD_SHARE 0.8 /* of cold_per_s: two daemons may briefly both take themselves for the server's owner */
--- a/chalkway_life.h
+++ b/chalkway_epoch.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_EPOCH_H
 #define CHALKWAY_EPOCH_H
 /*
-    chalkway_life.h -- epochs of a source that may be restored from a copy
+    chalkway_epoch.h -- epochs of a source that may be restored from a copy
 
     WHAT IT IS
         A source that was lost and is restored from an older copy of itself
--- a/chalkway_gaps.h
+++ b/chalkway_gap_limits.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_GAP_LIMITS_H
 #define CHALKWAY_GAP_LIMITS_H
 /*
-    chalkway_gaps.h -- gap limits of the streams at one server
+    chalkway_gap_limits.h -- gap limits of the streams at one server
 
     WHAT IT IS
         Numbers of streams by gap limit, the longest accepted gap between two
@@ -14,7 +14,7 @@
             cw_gap_limit_t strictest = cw_gap_limits_strictest(&g);
 
     WHAT IT DOES NOT DO
-        It does not predict stalls (chalkway_pause.h).
+        It does not predict stalls (chalkway_stall.h).
 
     LICENCE
         MIT, see LICENSE.
--- a/chalkway_holding.h
+++ b/chalkway_occupancy.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_OCCUPANCY_H
 #define CHALKWAY_OCCUPANCY_H
 /*
-    chalkway_holding.h -- slot occupancy by urgency
+    chalkway_occupancy.h -- slot occupancy by urgency
 
     WHAT IT IS
         One host's requests at a pool by urgency: the number that occupy a
--- a/chalkway_home.h
+++ b/chalkway_owner.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_OWNER_H
 #define CHALKWAY_OWNER_H
 /*
-    chalkway_home.h -- owner hosts of a server, which alone use its last free slots
+    chalkway_owner.h -- owner hosts of a server, which alone use its last free slots
 
     WHAT IT IS
         While a server has plenty of free slots, any host may use it. The
@@ -46,7 +46,7 @@
 #ifndef CHALKWAY_OWNER_IMPL_INCLUDED
 #define CHALKWAY_OWNER_IMPL_INCLUDED
 
-#include "chalkway_place.h"
+#include "chalkway_rendezvous.h"
 
 bool cw_owner_includes(uint64_t server, uint64_t own, const uint64_t* ids, uint32_t count) {
     return count <= CW_OWNER_SMALL_FLEET || cw_rendezvous_rank(server, own, ids, count) < CW_OWNER_HOSTS;
--- a/chalkway_reader.h
+++ b/chalkway_poll.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_POLL_H
 #define CHALKWAY_POLL_H
 /*
-    chalkway_reader.h -- when a daemon polls a source that its fleet shares
+    chalkway_poll.h -- when a daemon polls a source that its fleet shares
 
     WHAT IT IS
         Daemons send each other the state that they polled from the source,
--- a/chalkway_reading.h
+++ b/chalkway_prefill.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_PREFILL_H
 #define CHALKWAY_PREFILL_H
 /*
-    chalkway_reading.h -- learned prefill time of an engine
+    chalkway_prefill.h -- learned prefill time of an engine
 
     WHAT IT IS
         The time from sending a prompt to the first event of its response,
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -27,7 +27,7 @@
     LICENCE
         MIT, see LICENSE.
 */
-#include "chalkway_kept.h"
+#include "chalkway_prefix_cache.h"
 
 #define CW_PREFIX_OWNERS 2 /* more than one, since one may be busy or gone */
 
--- a/chalkway_kept.h
+++ b/chalkway_prefix_cache.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_PREFIX_CACHE_H
 #define CHALKWAY_PREFIX_CACHE_H
 /*
-    chalkway_kept.h -- estimate of the prompt parts in the servers' prefix caches
+    chalkway_prefix_cache.h -- estimate of the prompt parts in the servers' prefix caches
 
     WHAT IT IS
         A 4-way set-associative table of fixed size over pairs of a server
--- a/chalkway_turn.h
+++ b/chalkway_queue_order.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_QUEUE_ORDER_H
 #define CHALKWAY_QUEUE_ORDER_H
 /*
-    chalkway_turn.h -- order and time limits of requests that wait for a slot
+    chalkway_queue_order.h -- order and time limits of requests that wait for a slot
 
     WHAT IT IS
         The order in which waiting requests get the free slots of a pool, and
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -44,7 +44,7 @@
         MIT, see LICENSE.
 */
 #include "chalkway_limit.h"
-#include "chalkway_place.h"
+#include "chalkway_rendezvous.h"
 
 #define CW_RATE_RESPONSE_DELAY_MAX_MS 500 /* assumed longest transit time of a response's head */
 #define CW_RATE_EXPIRY_MS 30000           /* a rate expires when no response has mentioned it for so long */
--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -68,7 +68,7 @@
 
 #include <assert.h>
 
-#include "chalkway_place.h"
+#include "chalkway_rendezvous.h"
 
 /* Largest fleet in which all hosts are relays: sending to each host costs less there than the batching delay. */
 #define _CW_RELAY_FULL_MESH_MAX 16
--- a/chalkway_place.h
+++ b/chalkway_rendezvous.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_RENDEZVOUS_H
 #define CHALKWAY_RENDEZVOUS_H
 /*
-    chalkway_place.h -- assignments by rendezvous hashing
+    chalkway_rendezvous.h -- assignments by rendezvous hashing
 
     WHAT IT IS
         Assignments that every host computes alike without communication:
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -44,7 +44,7 @@
 
     WHAT IT DOES NOT DO
         It does not deliver messages, and does not decide which host runs
-        the shard: see chalkway_place.h.
+        the shard: see chalkway_rendezvous.h.
 
     LICENCE
         MIT, see LICENSE.
--- a/chalkway_events.h
+++ b/chalkway_sse.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_SSE_H
 #define CHALKWAY_SSE_H
 /*
-    chalkway_events.h -- complete events of a text/event-stream
+    chalkway_sse.h -- complete events of a text/event-stream
 
     WHAT IT IS
         Buffers the bytes of a stream of server-sent events and returns only
--- a/chalkway_pause.h
+++ b/chalkway_stall.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_STALL_H
 #define CHALKWAY_STALL_H
 /*
-    chalkway_pause.h -- stalls of streams while prompts are prefilled
+    chalkway_stall.h -- stalls of streams while prompts are prefilled
 
     WHAT IT IS
         While an engine prefills a prompt, its streams stall: the gaps between
--- a/chalkway_stream.h
+++ b/chalkway_token_stream.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_TOKEN_STREAM_H
 #define CHALKWAY_TOKEN_STREAM_H
 /*
-    chalkway_stream.h -- position in an engine's event stream
+    chalkway_token_stream.h -- position in an engine's event stream
 
     WHAT IT IS
         Engines stream responses as server-sent events, one token each, and
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "entry_parts.h"
+#include "entry_internal.h"
 
 #define SLOT_REQUEST_RESEND_MS 250     /* resend interval of a queued slot request, to check on the allocator */
 #define ALLOCATOR_RETRY_MS 250         /* an unresponsive allocator is tried again after this time */
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -7,7 +7,7 @@
 #include <strings.h>
 #include <xxhash.h>
 
-#include "entry_parts.h"
+#include "entry_internal.h"
 
 #define PREFIX_BYTES 256  /* length of the prompt prefix that is hashed for cache affinity */
 #define BYTES_PER_TOKEN 4 /* rough average */
--- a/daemon/entry_parts.h
+++ b/daemon/entry_internal.h
@@ -11,7 +11,7 @@
     Direct mode: while a shard's allocator does not respond, the entry
     itself assigns slots from its static share of the shard's upstreams.
 */
-#include "../chalkway_stream.h"
+#include "../chalkway_token_stream.h"
 #include "../io/buffer.h"
 #include "node.h"
 
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -7,7 +7,7 @@
 
         node.c       setup, clock, membership, routing of peer messages, graceful stop
         entry.c      HTTP requests of callers, from accept to last byte
-        dispatch.c   slot requests, grants and upstream attempts (see entry_parts.h)
+        dispatch.c   slot requests, grants and upstream attempts (see entry_internal.h)
         lookup.c     responses to GET /v1/lookup
         allocator.c  slot allocation for the shards that this host owns
         sync.c       configuration: polls the platform and replicates documents to peers
@@ -19,7 +19,7 @@
 #include "../chalkway_limit.h"
 #include "../chalkway_log.h"
 #include "../chalkway_member.h"
-#include "../chalkway_place.h"
+#include "../chalkway_rendezvous.h"
 #include "../chalkway_request.h"
 #include "../chalkway_runonce.h"
 #include "../chalkway_settings.h"
--- a/gateway/directory.c
+++ b/gateway/endpoints.c
@@ -1,4 +1,4 @@
-#include "directory.h"
+#include "endpoints.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -1,4 +1,4 @@
-#include "exchange_parts.h"
+#include "exchange_internal.h"
 
 #include <assert.h>
 #include <stdio.h>
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -6,7 +6,7 @@
     server's connection.
 */
 #include "../chalkway_catalog.h"
-#include "front.h"
+#include "frontend.h"
 #include "quarantine.h"
 #include "upstream.h"
 
--- a/gateway/seek.c
+++ b/gateway/exchange_assign.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "clock.h"
-#include "exchange_parts.h"
+#include "exchange_internal.h"
 
 /* -- the queue ------------------------------------------------------------ */
 
--- a/gateway/transfer.c
+++ b/gateway/exchange_attempt.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "clock.h"
-#include "exchange_parts.h"
+#include "exchange_internal.h"
 #include "request_head.h"
 
 #define PREFILL_RATE_LOG_FACTOR 1.25     /* change of the prefill rate that is logged */
--- a/gateway/exchange_parts.h
+++ b/gateway/exchange_internal.h
@@ -2,14 +2,14 @@
 #define CW_GATEWAY_EXCHANGE_INTERNAL_H
 /*
     Internal interface between the parts of an exchange. exchange.c owns the lifetime of a request, its timer and its
-    final response. seek.c assigns a server, queues the request or refuses it. transfer.c sends the request and
-    forwards the response. Every state change goes through exchange_handle_event. That function may free the exchange,
-    and so may every function that calls it.
+    final response. exchange_assign.c assigns a server, queues the request or refuses it. exchange_attempt.c sends the
+   request and forwards the response. Every state change goes through exchange_handle_event. That function may free the
+   exchange, and so may every function that calls it.
 */
-#include "../chalkway_events.h"
 #include "../chalkway_fingerprint.h"
+#include "../chalkway_queue_order.h"
 #include "../chalkway_request.h"
-#include "../chalkway_turn.h"
+#include "../chalkway_sse.h"
 #include "exchange.h"
 
 #define MS_PER_S 1000.0
@@ -92,7 +92,7 @@
 /* Ends the current attempt as failed, with the event for the state machine and the result for the balancer. */
 void exchange_fail_attempt(exchange_t* x, cw_request_event_t e, cw_try_result_t result, const char* reason);
 
-/* -- seek.c --------------------------------------------------------------- */
+/* -- exchange_assign.c --------------------------------------------------------------- */
 
 /* Assigns the best server, queues the request, or refuses it. */
 void exchange_assign_server(exchange_t* x);
@@ -104,7 +104,7 @@
 /* The queued request can hardly meet its target any more: moves it behind those that still can. May free it. */
 void exchange_requeue_late(exchange_t* x);
 
-/* -- transfer.c ----------------------------------------------------------- */
+/* -- exchange_attempt.c ----------------------------------------------------------- */
 
 /* Starts an attempt at the server of the last choice. */
 void exchange_start_attempt(exchange_t* x);
--- a/gateway/front.c
+++ b/gateway/frontend.c
@@ -1,4 +1,4 @@
-#include "front.h"
+#include "frontend.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -14,16 +14,16 @@
 #include "../chalkway_stop.h"
 #include "../io/lines.h"
 #include "clock.h"
-#include "directory.h"
+#include "endpoints.h"
 #include "exchange.h"
-#include "front.h"
+#include "frontend.h"
 #include "inventory.h"
 #include "mesh.h"
 #include "quarantine.h"
 #include "settings.h"
+#include "suspend_detector.h"
 #include "sync.h"
 #include "upstream.h"
-#include "wake.h"
 
 #define TICK_S 0.025
 #define LOG_BUFFER_BYTES 262144     /* log lines that a slow reader of standard output has not taken yet */
--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -1,12 +1,12 @@
 #ifndef CW_GATEWAY_MESH_H
 #define CW_GATEWAY_MESH_H
 /*
-    The other daemons of the cluster: which are alive (chalkway_member.h over the peer address) and, by news.h, their
-    load at the servers. All hosts of a cluster use the same ports.
+    The other daemons of the cluster: which are alive (chalkway_member.h over the peer address) and, by reporter.h,
+   their load at the servers. All hosts of a cluster use the same ports.
 */
 #include "../chalkway_log.h"
 #include "../chalkway_member.h"
-#include "news.h"
+#include "reporter.h"
 #include "settings.h"
 #include "upstream.h"
 
--- a/gateway/pushback.c
+++ b/gateway/pushback.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "clock.h"
-#include "upstream_parts.h"
+#include "upstream_internal.h"
 
 #define NO_RATE_LIMIT (-1.0)
 #define LEAVING_VALUE "1"
--- a/gateway/news.c
+++ b/gateway/reporter.c
@@ -1,4 +1,4 @@
-#include "news.h"
+#include "reporter.h"
 
 #include <assert.h>
 #include <stdlib.h>
@@ -8,7 +8,7 @@
 
 #include "../io/address.h"
 #include "clock.h"
-#include "news_parts.h"
+#include "reporter_internal.h"
 
 #define MS_PER_S 1000.0
 #define END_FLUSH_DELAY_MS 50 /* before requests that ended are reported */
--- a/gateway/news_parts.h
+++ b/gateway/reporter_internal.h
@@ -1,12 +1,13 @@
 #ifndef CW_GATEWAY_REPORTER_INTERNAL_H
 #define CW_GATEWAY_REPORTER_INTERNAL_H
 /*
-    Shared by the source files of news.h: news_peers.c chooses the receivers and sends datagrams, news_marks.c sends and
-    receives the observations about suspect requests, news.c sends and receives load.
+    Shared by the source files of reporter.h: reporter_peers.c chooses the receivers and sends datagrams,
+   reporter_observations.c sends and receives the observations about suspect requests, reporter.c sends and receives
+   load.
 */
 #include <netinet/in.h>
 
-#include "news.h"
+#include "reporter.h"
 
 #define HOSTS_MAX 1024
 #define DIRTY_MAX 256
@@ -89,12 +90,12 @@
     size_t size;
 } datagram_t;
 
-/* -- news.c --------------------------------------------------------------- */
+/* -- reporter.c --------------------------------------------------------------- */
 
 /* Schedules a flush of what is pending, unless one is scheduled already. */
 void reporter_flush_after(reporter_t* n, uint32_t ms);
 
-/* -- news_peers.c --------------------------------------------------------- */
+/* -- reporter_peers.c --------------------------------------------------------- */
 
 /* Rebuilds the list of peers if the membership changed. */
 void reporter_refresh_peers(reporter_t* n);
@@ -107,7 +108,7 @@
 /* Sends to a relay of the own hall, which forwards to all hosts. */
 void reporter_send_to_relay(reporter_t* n, cw_load_message_t* message);
 
-/* -- news_marks.c --------------------------------------------------------- */
+/* -- reporter_observations.c --------------------------------------------------------- */
 
 /* Sends the observations that are due. */
 void reporter_send_observations(reporter_t* n);
--- a/gateway/news_marks.c
+++ b/gateway/reporter_observations.c
@@ -1,7 +1,7 @@
 /* Observations about suspect requests (a server crashed under one, one is on trial, one was cleared): sent at once,
    forwarded and repeated. */
 #include "clock.h"
-#include "news_parts.h"
+#include "reporter_internal.h"
 
 /* The hosts of the first ranks repeat all observations, so that neither a lost datagram nor a host that just started
    costs a server. 48 observations of 30 bytes a second from two hosts are 3 KB/s for each host that receives them. */
--- a/gateway/news_peers.c
+++ b/gateway/reporter_peers.c
@@ -4,7 +4,7 @@
 #include <sys/socket.h>
 
 #include "../io/address.h"
-#include "news_parts.h"
+#include "reporter_internal.h"
 
 /* -- receivers ------------------------------------------------------------ */
 
--- a/gateway/wake.c
+++ b/gateway/suspend_detector.c
@@ -1,4 +1,4 @@
-#include "wake.h"
+#include "suspend_detector.h"
 
 #include "../io/clock.h"
 
--- a/gateway/sync.c
+++ b/gateway/sync.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sync_parts.h"
+#include "sync_internal.h"
 
 #define RESPONSE_BYTES_MAX (16U << 20) /* a longer response is truncated */
 #define OUTAGE_MS 2000 /* without confirmation of the list; entries may have expired at the source meanwhile */
--- a/gateway/sync_parts.h
+++ b/gateway/sync_internal.h
@@ -5,9 +5,9 @@
     source, sync_peers.c fetches from peers and serves them.
 */
 #include "../chalkway_changes.h"
-#include "../chalkway_life.h"
+#include "../chalkway_epoch.h"
+#include "../chalkway_poll.h"
 #include "../chalkway_pull.h"
-#include "../chalkway_reader.h"
 #include "../io/buffer.h"
 #include "../io/httpd.h"
 #include "clock.h"
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 #include "../chalkway_packed.h"
-#include "sync_parts.h"
+#include "sync_internal.h"
 
 #define FULL_LIST_CALL_TIMEOUT_MS 3000 /* of a peer's full list, which its link may carry to many hosts at once */
 /* After its start, a host waits this long for documents that peers offer before it polls the source. */
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "sync_parts.h"
+#include "sync_internal.h"
 
 #define DELTA_POLLS_MAX 20 /* after so many polls for changes the full list is read again, whatever they returned */
 /* After a failed call a list is resumed at the page that failed, unless its first page is older. */
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -6,7 +6,7 @@
 
 #include "../io/address.h"
 #include "clock.h"
-#include "upstream_parts.h"
+#include "upstream_internal.h"
 
 #define MS_PER_S 1000.0
 #define PROBE_TIMEOUT_MS 1000
--- a/gateway/link.c
+++ b/gateway/upstream_conn.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "clock.h"
-#include "upstream_parts.h"
+#include "upstream_internal.h"
 
 #define MS_PER_S 1000.0
 #define CONNECT_TIMEOUT_MIN_MS 100.0 /* shortest timeout for connecting */
--- a/gateway/upstream_parts.h
+++ b/gateway/upstream_internal.h
@@ -1,7 +1,7 @@
 #ifndef CW_GATEWAY_UPSTREAM_INTERNAL_H
 #define CW_GATEWAY_UPSTREAM_INTERNAL_H
 /*
-    Internal interface between the parts of upstreams: upstream.c manages pools, servers and probes, link.c the
+    Internal interface between the parts of upstreams: upstream.c manages pools, servers and probes, upstream_conn.c the
     connections to one server, pushback.c what servers announce in their responses.
 */
 #include "../chalkway_map.h"
@@ -65,7 +65,7 @@
    as most servers of a large fleet are. */
 void server_watch(server_t* s);
 
-/* -- link.c --------------------------------------------------------------- */
+/* -- upstream_conn.c --------------------------------------------------------------- */
 
 /* Closes the idle connections to the server: all, or those whose idle timeout has passed. */
 void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool all);
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #include "../chalkway_balance.h"
-#include "../chalkway_turn.h"
+#include "../chalkway_queue_order.h"
 #include "rng.h"
 
 #define MODEL_HOSTS_MAX 96
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -4,14 +4,14 @@
 
 #include "../chalkway_backlog.h"
 #include "../chalkway_catalog.h"
-#include "../chalkway_events.h"
-#include "../chalkway_holding.h"
-#include "../chalkway_kept.h"
-#include "../chalkway_life.h"
+#include "../chalkway_epoch.h"
 #include "../chalkway_limit.h"
 #include "../chalkway_load.h"
+#include "../chalkway_occupancy.h"
+#include "../chalkway_prefix_cache.h"
 #include "../chalkway_request.h"
 #include "../chalkway_servers.h"
+#include "../chalkway_sse.h"
 #include "test.h"
 
 /* The same backlog for every tier. */
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #include "../chalkway_load.h"
+#include "../chalkway_poll.h"
 #include "../chalkway_pull.h"
-#include "../chalkway_reader.h"
 #include "test.h"
 
 /* -- ages ----------------------------------------------------------------- */
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -6,9 +6,9 @@
 #include "../chalkway_hist.h"
 #include "../chalkway_limit.h"
 #include "../chalkway_log.h"
-#include "../chalkway_place.h"
+#include "../chalkway_rendezvous.h"
 #include "../chalkway_settings.h"
-#include "../chalkway_stream.h"
+#include "../chalkway_token_stream.h"
 #include "test.h"
 
 START_TEST(map_matches_an_array) {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -5,7 +5,7 @@
 
 #include "../chalkway_catalog.h"
 #include "../platform/platform.h"
-#include "published.h"
+#include "platform_entries.h"
 #include "test.h"
 
 static const char published[] =
--- a/tests/test_pause.c
+++ b/tests/test_stall.c
@@ -1,5 +1,5 @@
 /* Stalls of streams during prefills: prompt lengths with and without samples, and the bound by the prefill left. */
-#include "../chalkway_pause.h"
+#include "../chalkway_stall.h"
 
 #include <math.h>
 
--- a/tests/test_suspended.c
+++ b/tests/test_suspended.c
@@ -6,7 +6,7 @@
     load reports and lists are outdated, and for 30 s, longer than any request may run. It must be detected in the first
     iteration of the loop, before any other event is handled.
 */
-#include "../gateway/wake.h"
+#include "../gateway/suspend_detector.h"
 #include "rig.h"
 
 #define ROUTES                                                                                                         \
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -11,7 +11,7 @@
 #include "../io/address.h"
 #include "../io/httpd.h"
 #include "../platform/platform.h"
-#include "published.h"
+#include "platform_entries.h"
 #include "test.h"
 
 #define TICK_S 0.005
--- a/tools/arrows.sh
+++ b/tools/arrows.sh
@@ -13,22 +13,22 @@
 # allowed FILE: headers of gateway/ that FILE (without suffix) may include; "any": no restriction
 allowed() {
     case "$1" in
-        front) echo "front" ;;
-        upstream | upstream_parts | link | pushback) echo "clock dialect upstream upstream_parts" ;;
-        sync | sync_parts | sync_source | sync_peers) echo "clock dialect sync sync_parts" ;;
-        mesh) echo "clock mesh news settings upstream" ;;
-        news | news_parts | news_peers | news_marks) echo "clock news news_parts settings upstream" ;;
-        directory) echo "dialect directory" ;;
+        frontend) echo "frontend" ;;
+        upstream | upstream_internal | upstream_conn | pushback) echo "clock dialect upstream upstream_internal" ;;
+        sync | sync_internal | sync_source | sync_peers) echo "clock dialect sync sync_internal" ;;
+        mesh) echo "clock mesh reporter settings upstream" ;;
+        reporter | reporter_internal | reporter_peers | reporter_observations) echo "clock reporter reporter_internal settings upstream" ;;
+        endpoints) echo "dialect endpoints" ;;
         request_head) echo "dialect request_head" ;;
         admission) echo "admission dialect request_head" ;;
-        exchange | exchange_parts | seek | transfer)
-            echo "admission clock exchange exchange_parts front quarantine request_head upstream" ;;
+        exchange | exchange_internal | exchange_assign | exchange_attempt)
+            echo "admission clock exchange exchange_internal frontend quarantine request_head upstream" ;;
         quarantine) echo "clock quarantine upstream" ;;
         native | dialect) echo "dialect" ;;
         inventory) echo "clock dialect inventory upstream" ;;
         settings) echo "settings" ;;
         clock) echo "clock" ;;
-        wake) echo "wake" ;;
+        suspend_detector) echo "suspend_detector" ;;
         *) echo "any" ;;
     esac
 }
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -6,8 +6,8 @@
 
 #include "../chalkway_map.h"
 #include "soak.h"
-#include "soak_deadly.h"
 #include "soak_pushback.h"
+#include "soak_qod.h"
 
 #define MAX_REQUESTS 200000
 #define MAX_SERVERS 1024
--- a/tools/soak_deadly.c
+++ b/tools/soak_qod.c
@@ -1,4 +1,4 @@
-#include "soak_deadly.h"
+#include "soak_qod.h"
 
 #include <string.h>
 
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -14,7 +14,7 @@
 #include <unistd.h>
 
 #include "../standins/standin.h"
-#include "../tests/soak_sleep.h"
+#include "../tests/soak_suspend.h"
 
 #define MAX_ARGS 80
 #define WATCH_INTERVAL_MS 20 /* period of the timer that detects scheduling delays */
