--- a/chalkway_epoch.h
+++ b/chalkway_epoch.h
@@ -6,14 +6,15 @@
     WHAT IT IS
         A source that was lost and is restored from an older copy of itself
         assigns the same revisions again, to other changes. Each restore
-        begins a new epoch: a number in every response of the source, which
-        rises by it. Revisions are only comparable within one epoch. So the
-        response of one epoch to a request with a revision of another one
-        proves nothing, and a response of an earlier epoch must be ignored.
+        therefore begins a new epoch. Every response of the source carries
+        the number of its epoch, which each restore increases. Revisions are
+        comparable only within one epoch: a response of one epoch to a
+        request that names a revision of another one proves nothing, and a
+        response of an earlier epoch must be ignored.
 
     HOW TO USE IT
-            cw_epoch_t life = {0};
-            switch (cw_epoch_observe(&life, header)) { case CW_EPOCH_NEWER: ... }
+            cw_epoch_t epoch = {0};
+            switch (cw_epoch_observe(&epoch, header)) { case CW_EPOCH_NEWER: ... }
 
     WHAT IT DOES NOT DO
         It doesn't parse responses, and never returns to an earlier epoch.
@@ -29,14 +30,14 @@
 } cw_epoch_t;
 
 typedef enum cw_epoch_verdict_t {
-    CW_EPOCH_SAME = 0, /* the current epoch, the first one that was seen, or the response names none */
-    CW_EPOCH_NEWER,    /* the response is of a newer epoch, which is the current one from now on */
-    CW_EPOCH_OLDER,    /* the response is of an earlier epoch */
-    CW_EPOCH_MALFORMED /* not a positive integer: nothing changes */
+    CW_EPOCH_SAME = 0, /* the current epoch, the first one received, or none in the response */
+    CW_EPOCH_NEWER,    /* a newer epoch, which becomes the current one */
+    CW_EPOCH_OLDER,    /* an earlier epoch: ignore the response */
+    CW_EPOCH_MALFORMED /* not a positive integer: the current epoch stays */
 } cw_epoch_verdict_t;
 
-/* Checks the epoch that a response names, and updates the current one. text NULL: the response names none. */
-cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* life, const char* text);
+/* Compares the epoch number in a response with the current one and updates that. text NULL: the response has none. */
+cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* epoch, const char* text);
 
 #endif /* CHALKWAY_EPOCH_H */
 
@@ -48,7 +49,7 @@
 #include <errno.h>
 #include <stdlib.h>
 
-cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* life, const char* text) {
+cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* epoch, const char* text) {
     if (!text) {
         return CW_EPOCH_SAME;
     }
@@ -58,12 +59,12 @@
     if (errno || end == text || *end || number <= 0) {
         return CW_EPOCH_MALFORMED;
     }
-    if (number < life->number) {
+    if (number < epoch->number) {
         return CW_EPOCH_OLDER;
     }
-    bool newer = life->number && number > life->number;
-    life->number = number;
-    return newer ? CW_EPOCH_NEWER : CW_EPOCH_SAME;
+    bool is_newer = epoch->number && number > epoch->number;
+    epoch->number = number;
+    return is_newer ? CW_EPOCH_NEWER : CW_EPOCH_SAME;
 }
 
 #endif /* CHALKWAY_EPOCH_IMPL_INCLUDED */
