--- a/chalkway_member.h
+++ b/chalkway_member.h
@@ -440,50 +440,50 @@
 
 /* -- updates -------------------------------------------------------------- */
 
-static bool _cw_members_supersedes(const cw_member_info_t* updates, const cw_member_info_t* known) {
-    if (updates->incarnation != known->incarnation) {
-        return updates->incarnation > known->incarnation;
+static bool _cw_members_supersedes(const cw_member_info_t* update, const cw_member_info_t* known) {
+    if (update->incarnation != known->incarnation) {
+        return update->incarnation > known->incarnation;
     }
-    return updates->state > known->state || (updates->leaving && !known->leaving);
+    return update->state > known->state || (update->leaving && !known->leaving);
 }
 
 /* Handles an update about this host itself: refutes a wrong one, and moves past a higher incarnation, which a previous
    run of this host announced. */
-static void _cw_members_update_self(cw_members_t* m, const cw_member_info_t* updates) {
+static void _cw_members_update_self(cw_members_t* m, const cw_member_info_t* update) {
     cw_member_info_t* self = &m->members[0].info;
-    bool is_wrong = updates->state != CW_MEMBER_ALIVE || updates->leaving != self->leaving;
-    if (updates->incarnation > self->incarnation || (updates->incarnation == self->incarnation && is_wrong)) {
-        self->incarnation = updates->incarnation + 1;
+    bool is_wrong = update->state != CW_MEMBER_ALIVE || update->leaving != self->leaving;
+    if (update->incarnation > self->incarnation || (update->incarnation == self->incarnation && is_wrong)) {
+        self->incarnation = update->incarnation + 1;
         m->members[0].transmits_left = _cw_members_transmit_count(m);
         m->is_forward_due = true;
         m->changes++;
     }
 }
 
-static void _cw_members_apply_update(cw_members_t* m, int64_t now_ms, const cw_member_info_t* updates) {
-    if (!updates->id || !updates->peer[0]) {
+static void _cw_members_apply_update(cw_members_t* m, int64_t now_ms, const cw_member_info_t* update) {
+    if (!update->id || !update->peer[0]) {
         return;
     }
-    if (updates->id == m->members[0].info.id) {
-        _cw_members_update_self(m, updates);
+    if (update->id == m->members[0].info.id) {
+        _cw_members_update_self(m, update);
         return;
     }
-    uint32_t i = cw_map_get(&m->by_id, updates->id);
+    uint32_t i = cw_map_get(&m->by_id, update->id);
     if (i == CW_MAP_NONE) {
-        if (m->count == m->desc.max_members || updates->state == CW_MEMBER_DEAD) {
+        if (m->count == m->desc.max_members || update->state == CW_MEMBER_DEAD) {
             return;
         }
         i = m->count++;
         m->member_added_ms = now_ms;
-        m->members[i] = (cw_member_t){.info = *updates};
-        cw_map_put(&m->by_id, updates->id, i);
-    } else if (!_cw_members_supersedes(updates, &m->members[i].info)) {
+        m->members[i] = (cw_member_t){.info = *update};
+        cw_map_put(&m->by_id, update->id, i);
+    } else if (!_cw_members_supersedes(update, &m->members[i].info)) {
         return;
     } else {
-        bool was_leaving = m->members[i].info.leaving && m->members[i].info.incarnation == updates->incarnation;
-        m->members[i].info = *updates;
-        m->members[i].info.leaving = updates->leaving || was_leaving;
-        m->members[i].connection_refused = m->members[i].connection_refused && updates->state != CW_MEMBER_ALIVE;
+        bool was_leaving = m->members[i].info.leaving && m->members[i].info.incarnation == update->incarnation;
+        m->members[i].info = *update;
+        m->members[i].info.leaving = update->leaving || was_leaving;
+        m->members[i].connection_refused = m->members[i].connection_refused && update->state != CW_MEMBER_ALIVE;
     }
     m->members[i].info_changed_ms = now_ms;
     m->members[i].transmits_left = _cw_members_transmit_count(m);
@@ -493,9 +493,9 @@
 
 /* Changes a member's state as detected by this host itself. */
 static void _cw_members_set_state(cw_members_t* m, int64_t now_ms, uint32_t i, cw_member_state_t state) {
-    cw_member_info_t updates = m->members[i].info;
-    updates.state = state;
-    _cw_members_apply_update(m, now_ms, &updates);
+    cw_member_info_t update = m->members[i].info;
+    update.state = state;
+    _cw_members_apply_update(m, now_ms, &update);
 }
 
 static void _cw_members_remove(cw_members_t* m, uint32_t i) {
@@ -768,10 +768,10 @@
         return;
     }
     for (uint32_t i = 0; i < _CW_MEMBERS_RELAYED_PROBES; i++) {
-        _cw_relayed_probe_t* h = &m->relayed_probes[i];
-        if (h->seq && h->seq == g->seq) {
-            _cw_members_send(m, h->origin, CW_GOSSIP_ACK, h->origin_seq)->target = g->from.id;
-            h->seq = 0;
+        _cw_relayed_probe_t* probe = &m->relayed_probes[i];
+        if (probe->seq && probe->seq == g->seq) {
+            _cw_members_send(m, probe->origin, CW_GOSSIP_ACK, probe->origin_seq)->target = g->from.id;
+            probe->seq = 0;
         }
     }
 }
@@ -781,11 +781,11 @@
     if (!target) {
         return;
     }
-    _cw_relayed_probe_t* h = &m->relayed_probes[m->relayed_probe_next++ % _CW_MEMBERS_RELAYED_PROBES];
-    h->seq = ++m->seq;
-    h->origin_seq = g->seq;
-    cw_copy(h->origin, sizeof(h->origin), g->from.peer);
-    _cw_members_send(m, target->info.peer, CW_GOSSIP_PING, h->seq);
+    _cw_relayed_probe_t* probe = &m->relayed_probes[m->relayed_probe_next++ % _CW_MEMBERS_RELAYED_PROBES];
+    probe->seq = ++m->seq;
+    probe->origin_seq = g->seq;
+    cw_copy(probe->origin, sizeof(probe->origin), g->from.peer);
+    _cw_members_send(m, target->info.peer, CW_GOSSIP_PING, probe->seq);
 }
 
 void cw_members_receive(cw_members_t* m, int64_t now_ms, const cw_gossip_t* g) {
