--- a/chalkway_sse.h
+++ b/chalkway_sse.h
@@ -6,14 +6,14 @@
     WHAT IT IS
         Buffers the bytes of a stream of server-sent events and returns only
         complete events, so that a stream which breaks inside an event can
-        be resumed at another server with no event lost or duplicated. The
-        id of the last event returned is kept. After a restart, events with
-        ids up to that one are skipped.
+        be resumed at another server with no event lost or duplicated. It
+        records the id of the last event returned. After a restart, events
+        with ids up to that one are skipped.
 
     HOW TO USE IT
             cw_sse_t e = {0};
             cw_sse_feed(&e, data, size);
-            cw_bytes_view_t whole = cw_sse_take(&e);   // valid until the next call
+            cw_bytes_view_t events = cw_sse_take(&e);   // valid until the next call
             // when the stream breaks: request the events after e.last_id, then
             cw_sse_restart(&e);
 
@@ -26,7 +26,7 @@
 #include "chalkway_core.h"
 
 #define CW_SSE_ID_MAX 48
-#define CW_SSE_EVENT_BYTES_MAX (1U << 20) /* a longer event sets bad */
+#define CW_SSE_EVENT_BYTES_MAX (1U << 20) /* a longer event sets has_overflowed */
 
 typedef struct cw_bytes_view_t {
     const char* data;
@@ -36,11 +36,11 @@
 typedef struct cw_sse_t {
     char last_id[CW_SSE_ID_MAX]; /* id of the last event returned that has one, "": none */
     uint64_t count;              /* events returned */
-    bool bad;                    /* an event exceeded CW_SSE_EVENT_BYTES_MAX; no more events are returned */
+    bool has_overflowed;         /* an event exceeded CW_SSE_EVENT_BYTES_MAX; no more events are returned */
     /* private */
-    bool restarted; /* no event with a new id was returned since the restart */
+    bool is_resuming; /* no event with a new id was returned since the restart */
     char* data;
-    size_t size, capacity, taken; /* taken: bytes at the start of data that were returned or skipped */
+    size_t size, capacity, consumed; /* consumed: bytes at the start of data that were returned or skipped */
 } cw_sse_t;
 
 void cw_sse_feed(cw_sse_t* e, const char* data, size_t size);
@@ -64,13 +64,13 @@
 #include <string.h>
 
 void cw_sse_feed(cw_sse_t* e, const char* data, size_t size) {
-    if (e->taken) {
-        memmove(e->data, e->data + e->taken, e->size - e->taken);
-        e->size -= e->taken;
-        e->taken = 0;
+    if (e->consumed) {
+        memmove(e->data, e->data + e->consumed, e->size - e->consumed);
+        e->size -= e->consumed;
+        e->consumed = 0;
     }
     if (e->size + size > CW_SSE_EVENT_BYTES_MAX) {
-        e->bad = true;
+        e->has_overflowed = true;
         return;
     }
     if (e->size + size > e->capacity) {
@@ -128,13 +128,13 @@
 }
 
 static bool _cw_sse_is_duplicate(const cw_sse_t* e, const char* id) {
-    return e->restarted && e->last_id[0] && strtoull(id, NULL, 10) <= strtoull(e->last_id, NULL, 10);
+    return e->is_resuming && e->last_id[0] && strtoull(id, NULL, 10) <= strtoull(e->last_id, NULL, 10);
 }
 
 cw_bytes_view_t cw_sse_take(cw_sse_t* e) {
-    size_t begin = e->taken;
+    size_t begin = e->consumed;
     size_t at = begin;
-    while (!e->bad) {
+    while (!e->has_overflowed) {
         size_t length = _cw_sse_event_length(e->data + at, e->size - at);
         if (!length) {
             break;
@@ -146,27 +146,27 @@
                 break; /* the events before the skipped one are returned first */
             }
             begin = at = at + length;
-            e->taken = at;
+            e->consumed = at;
             continue;
         }
         if (has_id) {
             memcpy(e->last_id, id, sizeof(id));
-            e->restarted = false;
+            e->is_resuming = false;
         }
         e->count++;
         at += length;
     }
-    e->taken = at;
+    e->consumed = at;
     return (cw_bytes_view_t){.data = e->data ? e->data + begin : "", .size = at - begin};
 }
 
 void cw_sse_restart(cw_sse_t* e) {
-    e->size = e->taken = 0;
-    e->restarted = true;
+    e->size = e->consumed = 0;
+    e->is_resuming = true;
 }
 
 bool cw_sse_has_partial(const cw_sse_t* e) {
-    return e->size > e->taken;
+    return e->size > e->consumed;
 }
 
 void cw_sse_free(cw_sse_t* e) {
