--- a/chalkway_poll.h
+++ b/chalkway_poll.h
@@ -7,19 +7,19 @@
         Daemons send each other the state that they polled from the source,
         with its age, so that one poll refreshes the whole fleet. A daemon's
         rank decides when it polls: its position among the live daemons, in
-        an order on which all agree. Each rank lets the state grow a little
-        older than the rank before it does. So usually only the daemon of the
-        first rank polls, and the next ones do when it fails. In a large
-        fleet the ranks beyond the first ones are spread over time, so that a
-        late update makes some hosts poll, not all. The same order applies at
-        the start, when there is no state yet, and to the backoff after a
-        failed poll: while the source is unreachable, few daemons poll it,
-        and the others get the state from them.
+        an order on which all agree. Before it polls, each rank lets the state
+        grow a little older than the previous rank does. So usually only the
+        daemon of the first rank polls, and the next ones do when it fails. In
+        a large fleet the ranks beyond the first ones are spread over time, so
+        that a late update makes some hosts poll, not all. The same order
+        applies at the start, when there is no state yet, and to the backoff
+        after a failed poll: while the source is unreachable, few daemons
+        poll it, and the others get the state from them.
 
     HOW TO USE IT
-            cw_poll_t r = {.poll_age_ms = 400, .rank = rank, .started_ms = now_ms, .seed = host};
-            if (cw_poll_is_due(&r, confirmed_ms, now_ms)) { poll }
-            failed: next_ms = now_ms + cw_poll_backoff_ms(&r, failures, draw);
+            cw_poll_t poll = {.poll_age_ms = 400, .rank = rank, .started_ms = now_ms, .seed = host};
+            if (cw_poll_is_due(&poll, confirmed_ms, now_ms)) { request the state }
+            failed: next_ms = now_ms + cw_poll_backoff_ms(&poll, failures, draw);
 
     WHAT IT DOES NOT DO
         It does not poll and does not track membership.
@@ -44,9 +44,9 @@
 
 /* Whether to poll now. confirmed_ms: time at which the state was last confirmed by the source, by any daemon's poll;
    CW_POLL_NEVER: there is no state. */
-bool cw_poll_is_due(const cw_poll_t* r, int64_t confirmed_ms, int64_t now_ms);
+bool cw_poll_is_due(const cw_poll_t* poll, int64_t confirmed_ms, int64_t now_ms);
 /* Backoff before the next poll, after a number of consecutive failures (1 or more). draw: a random number. */
-uint32_t cw_poll_backoff_ms(const cw_poll_t* r, uint32_t failures, uint64_t draw);
+uint32_t cw_poll_backoff_ms(const cw_poll_t* poll, uint32_t failures, uint64_t draw);
 
 #endif /* CHALKWAY_POLL_H */
 
@@ -66,41 +66,42 @@
 #define _CW_POLL_BACKOFF_MAX_MS 1000   /* longest backoff of the first rank */
 #define _CW_POLL_BACKOFF_RANKS_MAX 50  /* rank from which the backoff does not grow further */
 
-static uint32_t _cw_poll_steps(const cw_poll_t* r) {
-    return r->rank < _CW_POLL_STEPS ? r->rank : _CW_POLL_STEPS;
+static uint32_t _cw_poll_steps(const cw_poll_t* poll) {
+    return poll->rank < _CW_POLL_STEPS ? poll->rank : _CW_POLL_STEPS;
 }
 
-static int64_t _cw_poll_start_delay_ms(const cw_poll_t* r) {
-    int64_t delay_ms = (int64_t)_cw_poll_steps(r) * _CW_POLL_START_STEP_MS;
-    delay_ms += (int64_t)(cw_mix(r->seed, 0) % _CW_POLL_START_JITTER_MS);
-    delay_ms += r->daemons == 1 ? _CW_POLL_START_ALONE_MS : 0;
-    if (r->is_first_start) {
+static int64_t _cw_poll_start_delay_ms(const cw_poll_t* poll) {
+    int64_t delay_ms = (int64_t)_cw_poll_steps(poll) * _CW_POLL_START_STEP_MS;
+    delay_ms += (int64_t)(cw_mix(poll->seed, 0) % _CW_POLL_START_JITTER_MS);
+    delay_ms += poll->daemons == 1 ? _CW_POLL_START_ALONE_MS : 0;
+    if (poll->is_first_start) {
         return delay_ms * _CW_POLL_FIRST_START_FACTOR;
     }
-    int64_t ranks_beyond = (int64_t)r->rank - _cw_poll_steps(r);
+    int64_t ranks_beyond = (int64_t)poll->rank - _cw_poll_steps(poll);
     return delay_ms + ranks_beyond * _CW_POLL_START_RANK_MS;
 }
 
 /* Age of the state at which this rank polls. */
-static int64_t _cw_poll_age_ms(const cw_poll_t* r) {
-    double age_ms = r->poll_age_ms * (1 + _cw_poll_steps(r) * _CW_POLL_STEP_FRACTION);
-    if (r->rank > _CW_POLL_STEPS && r->daemons > r->rank && r->last_rank_poll_age_ms > age_ms) {
-        age_ms += (r->last_rank_poll_age_ms - age_ms) * (r->rank - _CW_POLL_STEPS) / (r->daemons - _CW_POLL_STEPS);
+static int64_t _cw_poll_age_ms(const cw_poll_t* poll) {
+    double age_ms = poll->poll_age_ms * (1 + _cw_poll_steps(poll) * _CW_POLL_STEP_FRACTION);
+    if (poll->rank > _CW_POLL_STEPS && poll->daemons > poll->rank && poll->last_rank_poll_age_ms > age_ms) {
+        age_ms +=
+            (poll->last_rank_poll_age_ms - age_ms) * (poll->rank - _CW_POLL_STEPS) / (poll->daemons - _CW_POLL_STEPS);
     }
     return (int64_t)age_ms;
 }
 
-bool cw_poll_is_due(const cw_poll_t* r, int64_t confirmed_ms, int64_t now_ms) {
+bool cw_poll_is_due(const cw_poll_t* poll, int64_t confirmed_ms, int64_t now_ms) {
     if (confirmed_ms == CW_POLL_NEVER) {
-        return now_ms - r->started_ms >= _cw_poll_start_delay_ms(r);
+        return now_ms - poll->started_ms >= _cw_poll_start_delay_ms(poll);
     }
-    return now_ms - confirmed_ms >= _cw_poll_age_ms(r);
+    return now_ms - confirmed_ms >= _cw_poll_age_ms(poll);
 }
 
 /* The backoff doubles up to a limit. Later ranks have a longer initial backoff and a higher limit, so that a large
    fleet polls little more often than a few daemons would. */
-uint32_t cw_poll_backoff_ms(const cw_poll_t* r, uint32_t failures, uint64_t draw) {
-    uint32_t ranks = r->rank < _CW_POLL_BACKOFF_RANKS_MAX ? r->rank : _CW_POLL_BACKOFF_RANKS_MAX;
+uint32_t cw_poll_backoff_ms(const cw_poll_t* poll, uint32_t failures, uint64_t draw) {
+    uint32_t ranks = poll->rank < _CW_POLL_BACKOFF_RANKS_MAX ? poll->rank : _CW_POLL_BACKOFF_RANKS_MAX;
     uint32_t max_backoff_ms = _CW_POLL_BACKOFF_MAX_MS + ranks * _CW_POLL_BACKOFF_MS;
     uint32_t backoff_ms = _CW_POLL_BACKOFF_MS * (1 + ranks);
     for (uint32_t i = 1; i < failures && backoff_ms < max_backoff_ms; i++) {
