--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -54,7 +54,7 @@
 */
 #include "chalkway_fingerprint.h"
 
-#define CW_QUARANTINE_MAX_CRASHES 6 /* kept per request: enough for the quarantine even at half weight */
+#define CW_QUARANTINE_MAX_CRASHES 6 /* recorded per request: enough for the quarantine even at half weight */
 
 typedef enum cw_quarantine_observation_kind_t {
     CW_OBSERVED_CRASH = 0, /* the server incarnation crashed while the request ran on it */
@@ -119,8 +119,9 @@
 bool cw_quarantine_has_crashes(const cw_quarantine_t* q, const cw_fingerprint_t* request);
 /* Returns each newly quarantined request once; false when there is no other. */
 bool cw_quarantine_next_newly_quarantined(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out);
-/* Exports the observations of all requests that are not allowed without restriction. Starts at index *at and advances
-   it; *at is 0 after the last request. Returns the number of observations written to out, at most max. */
+/* Exports the observations of all requests whose verdict is not CW_VERDICT_ALLOWED. *at is the
+   index at which to start; it is advanced, and 0 after the last request. Returns the number of observations written to
+   out, at most max. */
 uint32_t cw_quarantine_export(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_observation_t* out,
                               uint32_t max);
 /* Iterates over the same requests, for operators: the next from index *at on; false when there is no other. */
@@ -139,10 +140,10 @@
 #include "chalkway_map.h"
 
 #define _CW_QUARANTINE_DEFAULT_ENTRIES 4096
-/* A harmless request is needed again within minutes, while a server's operator needs time to fix it. A body that is
-   sent continuously crashes three servers in this half hour. */
+/* A harmless request is needed again within minutes, while the operator of the servers needs time to fix them. A body
+   that is sent continuously crashes three servers in this half hour. */
 #define _CW_QUARANTINE_RETENTION_MS (30U * 60U * 1000U)
-/* One workspace may use 1/4 of the entries, so that it cannot evict what is known of the others. */
+/* One workspace may use 1/4 of the entries, so that it cannot evict the entries of the others. */
 #define _CW_QUARANTINE_WORKSPACE_DIVISOR 4
 #define _CW_QUARANTINE_FULL_WEIGHT 2      /* weight of a crash that nothing else explains, in halves */
 #define _CW_QUARANTINE_THRESHOLD_WEIGHT 6 /* weight for the quarantine, in halves: three full crashes */
@@ -157,7 +158,7 @@
    closer together, except over links with heavy loss. */
 #define _CW_QUARANTINE_DISTINCT_CRASH_MS 1000
 #define _CW_QUARANTINE_CLEARED_RETENTION_MS 10000 /* of a clearance: earlier crashes may be reported late */
-#define _CW_QUARANTINE_INCARNATIONS 256           /* server crashes remembered; as many signs of life */
+#define _CW_QUARANTINE_INCARNATIONS 256 /* incarnations whose crash is recorded; as many with a sign of life */
 
 typedef struct _cw_crash_t {
     uint64_t incarnation;
@@ -170,7 +171,7 @@
     bool is_used;
     int64_t cleared_at_ms; /* crashes up to this time do not count */
     int64_t updated_at_ms; /* time of the latest new observation */
-    uint32_t count;        /* crashes and trials kept below */
+    uint32_t count;        /* crashes and trials recorded below */
     _cw_crash_t crashes[CW_QUARANTINE_MAX_CRASHES];
     uint64_t weight_version; /* version for which weight was computed */
     uint32_t weight;         /* in halves */
@@ -224,19 +225,18 @@
 
 /* -- server incarnations -------------------------------------------------- */
 
-static _cw_incarnation_event_t* _cw_incarnation_events_find(_cw_incarnation_events_t* incarnations,
-                                                            uint64_t incarnation) {
+static _cw_incarnation_event_t* _cw_incarnation_events_find(_cw_incarnation_events_t* events, uint64_t incarnation) {
     for (uint32_t i = 0; i < _CW_QUARANTINE_INCARNATIONS; i++) {
-        if (incarnations->items[i].incarnation == incarnation) {
-            return &incarnations->items[i];
+        if (events->items[i].incarnation == incarnation) {
+            return &events->items[i];
         }
     }
     return NULL;
 }
 
-static void _cw_incarnation_events_put(_cw_incarnation_events_t* incarnations, uint64_t incarnation, int64_t at_ms) {
-    _cw_incarnation_event_t* event = _cw_incarnation_events_find(incarnations, incarnation);
-    event = event ? event : &incarnations->items[incarnations->next++ % _CW_QUARANTINE_INCARNATIONS];
+static void _cw_incarnation_events_put(_cw_incarnation_events_t* events, uint64_t incarnation, int64_t at_ms) {
+    _cw_incarnation_event_t* event = _cw_incarnation_events_find(events, incarnation);
+    event = event ? event : &events->items[events->next++ % _CW_QUARANTINE_INCARNATIONS];
     *event = (_cw_incarnation_event_t){.incarnation = incarnation, .at_ms = at_ms};
 }
 
@@ -251,7 +251,7 @@
     return is_other_crash;
 }
 
-/* Records the latest sign of life; returns false when a later one is known. */
+/* Records a sign of life; returns false when one as late or later is already recorded. */
 static bool _cw_quarantine_record_alive(cw_quarantine_t* q, uint64_t incarnation, int64_t at_ms) {
     const _cw_incarnation_event_t* known = _cw_incarnation_events_find(&q->alive, incarnation);
     if (known && at_ms <= known->at_ms) {
