--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -35,12 +35,12 @@
 
             cw_shard_t* shard = cw_shard_setup(&(cw_shard_desc_t){.epoch = random});
             cw_shard_set_upstreams(shard, specs, count);
-            cw_shard_request_slot(shard, now_ms, &want);
+            cw_shard_request_slot(shard, now_ms, &slot_request);
             cw_shard_action_t action;
             while (cw_shard_next_action(shard, now_ms, &action)) {
                 send(&action);              // grant, refuse, preempt or resync
             }
-            cw_shard_release_grant(shard, now_ms, &done);
+            cw_shard_release_grant(shard, now_ms, &release);
 
     WHAT IT DOES NOT DO
         It does not deliver messages, and does not decide which host runs
@@ -146,7 +146,7 @@
     uint32_t max_workspaces; /* default 1024 */
     uint32_t max_entries;    /* default 512 */
     uint32_t ttl_ms;         /* time in which an entry must use a grant, default 500 */
-    uint32_t lease_ms;       /* grants of an entry that sent nothing for this long are reclaimed, default 60000 */
+    uint32_t lease_ms;       /* time without a message after which an entry's grants are reclaimed, default 60000 */
     uint32_t preempt_ms;     /* wait of a protected request before a lower tier is preempted, default 100 */
     double floor[CW_TIERS];  /* minimum share of the served cost while the tier waits, default 0, .10, .05, .02 */
     uint32_t reserve;        /* slots kept free for protected requests, default 0 */
@@ -234,7 +234,7 @@
     uint32_t prev, next; /* in the list of the entry's grants; next also in the free list */
     uint32_t queued_ms;
     uint8_t tier, flags;
-    bool preempted;
+    bool is_preempted;
 } _cw_shard_grant_t;
 
 typedef struct _cw_shard_entry_t {
@@ -242,7 +242,7 @@
     int64_t last_seen_ms; /* time of its latest message */
     uint32_t grants;      /* list head */
     bool needs_resync;    /* CW_SHARD_RESYNC must be sent */
-    bool has_reported;    /* its grants are known here: it sent its list, or a digest that matches */
+    bool has_reported;    /* it has sent its list of grants, or a digest that matches */
 } _cw_shard_entry_t;
 
 /* Usage of a workspace that has hard limits, summed over all entries and tiers. */
@@ -274,7 +274,7 @@
     _cw_shard_limit_t* limits;
     cw_map_t by_limit;     /* workspace -> limit */
     uint32_t limit_cursor; /* where the search for a free record starts */
-    bool resync_due;       /* some entry may have needs_resync set */
+    bool is_resync_due;    /* some entry may have needs_resync set */
     int64_t next_sweep_ms; /* time of the next scan for expired leases */
     int64_t takeover_until_ms;
     uint32_t expected_entries; /* entries whose grants the takeover waits for */
@@ -412,7 +412,7 @@
     _cw_shard_entry_t* e = _cw_shard_touch_entry(s, now_ms, entry);
     if (e) {
         e->needs_resync = true;
-        s->resync_due = true;
+        s->is_resync_due = true;
     }
 }
 
@@ -490,15 +490,15 @@
 
 /* Removes an item that has just left its fair queue from the expiry heap, the counters and the index. */
 static void _cw_shard_untrack_item(cw_shard_t* s, uint32_t i) {
-    const cw_slot_request_t* w = &s->items[i].slot_request;
+    const cw_slot_request_t* slot_request = &s->items[i].slot_request;
     cw_heap_remove(&s->expiry, i);
-    s->queued_run_ms[w->tier] -= w->est_ms;
-    s->protected_waiting -= (w->flags & CW_SLOT_REQUEST_PROTECTED) ? 1 : 0;
-    if (!cw_fair_count(s->tiers[w->tier])) {
-        s->floor_credit[w->tier] = 0;
-        s->queued_run_ms[w->tier] = 0;
+    s->queued_run_ms[slot_request->tier] -= slot_request->est_ms;
+    s->protected_waiting -= (slot_request->flags & CW_SLOT_REQUEST_PROTECTED) ? 1 : 0;
+    if (!cw_fair_count(s->tiers[slot_request->tier])) {
+        s->floor_credit[slot_request->tier] = 0;
+        s->queued_run_ms[slot_request->tier] = 0;
     }
-    cw_map_remove(&s->by_request, cw_mix(w->entry, w->seq));
+    cw_map_remove(&s->by_request, cw_mix(slot_request->entry, slot_request->seq));
 }
 
 /* Removes a waiting item from its queue; the caller must refuse or free it. */
@@ -555,8 +555,8 @@
 }
 
 /* Longest wait after which the request most likely still meets its deadline. An engine's work on a response that is cut
-   off at its deadline is lost, so the wait leaves high_est_ms to run. A request with too little time left for that may
-   still wait for a tenth of it. */
+   off at its deadline is lost, so the wait leaves high_est_ms to run. A request that has too little time for that may
+   still wait for a tenth of its remaining time. */
 static uint32_t _cw_shard_max_wait_ms(const cw_slot_request_t* slot_request) {
     uint32_t high_est_ms = slot_request->high_est_ms ? slot_request->high_est_ms : slot_request->est_ms;
     uint32_t slack = slot_request->remaining_ms > high_est_ms ? slot_request->remaining_ms - high_est_ms : 0;
@@ -759,16 +759,16 @@
         return false;
     }
     uint32_t i = cw_fair_peek(s->tiers[tier]);
-    const cw_slot_request_t w = s->items[i].slot_request;
-    const cw_pick_query_t query = {.prefix = w.prefix,
-                                   .hall = w.hall,
-                                   .exclude = w.exclude,
-                                   .keep = (w.flags & CW_SLOT_REQUEST_PROTECTED) ? 0 : s->desc.reserve};
+    const cw_slot_request_t slot_request = s->items[i].slot_request;
+    const cw_pick_query_t query = {.prefix = slot_request.prefix,
+                                   .hall = slot_request.hall,
+                                   .exclude = slot_request.exclude,
+                                   .keep = (slot_request.flags & CW_SLOT_REQUEST_PROTECTED) ? 0 : s->desc.reserve};
     uint32_t up = cw_pick_choose(s->pick, now_ms, &query);
     if (up == CW_PICK_NONE) {
         return false;
     }
-    uint32_t g = _cw_shard_alloc_grant(s, now_ms, w.entry);
+    uint32_t g = _cw_shard_alloc_grant(s, now_ms, slot_request.entry);
     if (g == _CW_SHARD_NONE) {
         return false;
     }
@@ -776,22 +776,22 @@
     _cw_shard_untrack_item(s, i);
     _cw_shard_grant_t* grant = &s->grants[g];
     grant->id = ((uint64_t)s->desc.epoch << 32) | ++s->grant_seq;
-    grant->key = cw_mix(w.entry, w.seq);
-    grant->workspace = w.workspace;
+    grant->key = cw_mix(slot_request.entry, slot_request.seq);
+    grant->workspace = slot_request.workspace;
     grant->upstream = cw_pick_at(s->pick, up).spec.id;
     grant->granted_ms = now_ms;
-    grant->seq = w.seq;
-    grant->cost = w.cost;
-    grant->est_ms = w.est_ms;
-    grant->weight = w.weight;
-    grant->tier = w.tier;
-    grant->flags = w.flags;
+    grant->seq = slot_request.seq;
+    grant->cost = slot_request.cost;
+    grant->est_ms = slot_request.est_ms;
+    grant->weight = slot_request.weight;
+    grant->tier = slot_request.tier;
+    grant->flags = slot_request.flags;
     grant->queued_ms = (uint32_t)(now_ms - s->items[i].arrived_ms);
     _cw_shard_index_grant(s, g);
     cw_pick_begin(s->pick, up);
-    _cw_shard_limit_begin(s, w.workspace);
-    cw_fair_charge(s->tiers[tier], w.workspace, w.weight, w.cost);
-    _cw_shard_account_cost(s, tier, w.cost);
+    _cw_shard_limit_begin(s, slot_request.workspace);
+    cw_fair_charge(s->tiers[tier], slot_request.workspace, slot_request.weight, slot_request.cost);
+    _cw_shard_account_cost(s, tier, slot_request.cost);
     _cw_shard_free_item(s, i);
     s->stats.grants++;
     _cw_shard_fill_grant(s, g, action);
@@ -816,8 +816,8 @@
         if (!grant->id) {
             continue;
         }
-        pending += grant->preempted;
-        bool is_candidate = (grant->flags & CW_SLOT_REQUEST_PREEMPTIBLE) && !grant->preempted &&
+        pending += grant->is_preempted;
+        bool is_candidate = (grant->flags & CW_SLOT_REQUEST_PREEMPTIBLE) && !grant->is_preempted &&
                             grant->tier > s->items[head].slot_request.tier;
         if (is_candidate &&
             (victim == _CW_SHARD_NONE || grant->tier > s->grants[victim].tier ||
@@ -828,7 +828,7 @@
     if (victim == _CW_SHARD_NONE || pending >= s->protected_waiting) {
         return false;
     }
-    s->grants[victim].preempted = true;
+    s->grants[victim].is_preempted = true;
     s->stats.preemptions++;
     _cw_shard_fill_grant(s, victim, action);
     action->kind = CW_SHARD_PREEMPT;
@@ -859,7 +859,7 @@
     cw_grant_digest_t own = _cw_shard_own_digest(s, e, digest->last);
     if (own.count != digest->count || own.ids_xor != digest->ids_xor) {
         e->needs_resync = true;
-        s->resync_due = true;
+        s->is_resync_due = true;
     } else {
         e->has_reported = true;
     }
@@ -978,11 +978,11 @@
     if (s->refused_head == _CW_SHARD_NONE) {
         s->refused_tail = _CW_SHARD_NONE;
     }
-    const cw_slot_request_t* w = &s->items[i].slot_request;
-    uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, w->tier);
+    const cw_slot_request_t* slot_request = &s->items[i].slot_request;
+    uint32_t wait_ms = _cw_shard_wait_ms(s, now_ms, slot_request->tier);
     *action = (cw_shard_action_t){.kind = CW_SHARD_REFUSE,
-                                  .entry = w->entry,
-                                  .seq = w->seq,
+                                  .entry = slot_request->entry,
+                                  .seq = slot_request->seq,
                                   .refusal = s->items[i].refusal,
                                   .retry_after_ms = wait_ms > s->desc.ttl_ms ? wait_ms : s->desc.ttl_ms};
     if (action->refusal == CW_REFUSED_RATE) {
@@ -996,14 +996,14 @@
 }
 
 static bool _cw_shard_next_resync(cw_shard_t* s, cw_shard_action_t* action) {
-    for (uint32_t i = 0; s->resync_due && i < s->entry_count; i++) {
+    for (uint32_t i = 0; s->is_resync_due && i < s->entry_count; i++) {
         if (s->entries[i].needs_resync) {
             s->entries[i].needs_resync = false;
             *action = (cw_shard_action_t){.kind = CW_SHARD_RESYNC, .entry = s->entries[i].id};
             return true;
         }
     }
-    s->resync_due = false;
+    s->is_resync_due = false;
     return false;
 }
 
--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -67,8 +67,8 @@
 }
 
 static void release_grant(cw_shard_t* s, int64_t now, uint64_t grant) {
-    const cw_grant_release_t done = {.grant = grant, .result = CW_PICK_SERVED, .took_ms = 10, .cost = 10};
-    ck_assert_int_eq(cw_shard_release_grant(s, now, &done), CW_OK);
+    const cw_grant_release_t release = {.grant = grant, .result = CW_PICK_SERVED, .took_ms = 10, .cost = 10};
+    ck_assert_int_eq(cw_shard_release_grant(s, now, &release), CW_OK);
 }
 
 START_TEST(grants_are_limited_by_slots) {
@@ -472,9 +472,9 @@
         ck_assert_uint_le(cw_shard_stats(s, now).running, slots);
         if (held_count && rng_below(&rng, 3)) {
             uint32_t i = rng_below(&rng, held_count);
-            const cw_grant_release_t done = {.grant = held[i], .took_ms = 5, .cost = 1 + rng_below(&rng, 30)};
+            const cw_grant_release_t release = {.grant = held[i], .took_ms = 5, .cost = 1 + rng_below(&rng, 30)};
             if (rng_below(&rng, 20)) { /* otherwise the release is lost */
-                cw_shard_release_grant(s, now, &done);
+                cw_shard_release_grant(s, now, &release);
             }
             held[i] = held[--held_count];
         }
