--- a/chalkway_fair.h
+++ b/chalkway_fair.h
@@ -35,7 +35,7 @@
 
 typedef struct cw_fair_desc_t {
     uint32_t max_items;      /* default 1024 */
-    uint32_t max_workspaces; /* counters kept at once, default 1024 */
+    uint32_t max_workspaces; /* counters at the same time, default 1024 */
     cw_allocator_t allocator;
 } cw_fair_desc_t;
 
--- a/chalkway_packed.h
+++ b/chalkway_packed.h
@@ -17,8 +17,8 @@
     HOW TO USE IT
             size_t size = 0;
             char* bytes = cw_packed_encode(&list, &changes, &size);    // free it with free()
-            if (cw_packed_has_magic(bytes, size) && cw_packed_decode(&list, &changes, bytes, size, &err) == CW_OK) { ...
-   }
+            if (cw_packed_has_magic(bytes, size) &&
+                cw_packed_decode(&list, &changes, bytes, size, &err) == CW_OK) { ... }
 
     WHAT IT DOES NOT DO
         It does not encode deltas: they are short and are sent as JSON, see
@@ -52,7 +52,7 @@
 #include <string.h>
 
 #define _CW_PACKED_MAGIC "chalkway-servers-1"
-#define _CW_PACKED_ZONE_BYTES 256 /* the library's allocator; integers and strings take nothing from it */
+#define _CW_PACKED_ZONE_BYTES 256 /* chunk size of msgpack's zone allocator; integers and strings use none of it */
 
 /* A table of names; entries refer to a name by its index. */
 typedef struct _cw_packed_names_t {
--- a/chalkway_pull.h
+++ b/chalkway_pull.h
@@ -28,7 +28,7 @@
 #include "chalkway_core.h"
 
 #define CW_PULL_PEER_MAX 48
-#define CW_PULL_DELAY_PER_DAEMON_MS 1.5 /* longest delay, for each daemon that may ask the same peer */
+#define CW_PULL_DELAY_PER_DAEMON_MS 1.5 /* longest delay, per daemon that may ask the same peer */
 #define CW_PULL_DELAY_MAX_MS 250.0      /* upper bound of the delay */
 
 /* A peer has a newer document and offers it. */
--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -50,12 +50,12 @@
 cw_relay_plan_t cw_relay_plan(uint32_t live);
 /* Whether a ranks before b in the order common to all hosts. */
 bool cw_relay_ranks_before(const cw_member_info_t* a, const cw_member_info_t* b);
-/* Number of relays of a hall; they are the first of its hosts in that order. link_mbps has the links of its count hosts
-   in that order. */
+/* Number of relays of a hall, which are the first of its hosts in that order. link_mbps: bandwidths of the links of the
+   hall's count hosts, in that order. */
 uint32_t cw_relay_count(const cw_relay_plan_t* plan, const uint32_t* link_mbps, uint32_t count);
-/* Index of the relay of a hall that this host sends to; relays are in that order, count is not 0. While relays batch,
-   it is always the same one until the hosts change, so that this host's updates stay in order. Otherwise it is random,
-   so that a lost relay loses only some of the updates. */
+/* Index of the relay of a hall to which this host sends. relays: ids of the hall's relays, in that order; count is not
+   0. While relays batch, the result is the same until the hosts change, so that this host's updates stay in order.
+   Otherwise it is random, so that a lost relay loses only some of the updates. */
 uint32_t cw_relay_choose(const uint64_t* relays, uint32_t count, const cw_relay_plan_t* plan, uint64_t own,
                          uint64_t random);
 
