--- a/chalkway_request.h
+++ b/chalkway_request.h
@@ -101,7 +101,7 @@
     bool had_sent_bytes;     /* value of has_sent_bytes when the current attempt began to send */
     bool has_response_head;  /* a response head arrived, in any attempt */
     bool has_forwarded_body; /* a byte of the response body was forwarded to the caller */
-    bool whole;              /* the response arrived completely */
+    bool is_complete;        /* the response arrived completely */
     uint32_t attempts;
     uint32_t max_attempts;
 } cw_request_t;
@@ -153,7 +153,7 @@
 }
 
 cw_outcome_t cw_request_outcome(const cw_request_t* r) {
-    if (r->whole) {
+    if (r->is_complete) {
         return CW_OUTCOME_DELIVERED;
     }
     if (!r->has_sent_bytes) {
@@ -283,7 +283,7 @@
             if (r->state != CW_REQ_STREAMING && r->state != CW_REQ_DETACHED) {
                 return 0;
             }
-            r->whole = true;
+            r->is_complete = true;
             r->state = CW_REQ_ENDED;
             return CW_DO_RELEASE_SLOT | CW_DO_RESPOND;
         case CW_EV_PREEMPTED:
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -266,23 +266,23 @@
 }
 
 void cw_servers_refuse_without_start(cw_servers_t* list) {
-    uint32_t kept = 0;
+    uint32_t with_start_count = 0;
     for (uint32_t i = 0; i < list->count; i++) {
-        kept += list->items[i].started_ms != 0;
+        with_start_count += list->items[i].started_ms != 0;
     }
-    if (!kept || kept == list->count) {
+    if (!with_start_count || with_start_count == list->count) {
         return;
     }
-    kept = 0;
+    with_start_count = 0;
     for (uint32_t i = 0; i < list->count; i++) {
         if (list->items[i].started_ms) {
-            list->items[kept++] = list->items[i];
+            list->items[with_start_count++] = list->items[i];
         } else {
             cw_servers_refuse(list, list->items[i].id,
                               (cw_server_fault_t){"start", "missing, while other entries have one"});
         }
     }
-    list->count = kept;
+    list->count = with_start_count;
 }
 
 uint64_t cw_servers_hash(const cw_servers_t* list) {
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -313,8 +313,8 @@
     } else if (info->kind == CW_SETTING_NUMBER) {
         memcpy(field, &number, sizeof(number));
     } else {
-        uint32_t whole = (uint32_t)number;
-        memcpy(field, &whole, sizeof(whole));
+        uint32_t integer = (uint32_t)number;
+        memcpy(field, &integer, sizeof(integer));
     }
 }
 
--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -98,7 +98,7 @@
     char hall[CW_NAME_MAX];
     uint32_t slots;          /* concurrent requests */
     bool leaving;            /* gets no new requests */
-    bool deduplicates_calls; /* deduplicates calls by their name (header Idempotency-Key) */
+    bool deduplicates_calls; /* deduplicates calls by their idempotency key (header Idempotency-Key) */
 } cw_upstream_t;
 
 /* An immutable, reference-counted set of all active resources. */
@@ -184,7 +184,7 @@
     uint32_t count;
     cw_map_t by_key;
     int64_t revision;
-    bool dirty;
+    bool is_dirty;
     cw_snapshot_t* snapshot;
 };
 
@@ -706,7 +706,7 @@
     _cw_store_set_text(s, &item->active_value, value);
     item->active_revision = revision;
     item->reason[0] = 0;
-    s->dirty = true;
+    s->is_dirty = true;
     return CW_OK;
 }
 
@@ -714,10 +714,10 @@
     if (revision > s->revision) {
         s->revision = revision;
     }
-    if (s->dirty) {
+    if (s->is_dirty) {
         cw_snapshot_t* old = s->snapshot;
         s->snapshot = _cw_store_build_snapshot(s);
-        s->dirty = false;
+        s->is_dirty = false;
         cw_snapshot_release(old);
     }
 }
