--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -35,11 +35,11 @@
 
 typedef enum cw_msg_type_t {
     CW_MSG_NONE = 0,
-    CW_MSG_HELLO,          /* identifies the sender of a connection */
-    CW_MSG_SLOT_REQUEST,   /* slot request */
-    CW_MSG_CANCEL,         /* cancels a slot request */
-    CW_MSG_ACTION,         /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
-    CW_MSG_GRANT_RELEASE,  /* grant release */
+    CW_MSG_HELLO, /* identifies the sender of a connection */
+    CW_MSG_SLOT_REQUEST,
+    CW_MSG_CANCEL, /* cancels a slot request */
+    CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
+    CW_MSG_GRANT_RELEASE,
     CW_MSG_GRANT_DIGEST,   /* digest of the grants that an entry holds */
     CW_MSG_GRANT_LIST,     /* the grants that an entry holds, with their digest */
     CW_MSG_DOCUMENT_PULL,  /* asks for all documents after a revision */
@@ -566,7 +566,7 @@
         return status;
     }
     _cw_io_t io = {.mode = _CW_IO_UNPACK, .in = &root.via.array};
-    memset(msg, 0, sizeof(*msg)); /* no field may keep a value of an earlier message */
+    memset(msg, 0, sizeof(*msg)); /* fields that the message lacks must be zero, not those of an earlier message */
     _cw_fields_msg(&io, msg, wire->held);
     if (io.is_invalid) {
         return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "message of type %d has an invalid field", (int)msg->type);
