--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -98,7 +98,7 @@
 END_TEST
 
 /* Two hosts poll the source at different times, and a third gets deltas from either in turn. When a delta could start
-   only from a list that its sender had had itself, two pollers had no list in common: in a simulated day of 45 s, every
+   only from an earlier list of its sender, two pollers had no list in common: in a simulated day of 45 s, every
    host of a fleet with two pollers fetched full lists, 1.1 MB for 6,003 servers, several times. The case needs several
    pollers while a quarter of the servers is replaced. */
 START_TEST(deltas_are_small_between_hosts_without_a_common_list) {
@@ -227,8 +227,8 @@
 END_TEST
 
 /* The record of removals is limited to a part of the list's size; a peer whose list is older gets the full list. The
-   same holds after the source was restored from an older copy: its revisions went back, and can't be compared with
-   those before. */
+   same holds after the source was restored from an older copy: it assigns lower revisions again, which cannot be
+   compared with the earlier ones. */
 START_TEST(there_is_no_delta_from_old_or_reset_revisions) {
     cw_changes_t changes = {0};
     cw_servers_t list = make_list(500);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -110,7 +110,7 @@
     ck_assert_uint_eq(verdict_of(q, 1400, 7).crashes, 1);
     ck_assert_uint_eq(verdict_of(q, 1400, 8).crashes, 0);
     ck_assert(!report_crash_ago(q, 1500, 9, 101, 400));
-    ck_assert(report_crash(q, 9000, 9, 101)); /* it crashed after the sign of life */
+    ck_assert(report_crash(q, 9000, 9, 101)); /* this crash is later than the sign of life */
     ck_assert_uint_eq(verdict_of(q, 9000, 9).crashes, 1);
     cw_quarantine_shutdown(q);
 }
@@ -234,10 +234,10 @@
     }
     for (uint64_t body = 0; body < 10000; body++) {
         for (uint64_t i = 0; i < 3; i++) {
-            cw_quarantine_observation_t mark = {.kind = CW_OBSERVED_CRASH,
-                                                .request = {.workspace = 2, .content_hash = 1000 + body},
-                                                .incarnation = 100000 + 3 * body + i};
-            cw_quarantine_observe(q, 2000 + 300 * (int64_t)body / 10 + 40 * (int64_t)i, &mark);
+            cw_quarantine_observation_t observation = {.kind = CW_OBSERVED_CRASH,
+                                                       .request = {.workspace = 2, .content_hash = 1000 + body},
+                                                       .incarnation = 100000 + 3 * body + i};
+            cw_quarantine_observe(q, 2000 + 300 * (int64_t)body / 10 + 40 * (int64_t)i, &observation);
         }
     }
     cw_quarantine_stats_t stats = cw_quarantine_stats(q, 303000);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -21,7 +21,7 @@
     msg = (cw_msg_t){.type = CW_MSG_SLOT_REQUEST, .shard = 9};
     msg.slot_request =
         (cw_slot_request_t){.seq = 3, .tier = 2, .flags = 1, .workspace = UINT64_MAX, .cost = 77, .remaining_ms = 5};
-    /* Remains of an earlier message were once taken for a limit of the workspace. */
+    /* Guards against fields left over from an earlier message: one was applied as a limit of the workspace. */
     memset(&decoded, 0xff, sizeof(decoded));
     check_round_trip(wire);
     ck_assert_mem_eq(&decoded.slot_request, &msg.slot_request, sizeof(msg.slot_request));
