--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -119,12 +119,13 @@
 bool cw_quarantine_has_crashes(const cw_quarantine_t* q, const cw_fingerprint_t* request);
 /* Returns each newly quarantined request once; false when there is no other. */
 bool cw_quarantine_next_newly_quarantined(cw_quarantine_t* q, int64_t now_ms, cw_quarantine_entry_t* out);
-/* Exports the observations of all requests whose verdict is not CW_VERDICT_ALLOWED. *at is the
-   index at which to start; it is advanced, and 0 after the last request. Returns the number of observations written to
-   out, at most max. */
+/* Exports the observations of all requests whose verdict is not CW_VERDICT_ALLOWED. The export starts at index *at and
+   advances it, or sets it to 0 after the last request. Returns the number of observations written to out, at most
+   max. */
 uint32_t cw_quarantine_export(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_observation_t* out,
                               uint32_t max);
-/* Iterates over the same requests, for operators: the next from index *at on; false when there is no other. */
+/* Returns the next of the same requests from index *at on and advances the index, for operators; false when there is no
+   other. */
 bool cw_quarantine_next_entry(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out);
 cw_quarantine_stats_t cw_quarantine_stats(cw_quarantine_t* q, int64_t now_ms);
 
