--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -123,7 +123,7 @@
 static message_cost_t measure_messages(void) {
     cw_wire_t* wire = cw_wire_setup(NULL);
     static cw_msg_t m[5];
-    static cw_msg_t back;
+    static cw_msg_t decoded;
     uint64_t id = cw_name_id("some-name");
     for (int i = 0; i < 5; i++) {
         m[i].shard = id;
@@ -157,7 +157,7 @@
     for (int r = 0; r < rounds; r++) {
         for (int i = 0; i < 5; i++) {
             cw_bytes_t f = cw_wire_encode_frame(wire, &m[i]);
-            if (cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &back, NULL) != CW_OK) {
+            if (cw_wire_decode(wire, f.data + CW_FRAME_HEADER, f.size - CW_FRAME_HEADER, &decoded, NULL) != CW_OK) {
                 abort();
             }
         }
@@ -188,19 +188,19 @@
     uint32_t seq = 0;
     double cpu = bench_cpu_s();
     for (uint32_t i = 0; i < rounds; i++) {
-        const cw_grant_release_t d = {.grant = held[i % 1000], .took_ms = 20000, .cost = 400};
-        cw_slot_request_t w = {.entry = 1 + rng_below(&rng, entries),
-                               .seq = ++seq,
-                               .tier = (uint8_t)rng_below(&rng, 4),
-                               .workspace = 1 + rng_below(&rng, 900),
-                               .cost = 400,
-                               .est_ms = 100,
-                               .queue_ms = 5000,
-                               .remaining_ms = 60000,
-                               .prefix = 1 + rng_below(&rng, 5000)};
+        const cw_grant_release_t release = {.grant = held[i % 1000], .took_ms = 20000, .cost = 400};
+        cw_slot_request_t slot_request = {.entry = 1 + rng_below(&rng, entries),
+                                          .seq = ++seq,
+                                          .tier = (uint8_t)rng_below(&rng, 4),
+                                          .workspace = 1 + rng_below(&rng, 900),
+                                          .cost = 400,
+                                          .est_ms = 100,
+                                          .queue_ms = 5000,
+                                          .remaining_ms = 60000,
+                                          .prefix = 1 + rng_below(&rng, 5000)};
         cw_shard_action_t a;
-        cw_shard_release_grant(s, i / 100, &d);
-        cw_shard_request_slot(s, i / 100, &w);
+        cw_shard_release_grant(s, i / 100, &release);
+        cw_shard_request_slot(s, i / 100, &slot_request);
         while (cw_shard_next_action(s, i / 100, &a)) {
             held[i % 1000] = a.kind == CW_SHARD_GRANT ? a.grant : 0;
         }
@@ -495,7 +495,7 @@
     json_t* member = json_array();
     json_t* allocator = json_array();
     json_t* config = json_array();
-    json_t* names = json_array();
+    json_t* runonce = json_array();
     json_t* processes = json_array();
     json_t* spread = json_array();
     print_propagation(spread);
@@ -506,7 +506,7 @@
     k.messages = measure_messages();
     k.allocator = print_allocator(allocator);
     k.config = print_config(config);
-    k.record_bytes = print_runonce(names);
+    k.record_bytes = print_runonce(runonce);
     k.report_bytes = measure_report(build);
     k.process = print_processes(build, processes);
     json_t* large = print_sum(&k, 21);
@@ -518,6 +518,6 @@
     return bench_write(build, "capacity",
                        json_pack("{s:s,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o}", "scenario", "capacity", "member",
                                  member, "spread", spread, "messages", messages, "allocator", allocator, "config",
-                                 config, "runonce", names, "processes", processes, "shards_of_21", large, "shards_of_8",
-                                 small, "shards_of_4", smallest));
+                                 config, "runonce", runonce, "processes", processes, "shards_of_21", large,
+                                 "shards_of_8", small, "shards_of_4", smallest));
 }
--- a/bench/bench_decide.c
+++ b/bench/bench_decide.c
@@ -51,8 +51,8 @@
     uint32_t seq = 0;
     cw_shard_action_t a;
     while (cw_shard_stats(s, 0).waiting < p->waiting) {
-        cw_slot_request_t w = make_random_request(&rng, ++seq, p->workspaces);
-        if (cw_shard_request_slot(s, 0, &w) != CW_OK) {
+        cw_slot_request_t slot_request = make_random_request(&rng, ++seq, p->workspaces);
+        if (cw_shard_request_slot(s, 0, &slot_request) != CW_OK) {
             abort();
         }
         if (held_count < 8 * SLOTS_PER_UPSTREAM && cw_shard_next_action(s, 0, &a)) {
@@ -67,8 +67,8 @@
     for (uint32_t finished = 0; finished < REQUEST_COUNT; finished += block) {
         double started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            const cw_grant_release_t d = {.grant = held[(finished + i) % held_count], .took_ms = 5, .cost = 100};
-            cw_shard_release_grant(s, 1, &d);
+            const cw_grant_release_t release = {.grant = held[(finished + i) % held_count], .took_ms = 5, .cost = 100};
+            cw_shard_release_grant(s, 1, &release);
         }
         t[2] += bench_cpu_s() - started_s;
         started_s = bench_cpu_s();
@@ -81,8 +81,8 @@
         t[1] += bench_cpu_s() - started_s;
         started_s = bench_cpu_s();
         for (uint32_t i = 0; i < block; i++) {
-            cw_slot_request_t w = make_random_request(&rng, ++seq, p->workspaces);
-            cw_shard_request_slot(s, 1, &w);
+            cw_slot_request_t slot_request = make_random_request(&rng, ++seq, p->workspaces);
+            cw_shard_request_slot(s, 1, &slot_request);
         }
         t[0] += bench_cpu_s() - started_s;
     }
--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -242,21 +242,22 @@
     io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && !h->host);
 }
 
-static void _cw_fields_slot_request(_cw_io_t* io, cw_slot_request_t* w) {
-    _cw_io_u32(io, &w->seq);
-    _cw_io_u8(io, &w->tier);
-    _cw_io_u8(io, &w->flags);
-    _cw_io_u32(io, &w->weight);
-    _cw_io_u64(io, &w->workspace);
-    _cw_io_u32(io, &w->cost);
-    _cw_io_u32(io, &w->est_ms);
-    _cw_io_u32(io, &w->queue_ms);
-    _cw_io_u32(io, &w->remaining_ms);
-    _cw_io_u64(io, &w->prefix);
-    _cw_io_u64(io, &w->exclude);
-    _cw_io_u64(io, &w->hall);
-    _cw_io_u32(io, &w->high_est_ms);
-    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!w->seq || !w->workspace || w->tier >= CW_TIERS));
+static void _cw_fields_slot_request(_cw_io_t* io, cw_slot_request_t* slot_request) {
+    _cw_io_u32(io, &slot_request->seq);
+    _cw_io_u8(io, &slot_request->tier);
+    _cw_io_u8(io, &slot_request->flags);
+    _cw_io_u32(io, &slot_request->weight);
+    _cw_io_u64(io, &slot_request->workspace);
+    _cw_io_u32(io, &slot_request->cost);
+    _cw_io_u32(io, &slot_request->est_ms);
+    _cw_io_u32(io, &slot_request->queue_ms);
+    _cw_io_u32(io, &slot_request->remaining_ms);
+    _cw_io_u64(io, &slot_request->prefix);
+    _cw_io_u64(io, &slot_request->exclude);
+    _cw_io_u64(io, &slot_request->hall);
+    _cw_io_u32(io, &slot_request->high_est_ms);
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!slot_request->seq || !slot_request->workspace ||
+                                                                      slot_request->tier >= CW_TIERS));
 }
 
 static void _cw_fields_action(_cw_io_t* io, cw_shard_action_t* a) {
--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -32,13 +32,13 @@
 }
 
 static cw_slot_request_t make_protected_request(uint64_t entry, uint32_t seq) {
-    cw_slot_request_t w = make_request(entry, seq, 0, 1);
-    w.flags = CW_SLOT_REQUEST_PROTECTED;
-    return w;
+    cw_slot_request_t slot_request = make_request(entry, seq, 0, 1);
+    slot_request.flags = CW_SLOT_REQUEST_PROTECTED;
+    return slot_request;
 }
 
-static void request_slot(cw_shard_t* s, int64_t now, cw_slot_request_t w) {
-    ck_assert_int_eq(cw_shard_request_slot(s, now, &w), CW_OK);
+static void request_slot(cw_shard_t* s, int64_t now, cw_slot_request_t slot_request) {
+    ck_assert_int_eq(cw_shard_request_slot(s, now, &slot_request), CW_OK);
 }
 
 /* Actions of one call to drain_actions: their number by kind, and the last of each. */
@@ -170,10 +170,10 @@
 START_TEST(refusal_is_immediate_and_has_a_retry_delay) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 40; i++) {
-        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
-        w.est_ms = 1000;
-        w.queue_ms = 5000;
-        request_slot(s, 0, w);
+        cw_slot_request_t slot_request = make_request(ENTRY_A, i, 1, 1);
+        slot_request.est_ms = 1000;
+        slot_request.queue_ms = 5000;
+        request_slot(s, 0, slot_request);
     }
     actions_t actions = drain_actions(s, 0);
     ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_BUSY);
@@ -185,10 +185,10 @@
 
 START_TEST(requests_that_miss_their_deadline_are_refused) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
-    cw_slot_request_t w = make_request(ENTRY_A, 1, 1, 1);
-    w.est_ms = 500;
-    w.remaining_ms = 400;
-    request_slot(s, 0, w);
+    cw_slot_request_t slot_request = make_request(ENTRY_A, 1, 1, 1);
+    slot_request.est_ms = 500;
+    slot_request.remaining_ms = 400;
+    request_slot(s, 0, slot_request);
     actions_t actions = drain_actions(s, 0);
     ck_assert_int_eq(actions.refusal.refusal, CW_REFUSED_LATE);
     ck_assert_uint_eq(actions.refusal.retry_after_ms, 0); /* a retry would have even less time */
@@ -201,9 +201,9 @@
 START_TEST(workspace_concurrency_is_limited_across_entries) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 4);
     for (uint32_t i = 1; i <= 6; i++) {
-        cw_slot_request_t w = make_request(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
-        w.max_running = 2;
-        request_slot(s, 0, w);
+        cw_slot_request_t slot_request = make_request(i % 2 ? ENTRY_A : ENTRY_B, i, (uint8_t)(1 + i % 3), 1);
+        slot_request.max_running = 2;
+        request_slot(s, 0, slot_request);
     }
     actions_t limited = drain_actions(s, 0);
     ck_assert_int_eq(limited.grants, 2);
@@ -225,9 +225,9 @@
     int64_t now = 0;
     for (uint32_t i = 1; i <= 100; i++) { /* 20 per second for 5 s; 10 per second are allowed */
         now += 50;
-        cw_slot_request_t w = make_request(ENTRY_A + i % 2, i, 1, 1);
-        w.max_rate = 10;
-        request_slot(s, now, w);
+        cw_slot_request_t slot_request = make_request(ENTRY_A + i % 2, i, 1, 1);
+        slot_request.max_rate = 10;
+        request_slot(s, now, slot_request);
         actions_t actions = drain_actions(s, now);
         refused += actions.refusals;
         last_refusal = actions.refusals ? actions.refusal : last_refusal;
@@ -244,9 +244,9 @@
 START_TEST(queued_request_is_refused_after_its_queue_time) {
     cw_shard_t* s = shard_with((cw_shard_desc_t){0}, 1);
     for (uint32_t i = 1; i <= 3; i++) {
-        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
-        w.queue_ms = 100;
-        request_slot(s, 0, w);
+        cw_slot_request_t slot_request = make_request(ENTRY_A, i, 1, 1);
+        slot_request.queue_ms = 100;
+        request_slot(s, 0, slot_request);
     }
     ck_assert_int_eq(drain_actions(s, 0).grants, 2);
     ck_assert_int_eq(drain_actions(s, 99).refusals, 0);
@@ -369,10 +369,10 @@
     cw_shard_request_resync(s, 0, ENTRY_A);
     cw_shard_request_resync(s, 0, ENTRY_B);
     for (uint32_t i = 1; i <= 30; i++) {
-        cw_slot_request_t w = make_request(ENTRY_A, i, 1, 1);
-        w.est_ms = 50;
-        w.queue_ms = 100;
-        request_slot(s, 0, w);
+        cw_slot_request_t slot_request = make_request(ENTRY_A, i, 1, 1);
+        slot_request.est_ms = 50;
+        slot_request.queue_ms = 100;
+        request_slot(s, 0, slot_request);
     }
     actions_t actions = drain_actions(s, 0);
     ck_assert_int_eq(actions.resyncs, 2);
@@ -446,10 +446,11 @@
     static uint8_t tiers[4000]; /* by seq */
     for (int64_t now = 1; now < 3000; now += 1 + rng_below(&rng, 4)) {
         uint8_t tier = (uint8_t)rng_below(&rng, CW_TIERS);
-        cw_slot_request_t w = tier ? make_request(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
-                                   : make_protected_request(ENTRY_A + rng_below(&rng, 3), ++seq);
-        w.est_ms = 5 + rng_below(&rng, 50);
-        w.queue_ms = 20 + rng_below(&rng, 400);
+        cw_slot_request_t slot_request =
+            tier ? make_request(ENTRY_A + rng_below(&rng, 3), ++seq, tier, 1 + rng_below(&rng, 5))
+                 : make_protected_request(ENTRY_A + rng_below(&rng, 3), ++seq);
+        slot_request.est_ms = 5 + rng_below(&rng, 50);
+        slot_request.queue_ms = 20 + rng_below(&rng, 400);
         lower_waiting_before = 0;
         tiers[seq] = tier;
         for (uint32_t i = 1; !tier && i < seq; i++) {
@@ -457,7 +458,7 @@
                 lower_waiting_before += cw_shard_is_queued(s, ENTRY_A + e, i);
             }
         }
-        cw_status_t status = cw_shard_request_slot(s, now, &w);
+        cw_status_t status = cw_shard_request_slot(s, now, &slot_request);
         ck_assert(status == CW_OK || status == CW_ERR_FULL);
         cw_shard_action_t a;
         while (cw_shard_next_action(s, now, &a)) {
