--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -246,11 +246,11 @@
     return value ? json_is_true(value) : default_value;
 }
 
-static void _cw_doc_string(_cw_doc_t* doc, const char* field, char* out, size_t size, bool required) {
+static void _cw_doc_string(_cw_doc_t* doc, const char* field, char* out, size_t size, bool is_required) {
     json_t* value = _cw_doc_field(doc, field);
     out[0] = 0;
     if (!value) {
-        if (required) {
+        if (is_required) {
             _cw_doc_fail(doc, field, "is missing");
         }
         return;
@@ -467,60 +467,60 @@
 }
 
 static cw_snapshot_t* _cw_snapshot_new(const cw_allocator_t* a, uint32_t capacity) {
-    cw_snapshot_t* v = cw_alloc(a, 1, sizeof(*v));
-    v->refs = 1;
-    v->by_id = cw_map_setup(capacity + 1, a);
-    v->by_digest = cw_map_setup(capacity * CW_WORKSPACE_DIGESTS + 1, a);
-    return v;
+    cw_snapshot_t* snapshot = cw_alloc(a, 1, sizeof(*snapshot));
+    snapshot->refs = 1;
+    snapshot->by_id = cw_map_setup(capacity + 1, a);
+    snapshot->by_digest = cw_map_setup(capacity * CW_WORKSPACE_DIGESTS + 1, a);
+    return snapshot;
 }
 
-void cw_snapshot_release(cw_snapshot_t* v) {
-    assert(v->refs > 0);
-    if (--v->refs) {
+void cw_snapshot_release(cw_snapshot_t* snapshot) {
+    assert(snapshot->refs > 0);
+    if (--snapshot->refs) {
         return;
     }
-    cw_allocator_t a = v->by_id.allocator;
-    cw_free(&a, v->workspaces);
-    cw_free(&a, v->classes);
-    cw_free(&a, v->pools);
-    cw_free(&a, v->upstreams);
-    cw_map_shutdown(&v->by_id);
-    cw_map_shutdown(&v->by_digest);
-    cw_free(&a, v);
+    cw_allocator_t a = snapshot->by_id.allocator;
+    cw_free(&a, snapshot->workspaces);
+    cw_free(&a, snapshot->classes);
+    cw_free(&a, snapshot->pools);
+    cw_free(&a, snapshot->upstreams);
+    cw_map_shutdown(&snapshot->by_id);
+    cw_map_shutdown(&snapshot->by_digest);
+    cw_free(&a, snapshot);
 }
 
-cw_snapshot_t* cw_snapshot_retain(cw_snapshot_t* v) {
-    v->refs++;
-    return v;
+cw_snapshot_t* cw_snapshot_retain(cw_snapshot_t* snapshot) {
+    snapshot->refs++;
+    return snapshot;
 }
 
-static void _cw_snapshot_add_workspace(cw_snapshot_t* v, const cw_workspace_t* w) {
-    v->workspaces[v->workspace_count] = *w;
+static void _cw_snapshot_add_workspace(cw_snapshot_t* snapshot, const cw_workspace_t* w) {
+    snapshot->workspaces[snapshot->workspace_count] = *w;
     for (uint32_t i = 0; i < w->digest_count; i++) {
         uint64_t first_bytes;
         memcpy(&first_bytes, w->digests[i], sizeof(first_bytes));
-        cw_map_put(&v->by_digest, first_bytes ? first_bytes : 1, v->workspace_count);
+        cw_map_put(&snapshot->by_digest, first_bytes ? first_bytes : 1, snapshot->workspace_count);
     }
-    cw_map_put(&v->by_id, _cw_snapshot_key(CW_RESOURCE_WORKSPACE, w->id), v->workspace_count++);
+    cw_map_put(&snapshot->by_id, _cw_snapshot_key(CW_RESOURCE_WORKSPACE, w->id), snapshot->workspace_count++);
 }
 
-static void _cw_snapshot_add(cw_snapshot_t* v, cw_resource_kind_t kind, const _cw_parsed_t* p) {
+static void _cw_snapshot_add(cw_snapshot_t* snapshot, cw_resource_kind_t kind, const _cw_parsed_t* p) {
     uint64_t key = _cw_snapshot_key(kind, p->workspace.id);
     switch (kind) {
         case CW_RESOURCE_WORKSPACE:
-            _cw_snapshot_add_workspace(v, &p->workspace);
+            _cw_snapshot_add_workspace(snapshot, &p->workspace);
             break;
         case CW_RESOURCE_CLASS:
-            cw_map_put(&v->by_id, key, v->class_count);
-            v->classes[v->class_count++] = p->class;
+            cw_map_put(&snapshot->by_id, key, snapshot->class_count);
+            snapshot->classes[snapshot->class_count++] = p->class;
             break;
         case CW_RESOURCE_POOL:
-            cw_map_put(&v->by_id, key, v->pool_count);
-            v->pools[v->pool_count++] = p->pool;
+            cw_map_put(&snapshot->by_id, key, snapshot->pool_count);
+            snapshot->pools[snapshot->pool_count++] = p->pool;
             break;
         default:
-            cw_map_put(&v->by_id, key, v->upstream_count);
-            v->upstreams[v->upstream_count++] = p->upstream;
+            cw_map_put(&snapshot->by_id, key, snapshot->upstream_count);
+            snapshot->upstreams[snapshot->upstream_count++] = p->upstream;
             break;
     }
 }
@@ -530,14 +530,14 @@
 }
 
 /* Whether every pool that an upstream or a class refers to is in the snapshot; sets reason if one is not. */
-static bool _cw_snapshot_has_pools_of(const cw_snapshot_t* v, cw_resource_kind_t kind, const _cw_parsed_t* p,
+static bool _cw_snapshot_has_pools_of(const cw_snapshot_t* snapshot, cw_resource_kind_t kind, const _cw_parsed_t* p,
                                       char* reason) {
-    if (kind == CW_RESOURCE_UPSTREAM && !cw_snapshot_pool(v, p->upstream.pool_id)) {
+    if (kind == CW_RESOURCE_UPSTREAM && !cw_snapshot_pool(snapshot, p->upstream.pool_id)) {
         snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->upstream.pool);
         return false;
     }
     for (uint32_t i = 0; kind == CW_RESOURCE_CLASS && i < p->class.pool_count; i++) {
-        if (!cw_snapshot_pool(v, cw_name_id(p->class.pools[i]))) {
+        if (!cw_snapshot_pool(snapshot, cw_name_id(p->class.pools[i]))) {
             snprintf(reason, CW_REASON_MAX, "pool \"%s\" is not published", p->class.pools[i]);
             return false;
         }
@@ -546,7 +546,7 @@
 }
 
 /* Adds the active documents to the snapshot, either all pools or everything else: other kinds refer to pools. */
-static void _cw_snapshot_fill(cw_store_t* s, cw_snapshot_t* v, cw_store_item_t** sorted, bool pools) {
+static void _cw_snapshot_fill(cw_store_t* s, cw_snapshot_t* snapshot, cw_store_item_t** sorted, bool pools) {
     for (uint32_t i = 0; i < s->count; i++) {
         cw_store_item_t* item = sorted[i];
         _cw_parsed_t parsed;
@@ -555,8 +555,8 @@
             continue;
         }
         char reason[CW_REASON_MAX] = "";
-        if (_cw_snapshot_has_pools_of(v, item->kind, &parsed, reason)) {
-            _cw_snapshot_add(v, item->kind, &parsed);
+        if (_cw_snapshot_has_pools_of(snapshot, item->kind, &parsed, reason)) {
+            _cw_snapshot_add(snapshot, item->kind, &parsed);
         }
         if (item->active_revision == item->revision) {
             cw_copy(item->reason, sizeof(item->reason), reason);
@@ -566,57 +566,57 @@
 
 static cw_snapshot_t* _cw_store_build_snapshot(cw_store_t* s) {
     const cw_allocator_t* a = &s->desc.allocator;
-    uint32_t kinds[CW_RESOURCE_KIND_COUNT] = {0};
+    uint32_t count_by_kind[CW_RESOURCE_KIND_COUNT] = {0};
     for (uint32_t i = 0; i < s->count; i++) {
-        kinds[s->items[i]->kind] += s->items[i]->active_value ? 1 : 0;
-    }
-    cw_snapshot_t* v = _cw_snapshot_new(a, s->count);
-    v->revision = s->revision;
-    v->workspaces = cw_alloc(a, kinds[CW_RESOURCE_WORKSPACE], sizeof(*v->workspaces));
-    v->classes = cw_alloc(a, kinds[CW_RESOURCE_CLASS], sizeof(*v->classes));
-    v->pools = cw_alloc(a, kinds[CW_RESOURCE_POOL], sizeof(*v->pools));
-    v->upstreams = cw_alloc(a, kinds[CW_RESOURCE_UPSTREAM], sizeof(*v->upstreams));
+        count_by_kind[s->items[i]->kind] += s->items[i]->active_value ? 1 : 0;
+    }
+    cw_snapshot_t* snapshot = _cw_snapshot_new(a, s->count);
+    snapshot->revision = s->revision;
+    snapshot->workspaces = cw_alloc(a, count_by_kind[CW_RESOURCE_WORKSPACE], sizeof(*snapshot->workspaces));
+    snapshot->classes = cw_alloc(a, count_by_kind[CW_RESOURCE_CLASS], sizeof(*snapshot->classes));
+    snapshot->pools = cw_alloc(a, count_by_kind[CW_RESOURCE_POOL], sizeof(*snapshot->pools));
+    snapshot->upstreams = cw_alloc(a, count_by_kind[CW_RESOURCE_UPSTREAM], sizeof(*snapshot->upstreams));
     cw_store_item_t** sorted = cw_alloc(a, s->count, sizeof(*sorted));
     memcpy(sorted, s->items, s->count * sizeof(*sorted));
     qsort(sorted, s->count, sizeof(*sorted), _cw_item_compare_keys);
-    _cw_snapshot_fill(s, v, sorted, true);
-    _cw_snapshot_fill(s, v, sorted, false);
+    _cw_snapshot_fill(s, snapshot, sorted, true);
+    _cw_snapshot_fill(s, snapshot, sorted, false);
     cw_free(a, sorted);
-    return v;
+    return snapshot;
 }
 
-static uint32_t _cw_snapshot_index(const cw_snapshot_t* v, cw_resource_kind_t kind, uint64_t id) {
-    return id ? cw_map_get(&v->by_id, _cw_snapshot_key(kind, id)) : CW_MAP_NONE;
+static uint32_t _cw_snapshot_index(const cw_snapshot_t* snapshot, cw_resource_kind_t kind, uint64_t id) {
+    return id ? cw_map_get(&snapshot->by_id, _cw_snapshot_key(kind, id)) : CW_MAP_NONE;
 }
 
-const cw_workspace_t* cw_snapshot_workspace(const cw_snapshot_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_WORKSPACE, id);
-    return i == CW_MAP_NONE ? NULL : &v->workspaces[i];
+const cw_workspace_t* cw_snapshot_workspace(const cw_snapshot_t* snapshot, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(snapshot, CW_RESOURCE_WORKSPACE, id);
+    return i == CW_MAP_NONE ? NULL : &snapshot->workspaces[i];
 }
 
-const cw_class_t* cw_snapshot_class(const cw_snapshot_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_CLASS, id);
-    return i == CW_MAP_NONE ? NULL : &v->classes[i];
+const cw_class_t* cw_snapshot_class(const cw_snapshot_t* snapshot, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(snapshot, CW_RESOURCE_CLASS, id);
+    return i == CW_MAP_NONE ? NULL : &snapshot->classes[i];
 }
 
-const cw_pool_t* cw_snapshot_pool(const cw_snapshot_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_POOL, id);
-    return i == CW_MAP_NONE ? NULL : &v->pools[i];
+const cw_pool_t* cw_snapshot_pool(const cw_snapshot_t* snapshot, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(snapshot, CW_RESOURCE_POOL, id);
+    return i == CW_MAP_NONE ? NULL : &snapshot->pools[i];
 }
 
-const cw_upstream_t* cw_snapshot_upstream(const cw_snapshot_t* v, uint64_t id) {
-    uint32_t i = _cw_snapshot_index(v, CW_RESOURCE_UPSTREAM, id);
-    return i == CW_MAP_NONE ? NULL : &v->upstreams[i];
+const cw_upstream_t* cw_snapshot_upstream(const cw_snapshot_t* snapshot, uint64_t id) {
+    uint32_t i = _cw_snapshot_index(snapshot, CW_RESOURCE_UPSTREAM, id);
+    return i == CW_MAP_NONE ? NULL : &snapshot->upstreams[i];
 }
 
-const cw_workspace_t* cw_snapshot_authenticate(const cw_snapshot_t* v, const uint8_t digest[CW_DIGEST_BYTES]) {
+const cw_workspace_t* cw_snapshot_authenticate(const cw_snapshot_t* snapshot, const uint8_t digest[CW_DIGEST_BYTES]) {
     uint64_t first_bytes;
     memcpy(&first_bytes, digest, sizeof(first_bytes));
-    uint32_t i = cw_map_get(&v->by_digest, first_bytes ? first_bytes : 1);
+    uint32_t i = cw_map_get(&snapshot->by_digest, first_bytes ? first_bytes : 1);
     if (i == CW_MAP_NONE) {
         return NULL;
     }
-    const cw_workspace_t* w = &v->workspaces[i];
+    const cw_workspace_t* w = &snapshot->workspaces[i];
     for (uint32_t d = 0; d < w->digest_count; d++) {
         if (sodium_memcmp(w->digests[d], digest, CW_DIGEST_BYTES) == 0) {
             return w;
