--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -157,14 +157,14 @@
 /* State of the reading functions; only the first error is reported. */
 typedef struct _cw_catalog_reader_t {
     cw_error_t* err;
-    bool failed;
+    bool has_failed;
 } _cw_catalog_reader_t;
 
 static void _cw_catalog_fail(_cw_catalog_reader_t* r, const char* where, const char* key, const char* why) {
-    if (!r->failed) {
+    if (!r->has_failed) {
         cw_fail(r->err, CW_ERR_INVALID, _CW_CATALOG_ERROR_STEP, NULL, "%s: \"%s\" %s", where, key, why);
     }
-    r->failed = true;
+    r->has_failed = true;
 }
 
 static const char* _cw_catalog_string(_cw_catalog_reader_t* r, const json_t* o, const char* where, const char* key) {
@@ -364,11 +364,11 @@
 }
 
 cw_catalog_t* cw_catalog_parse(const char* text, size_t size, cw_error_t* err) {
-    json_error_t problem;
-    json_t* document = json_loadb(text, size, 0, &problem);
+    json_error_t parse_error;
+    json_t* document = json_loadb(text, size, 0, &parse_error);
     if (!json_is_object(document)) {
         cw_fail(err, CW_ERR_INVALID, _CW_CATALOG_ERROR_STEP, NULL, "no JSON object: %s",
-                document ? "other" : problem.text);
+                document ? "other" : parse_error.text);
         json_decref(document);
         return NULL;
     }
@@ -383,7 +383,7 @@
         _cw_catalog_fail(&reader, "document", "revision", "must be an integer above 0");
     }
     _cw_catalog_read_tables(&reader, c, document);
-    if (reader.failed) {
+    if (reader.has_failed) {
         cw_catalog_release(c);
         return NULL;
     }
@@ -461,12 +461,12 @@
     for (uint32_t i = 0; i < route->pool_count; i++) {
         sum += route->pools[i].weight;
     }
-    uint64_t left = sum ? draw % sum : 0;
+    uint64_t remaining = sum ? draw % sum : 0;
     for (uint32_t i = 0; i < route->pool_count; i++) {
-        if (left < route->pools[i].weight) {
+        if (remaining < route->pools[i].weight) {
             return &c->pools[route->pools[i].pool];
         }
-        left -= route->pools[i].weight;
+        remaining -= route->pools[i].weight;
     }
     return &c->pools[route->pools[0].pool];
 }
--- a/chalkway_changes.h
+++ b/chalkway_changes.h
@@ -129,9 +129,9 @@
 }
 
 /* Sets the revision of an entry that changed, above the revision of the list before. */
-static void _cw_changes_set_revision(cw_server_t* now, const cw_servers_t* before, const cw_servers_t* after) {
-    now->revision = now->revision ? now->revision : after->at;
-    now->revision = now->revision > before->at ? now->revision : before->at + 1;
+static void _cw_changes_set_revision(cw_server_t* current, const cw_servers_t* before, const cw_servers_t* after) {
+    current->revision = current->revision ? current->revision : after->at;
+    current->revision = current->revision > before->at ? current->revision : before->at + 1;
 }
 
 /* Walks both sorted lists in parallel; records removals and sets the revisions of the entries of after. */
@@ -141,18 +141,18 @@
     uint32_t i = 0;
     uint32_t j = 0;
     while (i < before->count || j < after->count) {
-        const cw_server_t* old = i < before->count ? &before->items[i] : NULL;
-        cw_server_t* now = j < after->count ? &after->items[j] : NULL;
-        int order = !old ? 1 : !now ? -1 : strcmp(old->id, now->id);
+        const cw_server_t* previous = i < before->count ? &before->items[i] : NULL;
+        cw_server_t* current = j < after->count ? &after->items[j] : NULL;
+        int order = !previous ? 1 : !current ? -1 : strcmp(previous->id, current->id);
         if (order < 0) {
             if (changes->count >= max_removals) {
                 _cw_changes_drop_oldest(changes);
             }
-            cw_changes_add_removed(changes, old->id, after->at);
-        } else if (order == 0 && cw_server_equal(old, now)) {
-            now->revision = old->revision;
+            cw_changes_add_removed(changes, previous->id, after->at);
+        } else if (order == 0 && cw_server_equal(previous, current)) {
+            current->revision = previous->revision;
         } else {
-            _cw_changes_set_revision(now, before, after);
+            _cw_changes_set_revision(current, before, after);
         }
         i += order <= 0;
         j += order >= 0;
--- a/chalkway_hist.h
+++ b/chalkway_hist.h
@@ -133,16 +133,16 @@
     }
     uint32_t mean = cw_estimate_mean(est, initial);
     uint64_t above = 0; /* samples in the buckets above i */
-    uint32_t need = cw_hist_upper_bound(CW_HIST_BUCKETS - 1);
+    uint32_t cutoff = cw_hist_upper_bound(CW_HIST_BUCKETS - 1);
     for (uint32_t i = CW_HIST_BUCKETS; i-- > 0;) {
         uint32_t bound = cw_hist_upper_bound(i);
         if (bound < mean || (double)above * bound > share * (double)est->hist.sum) {
             break;
         }
-        need = bound;
+        cutoff = bound;
         above += est->hist.buckets[i];
     }
-    return need;
+    return cutoff;
 }
 
 #endif /* CHALKWAY_HIST_IMPL_INCLUDED */
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -286,16 +286,16 @@
 }
 
 uint64_t cw_servers_hash(const cw_servers_t* list) {
-    uint64_t id = 0;
+    uint64_t hash = 0;
     for (uint32_t i = 0; i < list->count; i++) {
         const cw_server_t* s = &list->items[i];
         uint64_t state = (uint64_t)s->leaving + 1 + 2 * (uint64_t)(s->cold_ms > 0);
-        id += cw_mix(cw_server_incarnation_id(s), cw_mix(cw_name_id(s->address), state));
+        hash += cw_mix(cw_server_incarnation_id(s), cw_mix(cw_name_id(s->address), state));
     }
     for (uint32_t i = 0; i < list->closed.count; i++) {
-        id += cw_mix(cw_name_id(list->closed.halls[i]), list->closed.count);
+        hash += cw_mix(cw_name_id(list->closed.halls[i]), list->closed.count);
     }
-    return id ? id : 1;
+    return hash ? hash : 1;
 }
 
 bool cw_server_equal(const cw_server_t* a, const cw_server_t* b) {
@@ -334,7 +334,7 @@
 typedef struct _cw_field_t {
     const char* name; /* NULL: the source does not have it */
     _cw_field_kind_t kind;
-    bool required;
+    bool is_required;
     int64_t min, max;
     void* out;
     size_t size; /* of a text, with its terminating zero */
@@ -412,7 +412,7 @@
 static const char* _cw_field_read(const _cw_field_t* f, const json_t* entry, const cw_server_field_names_t* names) {
     const json_t* value = f->name ? json_object_get(entry, f->name) : NULL;
     if (!value) {
-        return f->name && f->required ? "missing" : NULL;
+        return f->name && f->is_required ? "missing" : NULL;
     }
     switch (f->kind) {
         case _CW_FIELD_NAME:
@@ -485,13 +485,13 @@
 }
 
 cw_status_t cw_servers_from_json(cw_servers_t* list, const char* text, size_t size, cw_error_t* err) {
-    json_error_t problem;
-    json_t* document = json_loadb(text, size, 0, &problem);
+    json_error_t parse_error;
+    json_t* document = json_loadb(text, size, 0, &parse_error);
     const json_t* items = json_object_get(document, "servers");
     cw_status_t status = CW_OK;
     if (!json_is_array(items)) {
         status = cw_fail(err, CW_ERR_INVALID, "servers", NULL, "no list of servers: %s",
-                         document ? "the field servers is missing" : problem.text);
+                         document ? "the field servers is missing" : parse_error.text);
     }
     list->at = json_integer_value(json_object_get(document, "at"));
     list->age_ms = (uint32_t)json_integer_value(json_object_get(document, "age_ms"));
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -208,16 +208,16 @@
     int line_of[CW_SETTINGS_MAX]; /* line of each setting, 0: not in the file */
 } _cw_settings_loader_t;
 
-static void _cw_settings_add_error(_cw_settings_loader_t* load, int line, const char* section, const char* key,
+static void _cw_settings_add_error(_cw_settings_loader_t* loader, int line, const char* section, const char* key,
                                    const char* fmt, ...) __attribute__((format(printf, 5, 6)));
 
-static void _cw_settings_add_error(_cw_settings_loader_t* load, int line, const char* section, const char* key,
+static void _cw_settings_add_error(_cw_settings_loader_t* loader, int line, const char* section, const char* key,
                                    const char* fmt, ...) {
-    if (load->errors->count == CW_SETTINGS_ERRORS_MAX) {
+    if (loader->errors->count == CW_SETTINGS_ERRORS_MAX) {
         return;
     }
-    char* out = load->errors->lines[load->errors->count++];
-    int n = snprintf(out, CW_MESSAGE_MAX, "%s:%d: [%s] %s: ", load->path, line, section, key);
+    char* out = loader->errors->lines[loader->errors->count++];
+    int n = snprintf(out, CW_MESSAGE_MAX, "%s:%d: [%s] %s: ", loader->path, line, section, key);
     if (n < 0 || n >= CW_MESSAGE_MAX) {
         return;
     }
@@ -273,20 +273,21 @@
     return *text && strlen(text) < CW_NAME_MAX;
 }
 
-static void _cw_settings_set(_cw_settings_loader_t* load, const cw_setting_info_t* info, int line, const char* value) {
-    char* field = (char*)load->settings + info->offset;
+static void _cw_settings_set(_cw_settings_loader_t* loader, const cw_setting_info_t* info, int line,
+                             const char* value) {
+    char* field = (char*)loader->settings + info->offset;
     double number = 0;
     switch (info->kind) {
         case CW_SETTING_TEXT:
             if (strlen(value) >= CW_SETTINGS_TEXT_MAX) {
-                _cw_settings_add_error(load, line, info->section, info->key, "is too long");
+                _cw_settings_add_error(loader, line, info->section, info->key, "is too long");
                 return;
             }
             cw_copy(field, CW_SETTINGS_TEXT_MAX, value);
             return;
         case CW_SETTING_NAME:
             if (!_cw_settings_is_name(value)) {
-                _cw_settings_add_error(load, line, info->section, info->key,
+                _cw_settings_add_error(loader, line, info->section, info->key,
                                        "must be letters, digits, '-', '.' and '_'");
                 return;
             }
@@ -294,7 +295,7 @@
             return;
         case CW_SETTING_ADDRESS:
             if (!_cw_settings_is_address(value)) {
-                _cw_settings_add_error(load, line, info->section, info->key, "must be IP:PORT");
+                _cw_settings_add_error(loader, line, info->section, info->key, "must be IP:PORT");
                 return;
             }
             cw_copy(field, CW_NAME_MAX, value);
@@ -306,9 +307,9 @@
         const char* expected = info->kind == CW_SETTING_MS      ? "a time with its unit, such as 500ms, 5s or 2m"
                                : info->kind == CW_SETTING_BYTES ? "a size in bytes, such as 1000, 64k or 8m"
                                                                 : "a number";
-        _cw_settings_add_error(load, line, info->section, info->key, "must be %s", expected);
+        _cw_settings_add_error(loader, line, info->section, info->key, "must be %s", expected);
     } else if (number < info->min || number > info->max) {
-        _cw_settings_add_error(load, line, info->section, info->key, "must be from %g to %g%s", info->min, info->max,
+        _cw_settings_add_error(loader, line, info->section, info->key, "must be from %g to %g%s", info->min, info->max,
                                info->kind == CW_SETTING_MS ? " ms" : "");
     } else if (info->kind == CW_SETTING_NUMBER) {
         memcpy(field, &number, sizeof(number));
@@ -320,33 +321,33 @@
 
 /* Line reader for inih that counts the lines. */
 static char* _cw_settings_next_line(char* text, int size, void* user) {
-    _cw_settings_loader_t* load = user;
-    char* got = fgets(text, size, load->file);
-    load->line += got ? 1 : 0;
+    _cw_settings_loader_t* loader = user;
+    char* got = fgets(text, size, loader->file);
+    loader->line += got ? 1 : 0;
     return got;
 }
 
 static int _cw_settings_on_pair(void* user, const char* section, const char* key, const char* value) {
-    _cw_settings_loader_t* load = user;
-    int line = load->line;
-    for (uint32_t i = 0; i < load->count; i++) {
-        const cw_setting_info_t* info = &load->table[i];
+    _cw_settings_loader_t* loader = user;
+    int line = loader->line;
+    for (uint32_t i = 0; i < loader->count; i++) {
+        const cw_setting_info_t* info = &loader->table[i];
         if (strcmp(section, info->section) != 0 || strcmp(key, info->key) != 0) {
             continue;
         }
-        if (load->line_of[i]) {
-            _cw_settings_add_error(load, line, section, key, "is given twice, first on line %d", load->line_of[i]);
+        if (loader->line_of[i]) {
+            _cw_settings_add_error(loader, line, section, key, "is given twice, first on line %d", loader->line_of[i]);
         }
-        load->line_of[i] = line;
-        _cw_settings_set(load, info, line, value);
+        loader->line_of[i] = line;
+        _cw_settings_set(loader, info, line, value);
         return 1;
     }
-    _cw_settings_add_error(load, line, section, key, "is not known");
+    _cw_settings_add_error(loader, line, section, key, "is not known");
     return 1;
 }
 
 /* Two addresses of this host must differ, unless the port is 0. */
-static void _cw_settings_check_addresses(_cw_settings_loader_t* load, const cw_settings_t* settings) {
+static void _cw_settings_check_addresses(_cw_settings_loader_t* loader, const cw_settings_t* settings) {
     const struct {
         const char* key;
         const char* value;
@@ -355,9 +356,9 @@
         for (size_t j = 0; j < i; j++) {
             const char* value = addresses[i].value;
             size_t len = strlen(value);
-            bool any_port = len > 2 && strcmp(value + len - 2, ":0") == 0;
-            if (value[0] && !any_port && strcmp(value, addresses[j].value) == 0) {
-                _cw_settings_add_error(load, 0, "host", addresses[i].key, "is the same address as %s",
+            bool has_any_port = len > 2 && strcmp(value + len - 2, ":0") == 0;
+            if (value[0] && !has_any_port && strcmp(value, addresses[j].value) == 0) {
+                _cw_settings_add_error(loader, 0, "host", addresses[i].key, "is the same address as %s",
                                        addresses[j].key);
             }
         }
@@ -369,20 +370,20 @@
     char quoted[CW_NAME_MAX + 2];
     snprintf(quoted, sizeof(quoted), " %s ", value);
     if (!strstr(choices, quoted)) {
-        _cw_settings_loader_t load = {.path = path, .errors = errors};
-        _cw_settings_add_error(&load, 0, section, key, "must be one of%s", choices);
+        _cw_settings_loader_t loader = {.path = path, .errors = errors};
+        _cw_settings_add_error(&loader, 0, section, key, "must be one of%s", choices);
     }
 }
 
-static void _cw_settings_fill_defaults(_cw_settings_loader_t* load) {
-    for (uint32_t i = 0; i < load->count; i++) {
-        if (load->line_of[i]) {
+static void _cw_settings_fill_defaults(_cw_settings_loader_t* loader) {
+    for (uint32_t i = 0; i < loader->count; i++) {
+        if (loader->line_of[i]) {
             continue;
         }
-        if (load->table[i].default_value) {
-            _cw_settings_set(load, &load->table[i], 0, load->table[i].default_value);
+        if (loader->table[i].default_value) {
+            _cw_settings_set(loader, &loader->table[i], 0, loader->table[i].default_value);
         } else {
-            _cw_settings_add_error(load, 0, load->table[i].section, load->table[i].key, "is missing");
+            _cw_settings_add_error(loader, 0, loader->table[i].section, loader->table[i].key, "is missing");
         }
     }
 }
@@ -390,18 +391,19 @@
 cw_status_t cw_settings_read(const char* path, const cw_setting_info_t* table, uint32_t count, void* settings,
                              cw_settings_errors_t* errors) {
     assert(count <= CW_SETTINGS_MAX);
-    _cw_settings_loader_t load = {.path = path, .table = table, .count = count, .settings = settings, .errors = errors};
-    load.file = fopen(path, "r");
-    if (!load.file) {
-        _cw_settings_add_error(&load, 0, "", "", "the file cannot be opened");
+    _cw_settings_loader_t loader = {
+        .path = path, .table = table, .count = count, .settings = settings, .errors = errors};
+    loader.file = fopen(path, "r");
+    if (!loader.file) {
+        _cw_settings_add_error(&loader, 0, "", "", "the file cannot be opened");
         return CW_ERR_INVALID;
     }
-    int line = ini_parse_stream(_cw_settings_next_line, &load, _cw_settings_on_pair, &load);
-    fclose(load.file);
+    int line = ini_parse_stream(_cw_settings_next_line, &loader, _cw_settings_on_pair, &loader);
+    fclose(loader.file);
     if (line > 0) {
-        _cw_settings_add_error(&load, line, "", "", "the line is not a section, a key or a comment");
+        _cw_settings_add_error(&loader, line, "", "", "the line is not a section, a key or a comment");
     }
-    _cw_settings_fill_defaults(&load);
+    _cw_settings_fill_defaults(&loader);
     return errors->count ? CW_ERR_INVALID : CW_OK;
 }
 
@@ -411,8 +413,8 @@
     if (status != CW_OK && !settings->log_level[0]) {
         return status; /* the file could not be opened */
     }
-    _cw_settings_loader_t load = {.path = path, .errors = errors};
-    _cw_settings_check_addresses(&load, settings);
+    _cw_settings_loader_t loader = {.path = path, .errors = errors};
+    _cw_settings_check_addresses(&loader, settings);
     cw_settings_check_choice(path, "allocator", "policy", settings->policy, " shared solo lease round-robin ", errors);
     cw_settings_check_choice(path, "log", "level", settings->log_level, " debug info warn error ", errors);
     cw_settings_check_choice(path, "log", "format", settings->log_format, " text json ", errors);
