--- a/bench/bench_quarantine.c
+++ b/bench/bench_quarantine.c
@@ -4,8 +4,8 @@
     Each query of death (a "body") arrives three times per second under a new id at a random host. The server that
     starts it crashes 60 ms later, which breaks all requests running there, and restarts after 2 s as a new incarnation.
     Observations reach the other hosts after a delay or are lost; they are sent a second time after 150 ms, and two
-   hosts export one datagram of observations every second. Ordinary requests run beside the bodies for 300 ms and are
-   retried up to twice after a break.
+    hosts export one datagram of observations every second. Ordinary requests run beside the bodies for 300 ms and are
+    retried up to twice after a break.
 
     Output for each fleet size, number of bodies and loss: servers crashed per body (mean and maximum), ms from a body's
     third crash until all hosts have quarantined it, bodies with three crashes that were never quarantined on all hosts,
@@ -36,7 +36,7 @@
 #define OBSERVATION_BYTES 32
 
 typedef struct running_t {
-    bool used;
+    bool is_used;
     uint64_t content_hash;
     uint32_t host, server, attempts;
     int64_t ends_at_ms;
@@ -83,7 +83,7 @@
 }
 
 static void broadcast(simulation_t* sim, uint32_t from, const cw_quarantine_observation_t* observation, int64_t now_ms,
-                      int64_t later_ms) {
+                      int64_t extra_delay_ms) {
     for (uint32_t h = 0; h < sim->hosts; h++) {
         if (h == from || random_unit(sim) < sim->loss) {
             continue;
@@ -95,7 +95,7 @@
         sim->in_transit[sim->in_transit_count++] =
             (in_transit_t){.observation = *observation,
                            .sent_at_ms = now_ms,
-                           .due_at_ms = now_ms + later_ms + sim->delay_ms / 2 + random_below(sim, sim->delay_ms),
+                           .due_at_ms = now_ms + extra_delay_ms + sim->delay_ms / 2 + random_below(sim, sim->delay_ms),
                            .host = h};
         sim->sent++;
     }
@@ -164,9 +164,9 @@
     }
     uint32_t s = v.kind == CW_VERDICT_PENDING ? SERVERS_MAX : choose_server(sim, content_hash, &v, now_ms);
     for (uint32_t i = 0; i < RUNNING_MAX && s < SERVERS_MAX; i++) {
-        if (!sim->running[i].used) {
+        if (!sim->running[i].is_used) {
             sim->running[i] =
-                (running_t){.used = true,
+                (running_t){.is_used = true,
                             .content_hash = content_hash,
                             .host = host,
                             .server = s,
@@ -195,10 +195,10 @@
     count_crash(sim, by, now_ms);
     for (uint32_t i = 0; i < RUNNING_MAX; i++) {
         running_t run = sim->running[i];
-        if (!run.used || run.server != s) {
+        if (!run.is_used || run.server != s) {
             continue;
         }
-        sim->running[i].used = false;
+        sim->running[i].is_used = false;
         sim->broken += run.content_hash > BODIES_MAX;
         make_observation(sim, run.host,
                          &(cw_quarantine_observation_t){.kind = CW_OBSERVED_CRASH,
@@ -212,14 +212,14 @@
 static void end_due_requests(simulation_t* sim, int64_t now_ms) {
     for (uint32_t i = 0; i < RUNNING_MAX; i++) {
         running_t run = sim->running[i];
-        if (!run.used || run.ends_at_ms > now_ms) {
+        if (!run.is_used || run.ends_at_ms > now_ms) {
             continue;
         }
         if (run.content_hash <= BODIES_MAX) {
             running_t others[64];
             uint32_t count = 0;
             for (uint32_t k = 0; k < RUNNING_MAX && count < 64; k++) {
-                if (sim->running[k].used && sim->running[k].server == run.server) {
+                if (sim->running[k].is_used && sim->running[k].server == run.server) {
                     others[count++] = sim->running[k];
                 }
             }
@@ -231,7 +231,7 @@
             }
             continue;
         }
-        sim->running[i].used = false;
+        sim->running[i].is_used = false;
         cw_fingerprint_t request = request_of(run.content_hash);
         if (cw_quarantine_has_crashes(sim->quarantines[run.host], &request)) {
             make_observation(sim, run.host,
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -15,7 +15,7 @@
 
 typedef struct fleet_t {
     cw_members_t* hosts[FLEET_MAX]; /* NULL: not running */
-    bool paused[FLEET_MAX];
+    bool is_suspended[FLEET_MAX];
     int partition[FLEET_MAX]; /* hosts of different partitions cannot reach each other */
     uint32_t count;
     uint32_t loss_percent;
@@ -91,11 +91,12 @@
         cw_bytes_t bytes = cw_wire_encode_datagram(f->wire, "fleet", &out.message);
         f->messages++;
         f->bytes += bytes.size;
-        bool lost = rng_below(&f->rng, 100) < f->loss_percent;
+        bool is_lost = rng_below(&f->rng, 100) < f->loss_percent;
         if (f->max_messages_per_step && to < f->count) {
-            lost = lost || f->handled[i]++ >= f->max_messages_per_step || f->handled[to]++ >= f->max_messages_per_step;
+            is_lost =
+                is_lost || f->handled[i]++ >= f->max_messages_per_step || f->handled[to]++ >= f->max_messages_per_step;
         }
-        if (to >= f->count || !f->hosts[to] || f->paused[to] || f->partition[i] != f->partition[to] || lost) {
+        if (to >= f->count || !f->hosts[to] || f->is_suspended[to] || f->partition[i] != f->partition[to] || is_lost) {
             continue;
         }
         if (cw_wire_decode_datagram(f->wire, "fleet", bytes.data, bytes.size, &in, NULL) != CW_OK) {
@@ -109,13 +110,13 @@
     for (int64_t until = f->now_ms + ms; f->now_ms < until; f->now_ms += FLEET_STEP_MS) {
         memset(f->handled, 0, sizeof(f->handled));
         for (uint32_t i = 0; i < f->count; i++) {
-            if (f->hosts[i] && !f->paused[i]) {
+            if (f->hosts[i] && !f->is_suspended[i]) {
                 cw_members_tick(f->hosts[i], f->now_ms + (i * 7) % FLEET_STEP_MS);
             }
         }
         for (int turn = 0; turn < 4; turn++) { /* a step covers an indirect probe: ping-req, ping and both acks */
             for (uint32_t i = 0; i < f->count; i++) {
-                if (f->hosts[i] && !f->paused[i]) {
+                if (f->hosts[i] && !f->is_suspended[i]) {
                     fleet_deliver(f, i);
                 }
             }
--- a/tests/test_docs.c
+++ b/tests/test_docs.c
@@ -52,9 +52,10 @@
         cw_event_info_t info = cw_event_info((cw_event_t)number);
         char row[96];
         snprintf(row, sizeof(row), "| %d |", number);
-        bool listed = strstr(page, row) != NULL;
+        bool is_listed = strstr(page, row) != NULL;
         bool exists = strcmp(info.name, "?") != 0;
-        ck_assert_msg(listed == exists, "event %d is %s", number, listed ? "on the page only" : "in the code only");
+        ck_assert_msg(is_listed == exists, "event %d is %s", number,
+                      is_listed ? "on the page only" : "in the code only");
         snprintf(row, sizeof(row), "| %d | %s | %s |", number, info.name, levels[info.level]);
         ck_assert_msg(!exists || strstr(page, row) != NULL, "missing: %s", row);
         event_count += exists;
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -56,10 +56,10 @@
 START_TEST(suspended_host_declares_nobody_dead) {
     fleet_setup(&fleet, 20, 5);
     fleet_run(&fleet, 10000);
-    fleet.paused[3] = true;
+    fleet.is_suspended[3] = true;
     fleet_run(&fleet, 30000);
     ck_assert_uint_eq(fleet_count_in_state(&fleet, 3, CW_MEMBER_DEAD), 19);
-    fleet.paused[3] = false;
+    fleet.is_suspended[3] = false;
     fleet_run(&fleet, 100);
     for (uint32_t i = 0; i < cw_members_count(fleet.hosts[3]); i++) {
         ck_assert_int_ne(cw_members_at(fleet.hosts[3], i)->info.state, CW_MEMBER_DEAD);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -4,11 +4,11 @@
 #include "../chalkway_quarantine.h"
 #include "test.h"
 
-#define KEEP_MS 600000
-#define SETTLED_MS 100 /* time until observations of other crashes at the same moment have arrived */
+#define RETENTION_MS 600000
+#define COINCIDENCE_MS 100 /* time until observations of other crashes at the same moment have arrived */
 
 static cw_quarantine_t* setup(void) {
-    return cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 64, .keep_ms = KEEP_MS});
+    return cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 64, .keep_ms = RETENTION_MS});
 }
 
 static cw_fingerprint_t request(uint64_t content_hash) {
@@ -62,12 +62,12 @@
     ck_assert(report_crash(q, 1200, 7, 102));
     expect_verdict(q, 1200, 7, CW_VERDICT_ISOLATED);
     ck_assert(report_crash(q, 1400, 7, 103));
-    ck_assert_uint_eq(verdict_of(q, 1440, 7).retry_ms, SETTLED_MS - 40);
-    expect_verdict(q, 1400 + SETTLED_MS - 1, 7, CW_VERDICT_PENDING);
-    cw_verdict_t v = verdict_of(q, 1400 + SETTLED_MS, 7);
+    ck_assert_uint_eq(verdict_of(q, 1440, 7).retry_ms, COINCIDENCE_MS - 40);
+    expect_verdict(q, 1400 + COINCIDENCE_MS - 1, 7, CW_VERDICT_PENDING);
+    cw_verdict_t v = verdict_of(q, 1400 + COINCIDENCE_MS, 7);
     ck_assert_int_eq(v.kind, CW_VERDICT_QUARANTINED);
     ck_assert_uint_eq(v.crashes, 3);
-    ck_assert_uint_eq(v.retry_ms, KEEP_MS - 400 - SETTLED_MS);
+    ck_assert_uint_eq(v.retry_ms, RETENTION_MS - 400 - COINCIDENCE_MS);
     expect_verdict(q, 1400, 8, CW_VERDICT_ALLOWED);
     cw_fingerprint_t other = {.workspace = 2, .content_hash = 7}; /* the same content from another workspace */
     ck_assert_int_eq(cw_quarantine_evaluate(q, 1400, &other).kind, CW_VERDICT_ALLOWED);
@@ -165,7 +165,7 @@
     expect_verdict(q, 3100, 8, CW_VERDICT_TRIAL);
     report_crash(q, 4000, 7, 104); /* request 8 ran elsewhere */
     report_cleared(q, 4000, 8, 0);
-    expect_verdict(q, 4000 + SETTLED_MS, 7, CW_VERDICT_QUARANTINED);
+    expect_verdict(q, 4000 + COINCIDENCE_MS, 7, CW_VERDICT_QUARANTINED);
     expect_verdict(q, 4000, 8, CW_VERDICT_ALLOWED);
     cw_quarantine_shutdown(q);
 }
@@ -216,19 +216,19 @@
     report_crash(q, 1000, 7, 101);
     report_crash(q, 2000, 7, 102);
     report_crash(q, 3000, 7, 103);
-    expect_verdict(q, 1000 + KEEP_MS - 1, 7, CW_VERDICT_QUARANTINED);
-    expect_verdict(q, 1000 + KEEP_MS, 7, CW_VERDICT_ISOLATED);
-    report_crash(q, 1500 + KEEP_MS, 7, 104); /* one more attempt crashes one more server: quarantined again */
-    expect_verdict(q, 1500 + KEEP_MS + SETTLED_MS, 7, CW_VERDICT_QUARANTINED);
-    expect_verdict(q, 2000 + 3 * KEEP_MS, 7, CW_VERDICT_ALLOWED);
-    ck_assert_uint_eq(cw_quarantine_stats(q, 2000 + 3 * KEEP_MS).entries, 0);
+    expect_verdict(q, 1000 + RETENTION_MS - 1, 7, CW_VERDICT_QUARANTINED);
+    expect_verdict(q, 1000 + RETENTION_MS, 7, CW_VERDICT_ISOLATED);
+    report_crash(q, 1500 + RETENTION_MS, 7, 104); /* one more attempt crashes one more server: quarantined again */
+    expect_verdict(q, 1500 + RETENTION_MS + COINCIDENCE_MS, 7, CW_VERDICT_QUARANTINED);
+    expect_verdict(q, 2000 + 3 * RETENTION_MS, 7, CW_VERDICT_ALLOWED);
+    ck_assert_uint_eq(cw_quarantine_stats(q, 2000 + 3 * RETENTION_MS).entries, 0);
     cw_quarantine_shutdown(q);
 }
 END_TEST
 
 /* One workspace sends 10,000 bodies, each of which crashes three servers. */
 START_TEST(one_workspace_does_not_evict_entries_of_others) {
-    cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 256, .keep_ms = KEEP_MS});
+    cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 256, .keep_ms = RETENTION_MS});
     for (uint64_t i = 0; i < 3; i++) {
         report_crash(q, 1000 + 100 * (int64_t)i, 7, 101 + i);
     }
