--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -271,28 +271,28 @@
     _cw_io_u32(io, &a->retry_after_ms);
 }
 
-static void _cw_fields_grant_release(_cw_io_t* io, cw_grant_release_t* d) {
-    _cw_io_u64(io, &d->grant);
-    d->result = (cw_pick_result_t)_cw_io_enum(io, d->result, CW_PICK_CANCELLED + 1);
-    _cw_io_u32(io, &d->took_ms);
-    _cw_io_u32(io, &d->cost);
-}
-
-static void _cw_fields_grant_digest(_cw_io_t* io, cw_grant_digest_t* d) {
-    _cw_io_u64(io, &d->last);
-    _cw_io_u64(io, &d->ids_xor);
-    _cw_io_u32(io, &d->count);
-}
-
-static void _cw_fields_held_grant(_cw_io_t* io, cw_held_grant_t* h) {
-    _cw_io_u64(io, &h->grant);
-    _cw_io_u64(io, &h->upstream);
-    _cw_io_u64(io, &h->workspace);
-    _cw_io_u32(io, &h->seq);
-    _cw_io_u32(io, &h->cost);
-    _cw_io_u8(io, &h->tier);
-    _cw_io_u8(io, &h->flags);
-    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!h->grant || !h->workspace));
+static void _cw_fields_grant_release(_cw_io_t* io, cw_grant_release_t* release) {
+    _cw_io_u64(io, &release->grant);
+    release->result = (cw_pick_result_t)_cw_io_enum(io, release->result, CW_PICK_CANCELLED + 1);
+    _cw_io_u32(io, &release->took_ms);
+    _cw_io_u32(io, &release->cost);
+}
+
+static void _cw_fields_grant_digest(_cw_io_t* io, cw_grant_digest_t* digest) {
+    _cw_io_u64(io, &digest->last);
+    _cw_io_u64(io, &digest->ids_xor);
+    _cw_io_u32(io, &digest->count);
+}
+
+static void _cw_fields_held_grant(_cw_io_t* io, cw_held_grant_t* held) {
+    _cw_io_u64(io, &held->grant);
+    _cw_io_u64(io, &held->upstream);
+    _cw_io_u64(io, &held->workspace);
+    _cw_io_u32(io, &held->seq);
+    _cw_io_u32(io, &held->cost);
+    _cw_io_u8(io, &held->tier);
+    _cw_io_u8(io, &held->flags);
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!held->grant || !held->workspace));
 }
 
 static void _cw_fields_member(_cw_io_t* io, cw_member_info_t* i) {
