--- a/tests/test_store.c
+++ b/tests/test_store.c
@@ -19,9 +19,9 @@
     ck_assert_int_eq(cw_store_put(s, "pools/a", 6, NULL), CW_OK);
     ck_assert_int_eq(cw_store_put(s, "pools/a", 5, POOL), CW_ERR_STALE); /* a stale version does not undo a deletion */
     cw_store_commit(s, 6);
-    cw_snapshot_t* v = cw_store_snapshot(s);
-    ck_assert_uint_eq(v->pool_count, 0);
-    cw_snapshot_release(v);
+    cw_snapshot_t* snapshot = cw_store_snapshot(s);
+    ck_assert_uint_eq(snapshot->pool_count, 0);
+    cw_snapshot_release(snapshot);
     cw_store_shutdown(s);
 }
 END_TEST
@@ -31,15 +31,15 @@
     cw_store_put(s, "pools/a", 1, "{\"kind\":\"service\",\"reserve\":3}");
     ck_assert_int_eq(cw_store_put(s, "pools/a", 2, "{\"kind\":\"teapot\"}"), CW_ERR_INVALID);
     cw_store_commit(s, 2);
-    cw_snapshot_t* v = cw_store_snapshot(s);
-    const cw_pool_t* pool = cw_snapshot_pool(v, cw_name_id("a"));
+    cw_snapshot_t* snapshot = cw_store_snapshot(s);
+    const cw_pool_t* pool = cw_snapshot_pool(snapshot, cw_name_id("a"));
     ck_assert_ptr_nonnull(pool);
     ck_assert_uint_eq(pool->reserve, 3);
     const cw_store_item_t* item = cw_store_find(s, "pools/a");
     ck_assert_int_eq(item->revision, 2);
     ck_assert_int_eq(item->active_revision, 1);
     ck_assert_ptr_nonnull(strstr(item->reason, "kind"));
-    cw_snapshot_release(v);
+    cw_snapshot_release(snapshot);
     cw_store_shutdown(s);
 }
 END_TEST
@@ -69,10 +69,10 @@
     ck_assert_ptr_nonnull(strstr(cw_store_find(s, "upstreams/u")->reason, "not published"));
     cw_store_put(s, "pools/a", 2, POOL);
     cw_store_commit(s, 2);
-    cw_snapshot_t* v = cw_store_snapshot(s);
-    ck_assert_uint_eq(v->upstream_count, 1);
+    cw_snapshot_t* snapshot = cw_store_snapshot(s);
+    ck_assert_uint_eq(snapshot->upstream_count, 1);
     ck_assert_str_eq(cw_store_find(s, "upstreams/u")->reason, "");
-    cw_snapshot_release(v);
+    cw_snapshot_release(snapshot);
     cw_store_shutdown(s);
 }
 END_TEST
@@ -115,11 +115,11 @@
     cw_store_t* s = store_new();
     ck_assert_int_eq(cw_store_put(s, "workspaces/w", 1, doc), CW_OK);
     cw_store_commit(s, 1);
-    cw_snapshot_t* v = cw_store_snapshot(s);
-    ck_assert_ptr_nonnull(cw_snapshot_authenticate(v, digest));
+    cw_snapshot_t* snapshot = cw_store_snapshot(s);
+    ck_assert_ptr_nonnull(cw_snapshot_authenticate(snapshot, digest));
     digest[31] ^= 1;
-    ck_assert_ptr_null(cw_snapshot_authenticate(v, digest));
-    cw_snapshot_release(v);
+    ck_assert_ptr_null(cw_snapshot_authenticate(snapshot, digest));
+    cw_snapshot_release(snapshot);
     cw_store_shutdown(s);
 }
 END_TEST
@@ -147,13 +147,13 @@
         ck_assert_int_eq(cw_store_find(s, key)->revision, highest[k]);
     }
     cw_store_commit(s, 1000);
-    cw_snapshot_t* v = cw_store_snapshot(s);
+    cw_snapshot_t* snapshot = cw_store_snapshot(s);
     for (uint32_t k = 0; k < 8; k++) {
         char name[16];
         snprintf(name, sizeof(name), "%u", k);
-        ck_assert_int_eq(cw_snapshot_pool(v, cw_name_id(name)) != NULL, highest[k] && !deleted[k]);
+        ck_assert_int_eq(cw_snapshot_pool(snapshot, cw_name_id(name)) != NULL, highest[k] && !deleted[k]);
     }
-    cw_snapshot_release(v);
+    cw_snapshot_release(snapshot);
     cw_store_shutdown(s);
 }
 END_TEST
