--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -23,10 +23,9 @@
     rng_t rng;
     cw_wire_t* wire;
     uint64_t messages, bytes;
-    uint32_t
-        max_messages_per_step; /* messages that a host can send and receive per step, 0: any number; the rest is lost */
-    uint32_t handled[FLEET_MAX]; /* messages sent and received in this step, by host */
-    cw_members_desc_t times;     /* intervals and time-outs of each host; zero: the defaults */
+    uint32_t max_messages_per_step; /* per host, sent and received; further ones are lost, 0: no limit */
+    uint32_t handled[FLEET_MAX];    /* messages sent and received in this step, by host */
+    cw_members_desc_t times;        /* intervals and time-outs of each host; zero: the defaults */
 } fleet_t;
 
 static inline void fleet_name(uint32_t i, char out[16]) {
--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -145,17 +145,17 @@
    revision. When it had no record of removals before its own first list, it sent the full list instead of a delta: each
    of 584 hosts fetched nine full lists before the first request of a day. */
 START_TEST(a_host_sends_deltas_from_before_its_own_first_list) {
-    cw_changes_t holder = {0};
+    cw_changes_t sender_changes = {0};
     cw_servers_t list = make_list(100);
     list.at = 10;
-    cw_changes_record(&holder, &(cw_servers_t){0}, &list);
+    cw_changes_record(&sender_changes, &(cw_servers_t){0}, &list);
     cw_servers_t next;
     cw_servers_copy(&next, &list);
     cw_servers_remove(&next, "s007");
     next.at = 20;
-    cw_changes_record(&holder, &list, &next);
+    cw_changes_record(&sender_changes, &list, &next);
     size_t size = 0;
-    char* bytes = cw_packed_encode(&next, &holder, &size);
+    char* bytes = cw_packed_encode(&next, &sender_changes, &size);
     cw_servers_t received = {0};
     cw_changes_t received_changes = {0};
     cw_delta_t delta = {0};
@@ -165,7 +165,7 @@
     ck_assert(cw_servers_equal(&list, &next));
     ck_assert_uint_eq(delta.updated.count + delta.removed.count, 1);
     cw_delta_free(&delta);
-    cw_changes_free(&holder);
+    cw_changes_free(&sender_changes);
     cw_changes_free(&received_changes);
     cw_servers_free(&list);
     cw_servers_free(&next);
--- a/tests/test_member.c
+++ b/tests/test_member.c
@@ -90,12 +90,12 @@
     fleet_run(&fleet, 10000);
     cw_members_leave(fleet.hosts[9]);
     fleet_run(&fleet, 3000);
-    uint32_t known = 0;
+    uint32_t leaving_count = 0;
     for (uint32_t k = 0; k < fleet.count; k++) {
         const cw_member_t* m = cw_members_find(fleet.hosts[k], fleet_id(9));
-        known += m->info.leaving && m->info.state == CW_MEMBER_ALIVE;
+        leaving_count += m->info.leaving && m->info.state == CW_MEMBER_ALIVE;
     }
-    ck_assert_uint_eq(known, 40);
+    ck_assert_uint_eq(leaving_count, 40);
     fleet_shutdown(&fleet);
 }
 END_TEST
