--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -97,7 +97,7 @@
 
 static void print_propagation(json_t* out) {
     static const uint32_t sizes[] = {9, 50, 150, 330};
-    printf("\nspread of a revision, worst of 5 runs\n  hosts   seconds\n");
+    printf("\npropagation of a revision, worst of 5 runs\n  hosts   seconds\n");
     for (size_t i = 0; i < sizeof(sizes) / sizeof(sizes[0]); i++) {
         double worst_s = 0;
         for (uint64_t seed = 1; seed <= 5; seed++) {
