--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -499,9 +499,9 @@
     return value;
 }
 
-/* Size of one field, including its type byte; 0 when it is not an unsigned integer, a string or nil, or is longer than
-   left bytes. */
-static size_t _cw_wire_field_size(const uint8_t* at, size_t left) {
+/* Size of one field, including its type byte; 0 when it is not an unsigned integer, a string or nil, or when it exceeds
+   the available bytes. */
+static size_t _cw_wire_field_size(const uint8_t* at, size_t available) {
     uint8_t type = at[0];
     size_t length_size = 0;
     size_t size = 1;
@@ -513,11 +513,11 @@
         size = 1 + (size_t)(type & 0x1f);
     } else if (type >= 0xd9 && type <= 0xdb) { /* str with a length of 1, 2, 4 bytes */
         length_size = (size_t)1 << (type - 0xd9);
-        size = left > length_size ? 1 + length_size + _cw_wire_read_big_endian(at + 1, length_size) : 0;
+        size = available > length_size ? 1 + length_size + _cw_wire_read_big_endian(at + 1, length_size) : 0;
     } else {
         size = 0;
     }
-    return size <= left ? size : 0;
+    return size <= available ? size : 0;
 }
 
 /* Whether the bytes start with a flat array that has all elements that its head announces. The library allocates by
