--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -35,11 +35,11 @@
 
 typedef enum cw_msg_type_t {
     CW_MSG_NONE = 0,
-    CW_MSG_HELLO,          /* identifies the sender of a connection */
-    CW_MSG_SLOT_REQUEST,   /* slot request */
-    CW_MSG_CANCEL,         /* cancels a slot request */
-    CW_MSG_ACTION,         /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
-    CW_MSG_GRANT_RELEASE,  /* grant release */
+    CW_MSG_HELLO, /* identifies the sender of a connection */
+    CW_MSG_SLOT_REQUEST,
+    CW_MSG_CANCEL, /* cancels a slot request */
+    CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
+    CW_MSG_GRANT_RELEASE,
     CW_MSG_GRANT_DIGEST,   /* digest of the grants that an entry holds */
     CW_MSG_GRANT_LIST,     /* the grants that an entry holds, with their digest */
     CW_MSG_DOCUMENT_PULL,  /* asks for all documents after a revision */
@@ -242,21 +242,22 @@
     io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && !h->host);
 }
 
-static void _cw_fields_slot_request(_cw_io_t* io, cw_slot_request_t* w) {
-    _cw_io_u32(io, &w->seq);
-    _cw_io_u8(io, &w->tier);
-    _cw_io_u8(io, &w->flags);
-    _cw_io_u32(io, &w->weight);
-    _cw_io_u64(io, &w->workspace);
-    _cw_io_u32(io, &w->cost);
-    _cw_io_u32(io, &w->est_ms);
-    _cw_io_u32(io, &w->queue_ms);
-    _cw_io_u32(io, &w->remaining_ms);
-    _cw_io_u64(io, &w->prefix);
-    _cw_io_u64(io, &w->exclude);
-    _cw_io_u64(io, &w->hall);
-    _cw_io_u32(io, &w->high_est_ms);
-    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!w->seq || !w->workspace || w->tier >= CW_TIERS));
+static void _cw_fields_slot_request(_cw_io_t* io, cw_slot_request_t* slot_request) {
+    _cw_io_u32(io, &slot_request->seq);
+    _cw_io_u8(io, &slot_request->tier);
+    _cw_io_u8(io, &slot_request->flags);
+    _cw_io_u32(io, &slot_request->weight);
+    _cw_io_u64(io, &slot_request->workspace);
+    _cw_io_u32(io, &slot_request->cost);
+    _cw_io_u32(io, &slot_request->est_ms);
+    _cw_io_u32(io, &slot_request->queue_ms);
+    _cw_io_u32(io, &slot_request->remaining_ms);
+    _cw_io_u64(io, &slot_request->prefix);
+    _cw_io_u64(io, &slot_request->exclude);
+    _cw_io_u64(io, &slot_request->hall);
+    _cw_io_u32(io, &slot_request->high_est_ms);
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!slot_request->seq || !slot_request->workspace ||
+                                                                      slot_request->tier >= CW_TIERS));
 }
 
 static void _cw_fields_action(_cw_io_t* io, cw_shard_action_t* a) {
@@ -270,28 +271,28 @@
     _cw_io_u32(io, &a->retry_after_ms);
 }
 
-static void _cw_fields_grant_release(_cw_io_t* io, cw_grant_release_t* d) {
-    _cw_io_u64(io, &d->grant);
-    d->result = (cw_pick_result_t)_cw_io_enum(io, d->result, CW_PICK_CANCELLED + 1);
-    _cw_io_u32(io, &d->took_ms);
-    _cw_io_u32(io, &d->cost);
+static void _cw_fields_grant_release(_cw_io_t* io, cw_grant_release_t* release) {
+    _cw_io_u64(io, &release->grant);
+    release->result = (cw_pick_result_t)_cw_io_enum(io, release->result, CW_PICK_CANCELLED + 1);
+    _cw_io_u32(io, &release->took_ms);
+    _cw_io_u32(io, &release->cost);
 }
 
-static void _cw_fields_grant_digest(_cw_io_t* io, cw_grant_digest_t* d) {
-    _cw_io_u64(io, &d->last);
-    _cw_io_u64(io, &d->ids_xor);
-    _cw_io_u32(io, &d->count);
+static void _cw_fields_grant_digest(_cw_io_t* io, cw_grant_digest_t* digest) {
+    _cw_io_u64(io, &digest->last);
+    _cw_io_u64(io, &digest->ids_xor);
+    _cw_io_u32(io, &digest->count);
 }
 
-static void _cw_fields_held_grant(_cw_io_t* io, cw_held_grant_t* h) {
-    _cw_io_u64(io, &h->grant);
-    _cw_io_u64(io, &h->upstream);
-    _cw_io_u64(io, &h->workspace);
-    _cw_io_u32(io, &h->seq);
-    _cw_io_u32(io, &h->cost);
-    _cw_io_u8(io, &h->tier);
-    _cw_io_u8(io, &h->flags);
-    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!h->grant || !h->workspace));
+static void _cw_fields_held_grant(_cw_io_t* io, cw_held_grant_t* held) {
+    _cw_io_u64(io, &held->grant);
+    _cw_io_u64(io, &held->upstream);
+    _cw_io_u64(io, &held->workspace);
+    _cw_io_u32(io, &held->seq);
+    _cw_io_u32(io, &held->cost);
+    _cw_io_u8(io, &held->tier);
+    _cw_io_u8(io, &held->flags);
+    io->is_invalid = io->is_invalid || (io->mode == _CW_IO_UNPACK && (!held->grant || !held->workspace));
 }
 
 static void _cw_fields_member(_cw_io_t* io, cw_member_info_t* i) {
@@ -498,9 +499,9 @@
     return value;
 }
 
-/* Size of one field, including its type byte; 0 when it is not an unsigned integer, a string or nil, or is longer than
-   left bytes. */
-static size_t _cw_wire_field_size(const uint8_t* at, size_t left) {
+/* Size of one field, including its type byte; 0 when it is not an unsigned integer, a string or nil, or when it exceeds
+   the available bytes. */
+static size_t _cw_wire_field_size(const uint8_t* at, size_t available) {
     uint8_t type = at[0];
     size_t length_size = 0;
     size_t size = 1;
@@ -512,11 +513,11 @@
         size = 1 + (size_t)(type & 0x1f);
     } else if (type >= 0xd9 && type <= 0xdb) { /* str with a length of 1, 2, 4 bytes */
         length_size = (size_t)1 << (type - 0xd9);
-        size = left > length_size ? 1 + length_size + _cw_wire_read_big_endian(at + 1, length_size) : 0;
+        size = available > length_size ? 1 + length_size + _cw_wire_read_big_endian(at + 1, length_size) : 0;
     } else {
         size = 0;
     }
-    return size <= left ? size : 0;
+    return size <= available ? size : 0;
 }
 
 /* Whether the bytes start with a flat array that has all elements that its head announces. The library allocates by
@@ -566,7 +567,7 @@
         return status;
     }
     _cw_io_t io = {.mode = _CW_IO_UNPACK, .in = &root.via.array};
-    memset(msg, 0, sizeof(*msg)); /* no field may keep a value of an earlier message */
+    memset(msg, 0, sizeof(*msg)); /* fields that the message lacks must be zero, not those of an earlier message */
     _cw_fields_msg(&io, msg, wire->held);
     if (io.is_invalid) {
         return cw_fail(err, CW_ERR_PROTOCOL, "decode", NULL, "message of type %d has an invalid field", (int)msg->type);
--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -98,7 +98,7 @@
 END_TEST
 
 /* Two hosts poll the source at different times, and a third gets deltas from either in turn. When a delta could start
-   only from a list that its sender had had itself, two pollers had no list in common: in a simulated day of 45 s, every
+   only from an earlier list of its sender, two pollers had no list in common: in a simulated day of 45 s, every
    host of a fleet with two pollers fetched full lists, 1.1 MB for 6,003 servers, several times. The case needs several
    pollers while a quarter of the servers is replaced. */
 START_TEST(deltas_are_small_between_hosts_without_a_common_list) {
@@ -145,17 +145,17 @@
    revision. When it had no record of removals before its own first list, it sent the full list instead of a delta: each
    of 584 hosts fetched nine full lists before the first request of a day. */
 START_TEST(a_host_sends_deltas_from_before_its_own_first_list) {
-    cw_changes_t holder = {0};
+    cw_changes_t sender_changes = {0};
     cw_servers_t list = make_list(100);
     list.at = 10;
-    cw_changes_record(&holder, &(cw_servers_t){0}, &list);
+    cw_changes_record(&sender_changes, &(cw_servers_t){0}, &list);
     cw_servers_t next;
     cw_servers_copy(&next, &list);
     cw_servers_remove(&next, "s007");
     next.at = 20;
-    cw_changes_record(&holder, &list, &next);
+    cw_changes_record(&sender_changes, &list, &next);
     size_t size = 0;
-    char* bytes = cw_packed_encode(&next, &holder, &size);
+    char* bytes = cw_packed_encode(&next, &sender_changes, &size);
     cw_servers_t received = {0};
     cw_changes_t received_changes = {0};
     cw_delta_t delta = {0};
@@ -165,7 +165,7 @@
     ck_assert(cw_servers_equal(&list, &next));
     ck_assert_uint_eq(delta.updated.count + delta.removed.count, 1);
     cw_delta_free(&delta);
-    cw_changes_free(&holder);
+    cw_changes_free(&sender_changes);
     cw_changes_free(&received_changes);
     cw_servers_free(&list);
     cw_servers_free(&next);
@@ -227,8 +227,8 @@
 END_TEST
 
 /* The record of removals is limited to a part of the list's size; a peer whose list is older gets the full list. The
-   same holds after the source was restored from an older copy: its revisions went back, and can't be compared with
-   those before. */
+   same holds after the source was restored from an older copy: it assigns lower revisions again, which cannot be
+   compared with the earlier ones. */
 START_TEST(there_is_no_delta_from_old_or_reset_revisions) {
     cw_changes_t changes = {0};
     cw_servers_t list = make_list(500);
