--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -19,7 +19,7 @@
     uint64_t pool;
     cw_shard_t* shard;
     int64_t last_used_ms;
-    int64_t next_report_ms;   /* when to request load reports again */
+    int64_t next_report_ms;   /* when to request the next load reports */
     bool has_pending_actions; /* the shard got messages and may have actions to send */
     uint32_t shard_count;     /* number of shards in the pool */
 } owned_shard_t;
@@ -29,7 +29,7 @@
 typedef struct ack_t {
     uint64_t shard, entry;
     uint32_t seq;
-    cw_refusal_t refusal; /* reason for which it was not queued, CW_REFUSED_NONE: it was queued */
+    cw_refusal_t refusal; /* why the request was not queued; CW_REFUSED_NONE: it was queued */
 } ack_t;
 
 /* A call that requests an upstream's load report. */
@@ -64,12 +64,12 @@
 }
 
 /* Sets the shard's upstreams from the configuration and returns their number. */
-static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_snapshot_t* view,
+static uint32_t set_shard_upstreams(const node_t* node, owned_shard_t* owned, const cw_snapshot_t* snapshot,
                                     const cw_pool_t* pool) {
     cw_pick_spec_t specs[CW_PICK_MAX];
-    pool_layout_t layout = node_pool_layout(view, pool);
+    pool_layout_t layout = node_pool_layout(snapshot, pool);
     owned->shard_count = layout.shard_count;
-    uint32_t count = node_shard_specs(node, view, &layout, owned->id, node->policy == POLICY_LEASE, specs);
+    uint32_t count = node_shard_specs(node, snapshot, &layout, owned->id, node->policy == POLICY_LEASE, specs);
     cw_shard_set_upstreams(owned->shard, specs, count);
     return count;
 }
@@ -94,25 +94,24 @@
 }
 
 /* Returns the pool that has a shard of this id, or NULL. */
-static const cw_pool_t* find_pool_of_shard(const cw_snapshot_t* view, uint64_t shard) {
-    for (uint32_t i = 0; i < view->pool_count; i++) {
-        pool_layout_t layout = node_pool_layout(view, &view->pools[i]);
+static const cw_pool_t* find_pool_of_shard(const cw_snapshot_t* snapshot, uint64_t shard) {
+    for (uint32_t i = 0; i < snapshot->pool_count; i++) {
+        pool_layout_t layout = node_pool_layout(snapshot, &snapshot->pools[i]);
         for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
-            if (cw_rendezvous_shard_id(view->pools[i].id, k) == shard) {
-                return &view->pools[i];
+            if (cw_rendezvous_shard_id(snapshot->pools[i].id, k) == shard) {
+                return &snapshot->pools[i];
             }
         }
     }
     return NULL;
 }
 
-/* Begins to allocate a shard. While it does not know all running grants, it uses only the share of the limits that
-   equals the share of entries that have reported theirs, for at most
-   grant_ms. */
-static owned_shard_t* take_shard(allocator_t* a, uint64_t shard) {
+/* Begins to allocate a shard. Until every entry has reported its running grants, and for at most grant_ms, the shard
+   uses only the share of its limits that equals the share of entries that have reported. */
+static owned_shard_t* add_owned_shard(allocator_t* a, uint64_t shard) {
     node_t* node = a->node;
-    cw_snapshot_t* view = cw_store_snapshot(node->store);
-    const cw_pool_t* pool = find_pool_of_shard(view, shard);
+    cw_snapshot_t* snapshot = cw_store_snapshot(node->store);
+    const cw_pool_t* pool = find_pool_of_shard(snapshot, shard);
     owned_shard_t* owned = NULL;
     if (pool && a->count < NODE_MAX_SHARDS) {
         owned = &a->owned_shards[a->count++];
@@ -130,7 +129,7 @@
         }
         *owned = (owned_shard_t){.id = shard, .pool = pool->id, .shard = cw_shard_setup(&desc)};
         owned->last_used_ms = now_ms;
-        uint32_t count = set_shard_upstreams(node, owned, view, pool);
+        uint32_t count = set_shard_upstreams(node, owned, snapshot, pool);
         set_visible_share(node, owned);
         uint32_t host_count = node->policy == POLICY_SHARED ? node_list_live_hosts(node, hosts) : 0;
         cw_shard_begin_takeover(owned->shard, now_ms + node->settings.grant_ms, host_count);
@@ -140,7 +139,7 @@
         cw_log(&node->log, CW_EVENT_SHARD_TAKEN, "shard=%016llx pool=%s upstreams=%u", (unsigned long long)shard,
                pool->name, count);
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
     return owned;
 }
 
@@ -209,8 +208,8 @@
 
 /* -- messages ------------------------------------------------------------- */
 
-/* Schedules an acknowledgement for the end of the loop iteration. If the list is full it is dropped: the entry then
-   resends its slot request. */
+/* Schedules an acknowledgement for the end of the loop iteration. If the list is full, the acknowledgement is dropped
+   and the entry resends its slot request. */
 static void queue_ack(allocator_t* a, uint64_t shard, uint64_t entry, uint32_t seq, cw_refusal_t refusal) {
     if (a->ack_count < MAX_ACKS) {
         a->acks[a->ack_count++] = (ack_t){.shard = shard, .entry = entry, .seq = seq, .refusal = refusal};
@@ -220,8 +219,8 @@
 
 /* Sets the hard limits of the workspace. Each shard of a pool enforces an even share of them. */
 static void add_workspace_limits(const allocator_t* a, const owned_shard_t* owned, cw_slot_request_t* slot_request) {
-    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
-    const cw_workspace_t* workspace = cw_snapshot_workspace(view, slot_request->workspace);
+    cw_snapshot_t* snapshot = cw_store_snapshot(a->node->store);
+    const cw_workspace_t* workspace = cw_snapshot_workspace(snapshot, slot_request->workspace);
     slot_request->max_running = 0;
     slot_request->max_rate = 0;
     if (workspace) {
@@ -229,23 +228,23 @@
             workspace->concurrency ? (workspace->concurrency + owned->shard_count - 1) / owned->shard_count : 0;
         slot_request->max_rate = workspace->rate / owned->shard_count;
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
 }
 
 static void on_slot_request(allocator_t* a, owned_shard_t* owned, uint64_t from, const cw_slot_request_t* slot_request,
                             int64_t now_ms) {
-    cw_slot_request_t w = *slot_request;
-    w.entry = from;
-    add_workspace_limits(a, owned, &w);
-    cw_status_t status = cw_shard_request_slot(owned->shard, now_ms, &w);
-    queue_ack(a, owned->id, from, w.seq, status == CW_OK ? CW_REFUSED_NONE : CW_REFUSED_FULL);
+    cw_slot_request_t limited = *slot_request;
+    limited.entry = from;
+    add_workspace_limits(a, owned, &limited);
+    cw_status_t status = cw_shard_request_slot(owned->shard, now_ms, &limited);
+    queue_ack(a, owned->id, from, limited.seq, status == CW_OK ? CW_REFUSED_NONE : CW_REFUSED_FULL);
 }
 
 void allocator_on_message(allocator_t* a, uint64_t from, const cw_msg_t* msg) {
     int64_t now_ms = node_now_ms();
     owned_shard_t* owned = find_owned_shard(a, msg->shard);
     if (!owned && msg->type != CW_MSG_GRANT_RELEASE && msg->type != CW_MSG_CANCEL) {
-        owned = take_shard(a, msg->shard);
+        owned = add_owned_shard(a, msg->shard);
     }
     if (!owned) {
         return; /* the entry's configuration is newer or older than this host's; it resends when there is no response */
@@ -280,16 +279,16 @@
 }
 
 void allocator_on_cluster_changed(allocator_t* a) {
-    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
+    cw_snapshot_t* snapshot = cw_store_snapshot(a->node->store);
     int64_t now_ms = node_now_ms();
     for (uint32_t i = a->count; i-- > 0;) {
         owned_shard_t* owned = &a->owned_shards[i];
-        const cw_pool_t* pool = cw_snapshot_pool(view, owned->pool);
-        if (!pool || find_pool_of_shard(view, owned->id) != pool) {
+        const cw_pool_t* pool = cw_snapshot_pool(snapshot, owned->pool);
+        if (!pool || find_pool_of_shard(snapshot, owned->id) != pool) {
             drop_shard(a, owned);
             continue;
         }
-        set_shard_upstreams(a->node, owned, view, pool);
+        set_shard_upstreams(a->node, owned, snapshot, pool);
         set_visible_share(a->node, owned);
         owned->has_pending_actions = true;
         for (uint32_t m = 1; m < cw_members_count(a->node->members); m++) {
@@ -299,30 +298,30 @@
             }
         }
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
 }
 
 /* -- load reports --------------------------------------------------------- */
 
 static bool on_load_data(void* user, const char* data, size_t size) {
-    load_call_t* r = user;
-    for (size_t i = 0; i < size && r->size + 1 < sizeof(r->body); i++) {
-        r->body[r->size++] = data[i];
+    load_call_t* load_call = user;
+    for (size_t i = 0; i < size && load_call->size + 1 < sizeof(load_call->body); i++) {
+        load_call->body[load_call->size++] = data[i];
     }
     return true;
 }
 
 static void on_load_done(void* user, const cw_call_result_t* result) {
-    load_call_t* r = user;
-    owned_shard_t* owned = find_owned_shard(r->node->allocator, r->shard);
-    json_t* root = (owned && result->whole) ? json_loadb(r->body, r->size, 0, NULL) : NULL;
+    load_call_t* load_call = user;
+    owned_shard_t* owned = find_owned_shard(load_call->node->allocator, load_call->shard);
+    json_t* root = (owned && result->whole) ? json_loadb(load_call->body, load_call->size, 0, NULL) : NULL;
     if (root) {
         bool draining = json_is_true(json_object_get(root, "draining"));
         json_int_t running = json_integer_value(json_object_get(root, "running"));
-        cw_shard_report_load(owned->shard, node_now_ms(), r->upstream, (uint32_t)running, draining);
+        cw_shard_report_load(owned->shard, node_now_ms(), load_call->upstream, (uint32_t)running, draining);
         json_decref(root);
     }
-    r->call = NULL;
+    load_call->call = NULL;
 }
 
 static load_call_t* find_free_load_call(allocator_t* a) {
@@ -335,26 +334,26 @@
 }
 
 static void request_load_reports(allocator_t* a, const owned_shard_t* owned) {
-    cw_snapshot_t* view = cw_store_snapshot(a->node->store);
-    for (uint32_t i = 0; i < view->upstream_count; i++) {
-        const cw_upstream_t* u = &view->upstreams[i];
+    cw_snapshot_t* snapshot = cw_store_snapshot(a->node->store);
+    for (uint32_t i = 0; i < snapshot->upstream_count; i++) {
+        const cw_upstream_t* u = &snapshot->upstreams[i];
         if (u->pool_id != owned->pool || !cw_shard_has_upstream(owned->shard, u->id)) {
             continue;
         }
-        load_call_t* r = find_free_load_call(a);
-        if (!r) {
+        load_call_t* load_call = find_free_load_call(a);
+        if (!load_call) {
             break;
         }
-        *r = (load_call_t){.node = a->node, .shard = owned->id, .upstream = u->id};
+        *load_call = (load_call_t){.node = a->node, .shard = owned->id, .upstream = u->id};
         char url[CW_ADDRESS_MAX + 32];
         snprintf(url, sizeof(url), "http://%s/v1/load", u->address);
-        r->call = cw_client_call(a->node->client, &(cw_call_desc_t){.url = url,
-                                                                    .timeout_ms = LOAD_CALL_TIMEOUT_MS,
-                                                                    .on_data = on_load_data,
-                                                                    .on_done = on_load_done,
-                                                                    .user_data = r});
+        load_call->call = cw_client_call(a->node->client, &(cw_call_desc_t){.url = url,
+                                                                            .timeout_ms = LOAD_CALL_TIMEOUT_MS,
+                                                                            .on_data = on_load_data,
+                                                                            .on_done = on_load_done,
+                                                                            .user_data = load_call});
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
 }
 
 /* Returns the time between two load reports of an upstream, in milliseconds. It grows with the shard, so that the
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -9,7 +9,7 @@
 
 #define SLOT_REQUEST_RESEND_MS 250     /* resend interval of a queued slot request, to check on the allocator */
 #define ALLOCATOR_RETRY_MS 250         /* an unresponsive allocator is tried again after this time */
-#define DIGEST_INTERVAL_MS 20000       /* peer connections are reliable: a release is lost only when one breaks */
+#define DIGEST_INTERVAL_MS 20000       /* long, since a release is lost only when a peer connection breaks */
 #define DIGEST_AFTER_LOSS_MS 500       /* after the connection to the allocator broke or a send failed */
 #define REPORTED_WAIT_MAX_AGE_MS 5000  /* older reports of a shard's queue wait are ignored */
 #define AFFINITY_MAX_WAIT_MS 200       /* additional queue wait accepted for prefix affinity */
@@ -44,13 +44,13 @@
 
 /* Updates the list of shards, and this entry's static share of their upstreams, from the current configuration. */
 static void refresh_shards(entry_t* e) {
-    cw_snapshot_t* view = cw_store_snapshot(e->node->store);
+    cw_snapshot_t* snapshot = cw_store_snapshot(e->node->store);
     for (uint32_t i = 0; i < e->shard_count; i++) {
         e->shards[i].is_current = false;
     }
-    for (uint32_t p = 0; p < view->pool_count; p++) {
-        const cw_pool_t* pool = &view->pools[p];
-        pool_layout_t layout = node_pool_layout(view, pool);
+    for (uint32_t p = 0; p < snapshot->pool_count; p++) {
+        const cw_pool_t* pool = &snapshot->pools[p];
+        pool_layout_t layout = node_pool_layout(snapshot, pool);
         for (uint32_t k = 0; layout.count && k < layout.shard_count; k++) {
             uint64_t id = cw_rendezvous_shard_id(pool->id, k);
             uint32_t i = find_shard(e, id);
@@ -62,12 +62,12 @@
             if (i != ENTRY_NONE) {
                 e->shards[i].is_current = true;
                 cw_pick_spec_t specs[CW_PICK_MAX];
-                uint32_t count = node_shard_specs(e->node, view, &layout, id, true, specs);
+                uint32_t count = node_shard_specs(e->node, snapshot, &layout, id, true, specs);
                 cw_pick_set(e->shards[i].direct_pick, specs, count);
             }
         }
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
 }
 
 /* Sends a shard's new allocator the grants that this entry holds, and resends the pending slot requests to it. */
@@ -90,19 +90,19 @@
 }
 
 /* Returns the shard that the upstream belongs to in the given configuration, or ENTRY_NONE. */
-static uint32_t shard_of_upstream(const entry_t* e, const cw_snapshot_t* view, uint64_t upstream) {
-    const cw_upstream_t* u = cw_snapshot_upstream(view, upstream);
-    const cw_pool_t* pool = u ? cw_snapshot_pool(view, u->pool_id) : NULL;
+static uint32_t shard_of_upstream(const entry_t* e, const cw_snapshot_t* snapshot, uint64_t upstream) {
+    const cw_upstream_t* u = cw_snapshot_upstream(snapshot, upstream);
+    const cw_pool_t* pool = u ? cw_snapshot_pool(snapshot, u->pool_id) : NULL;
     if (!pool) {
         return ENTRY_NONE;
     }
-    pool_layout_t layout = node_pool_layout(view, pool);
+    pool_layout_t layout = node_pool_layout(snapshot, pool);
     return find_shard(e, cw_rendezvous_shard(pool->id, upstream, layout.ids, layout.count, layout.shard_count));
 }
 
 /* Moves a running request to the shard that its upstream belongs to now. */
-static void reassign_running(entry_t* e, const cw_snapshot_t* view, request_t* r) {
-    uint32_t shard = shard_of_upstream(e, view, r->upstream);
+static void reassign_running(entry_t* e, const cw_snapshot_t* snapshot, request_t* r) {
+    uint32_t shard = shard_of_upstream(e, snapshot, r->upstream);
     if (shard == ENTRY_NONE || shard == r->shard) {
         return;
     }
@@ -130,22 +130,22 @@
     request_arm(r);
 }
 
-/* Follows a change of the division of pools into shards: running requests move to the shard that their upstream belongs
-   to now; requests waiting at a removed shard request a slot at another one. */
+/* Adapts the requests to a new division of pools into shards: running requests move to the shard that their upstream
+   belongs to now; requests waiting at a removed shard request a slot at another one. */
 static void reassign_requests(entry_t* e) {
-    cw_snapshot_t* view = cw_store_snapshot(e->node->store);
+    cw_snapshot_t* snapshot = cw_store_snapshot(e->node->store);
     for (uint32_t i = 0; i < e->max_requests; i++) {
         request_t* r = &e->requests[i];
         if (!r->is_used || r->shard == ENTRY_NONE) {
             continue;
         }
         if (r->grant && !r->is_direct) {
-            reassign_running(e, view, r);
+            reassign_running(e, snapshot, r);
         } else if (r->machine.state == CW_REQ_WAITING && !e->shards[r->shard].is_current) {
             request_slot_at_new_shard(r);
         }
     }
-    cw_snapshot_release(view);
+    cw_snapshot_release(snapshot);
 }
 
 void entry_on_cluster_changed(entry_t* e) {
@@ -166,10 +166,10 @@
 }
 
 /* Chooses between the two highest-ranked shards by rendezvous hashing of the prompt prefix, or of a varying key when
-   there is no prefix. Takes the one with the shorter queue wait; with a prefix, the second must be shorter by more than
-   AFFINITY_MAX_WAIT_MS, since upstreams of the first may have the prefix cached. */
+   there is no prefix. Returns the one with the shorter queue wait; with a prefix, the second is returned only if its
+   wait is shorter by more than AFFINITY_MAX_WAIT_MS, since upstreams of the first may have the prefix cached. */
 uint32_t dispatch_choose_shard(entry_t* e, const request_t* r) {
-    uint64_t key = r->prefix ? r->prefix : cw_mix(e->stats.requests, e->node->host);
+    uint64_t key = r->prefix_hash ? r->prefix_hash : cw_mix(e->stats.requests, e->node->host);
     uint32_t best = ENTRY_NONE;
     uint32_t second = ENTRY_NONE;
     for (uint32_t i = 0; i < e->shard_count; i++) {
@@ -188,7 +188,7 @@
         return best;
     }
     int64_t now_ms = node_now_ms();
-    uint32_t affinity_wait_ms = r->prefix ? AFFINITY_MAX_WAIT_MS : 0;
+    uint32_t affinity_wait_ms = r->prefix_hash ? AFFINITY_MAX_WAIT_MS : 0;
     return recent_wait_ms(&e->shards[second], now_ms) + affinity_wait_ms < recent_wait_ms(&e->shards[best], now_ms)
                ? second
                : best;
@@ -251,10 +251,10 @@
     }
 }
 
-static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_grant_release_t* done) {
+static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_grant_release_t* release) {
     e->out.type = CW_MSG_GRANT_RELEASE;
     e->out.shard = shard;
-    e->out.done = *done;
+    e->out.done = *release;
     node_send(e->node, to, &e->out);
 }
 
@@ -294,8 +294,8 @@
                                    cw_estimate_cutoff(&r->estimate->run_time_ms, DEADLINE_LOSS_SHARE, c->est_ms),
                                .queue_ms = c->queue_ms,
                                .remaining_ms = remaining_ms(r, now_ms),
-                               .prefix = r->prefix,
-                               .exclude = r->exclude,
+                               .prefix = r->prefix_hash,
+                               .exclude = r->excluded_upstream,
                                .hall = r->entry->node->hall};
 }
 
@@ -326,14 +326,14 @@
 }
 
 /* Assigns a slot of this entry's static share; returns false when none is free or the view of the fleet is stale. */
-static bool take_direct_slot(request_t* r) {
+static bool assign_direct_slot(request_t* r) {
     entry_t* e = r->entry;
     entry_shard_t* s = &e->shards[r->shard];
     int64_t now_ms = node_now_ms();
     if (e->node->is_view_stale) {
         return false;
     }
-    const cw_pick_query_t query = {.prefix = r->prefix, .hall = e->node->hall, .exclude = r->exclude};
+    const cw_pick_query_t query = {.prefix = r->prefix_hash, .hall = e->node->hall, .exclude = r->excluded_upstream};
     uint32_t up = cw_pick_choose(s->direct_pick, now_ms, &query);
     if (up == CW_PICK_NONE) {
         return false;
@@ -355,7 +355,7 @@
     entry_shard_t* s = &r->entry->shards[r->shard];
     int64_t now_ms = node_now_ms();
     bool is_unresponsive = s->unresponsive_since_ms && now_ms - s->unresponsive_since_ms < ALLOCATOR_RETRY_MS;
-    if (is_unresponsive && take_direct_slot(r)) {
+    if (is_unresponsive && assign_direct_slot(r)) {
         return;
     }
     assign_seq(r);
@@ -370,7 +370,7 @@
                (unsigned long long)s->owner);
         s->unresponsive_since_ms = now_ms;
     }
-    if (!take_direct_slot(r)) {
+    if (!assign_direct_slot(r)) {
         send_slot_request(r);
     }
 }
@@ -447,18 +447,18 @@
     return false;
 }
 
-/* Forwards the complete events received so far. */
+/* Forwards the events that are complete; the start of an incomplete one stays in partial_event. */
 static void forward_events(request_t* r, const char* data, size_t size) {
     cw_buffer_add(&r->partial_event, data, size);
-    size_t whole = cw_token_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
-    if (!whole) {
+    size_t complete_bytes = cw_token_stream_take(&r->stream, r->partial_event.data, r->partial_event.size);
+    if (!complete_bytes) {
         return;
     }
     if (r->x) {
-        cw_exchange_push(r->x, r->partial_event.data, whole);
+        cw_exchange_push(r->x, r->partial_event.data, complete_bytes);
         request_event(r, CW_EV_BODY_FORWARDED);
     }
-    cw_buffer_consume(&r->partial_event, whole);
+    cw_buffer_consume(&r->partial_event, complete_bytes);
 }
 
 static bool on_data(void* user, const char* data, size_t size) {
@@ -480,8 +480,8 @@
 }
 
 /* Returns the number of generated tokens that the response states, or 0. */
-static uint32_t parse_completion_tokens(const response_t* a) {
-    json_t* root = json_loadb(cw_buffer_text(&a->body), a->body.size, 0, NULL);
+static uint32_t parse_completion_tokens(const response_t* response) {
+    json_t* root = json_loadb(cw_buffer_text(&response->body), response->body.size, 0, NULL);
     json_int_t tokens = json_integer_value(json_object_get(json_object_get(root, "usage"), "completion_tokens"));
     json_decref(root);
     return tokens > 0 ? (uint32_t)tokens : 0;
@@ -501,9 +501,9 @@
 }
 
 static void attempt_ended(request_t* r) {
-    response_t* a = &r->response;
-    a->status = r->upstream_status;
-    cw_copy(a->type, sizeof(a->type), r->upstream_type);
+    response_t* response = &r->response;
+    response->status = r->upstream_status;
+    cw_copy(response->type, sizeof(response->type), r->upstream_type);
     bool served = r->upstream_status < HTTP_SERVER_ERROR;
     if (served) {
         update_estimates(r);
@@ -519,12 +519,12 @@
 }
 
 static void attempt_failed(request_t* r, const cw_call_result_t* result) {
-    const cw_upstream_t* u = cw_snapshot_upstream(r->view, r->upstream);
+    const cw_upstream_t* u = cw_snapshot_upstream(r->snapshot, r->upstream);
     const char* step = !result->sent ? "connect" : result->status ? "answer" : "wait";
     request_set_error(r, HTTP_BAD_GATEWAY, "upstream-failed", step, u ? u->address : "", result->message, 0);
     cw_log(&r->entry->node->log, CW_EVENT_UPSTREAM_FAILED, "id=%s step=%s peer=%s reason=\"%s\"", r->id, step,
            u ? u->address : "-", result->message);
-    r->exclude = r->upstream;
+    r->excluded_upstream = r->upstream;
     r->machine.retry_allowed = cw_retry_take(&r->entry->retries);
     r->entry->stats.retries += r->machine.retry_allowed;
     request_event(r, result->sent ? CW_EV_UPSTREAM_FAILED : CW_EV_CONNECT_FAILED);
@@ -534,15 +534,15 @@
     request_t* r = user;
     r->call = NULL;
     r->upstream_status = result->status ? result->status : r->upstream_status;
-    bool whole = result->whole && (!r->is_streaming || r->stream.ended);
-    bool busy = whole && result->status == HTTP_UNAVAILABLE && r->class->repeatable;
+    bool is_response_complete = result->whole && (!r->is_streaming || r->stream.ended);
+    bool is_busy = is_response_complete && result->status == HTTP_UNAVAILABLE && r->class->repeatable;
     if (result->is_vetoed) {
         request_event(r, CW_EV_GRANT_EXPIRED);
-    } else if (busy) {
+    } else if (is_busy) {
         const cw_call_result_t refused = {
-            .sent = true, .status = result->status, .message = "the upstream takes no work"};
+            .sent = true, .status = result->status, .message = "the upstream accepts no requests"};
         attempt_failed(r, &refused);
-    } else if (whole) {
+    } else if (is_response_complete) {
         attempt_ended(r);
     } else {
         attempt_failed(r, result);
@@ -551,7 +551,7 @@
 
 static void connect_upstream(request_t* r) {
     entry_t* e = r->entry;
-    const cw_upstream_t* u = cw_snapshot_upstream(r->view, r->upstream);
+    const cw_upstream_t* u = cw_snapshot_upstream(r->snapshot, r->upstream);
     cw_snapshot_t* newest = cw_store_snapshot(e->node->store);
     if (!u) {
         u = cw_snapshot_upstream(newest, r->upstream); /* published after this request arrived */
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -31,26 +31,27 @@
     free(a);
 }
 
-static void response_send(cw_exchange_t* x, const response_t* a, const char* id) {
-    if (a->outcome != CW_OUTCOME_DELIVERED) {
-        reply_error(x, a->status, a->outcome, a->code, a->step, a->peer, a->message, a->retry_after_ms);
+static void response_send(cw_exchange_t* x, const response_t* response, const char* id) {
+    if (response->outcome != CW_OUTCOME_DELIVERED) {
+        reply_error(x, response->status, response->outcome, response->code, response->step, response->peer,
+                    response->message, response->retry_after_ms);
         return;
     }
-    const cw_header_t headers[] = {{"Content-Type", a->type[0] ? a->type : "application/octet-stream"},
-                                   {"Chalkway-Outcome", cw_outcome_name(a->outcome)},
+    const cw_header_t headers[] = {{"Content-Type", response->type[0] ? response->type : "application/octet-stream"},
+                                   {"Chalkway-Outcome", cw_outcome_name(response->outcome)},
                                    {"Chalkway-Request-Id", id}};
-    cw_exchange_reply(x, a->status, headers, 3, cw_buffer_text(&a->body), a->body.size);
+    cw_exchange_reply(x, response->status, headers, 3, cw_buffer_text(&response->body), response->body.size);
 }
 
 void request_set_error(request_t* r, unsigned status, const char* code, const char* step, const char* peer,
                        const char* message, uint32_t retry_after_ms) {
-    response_t* a = &r->response;
-    a->status = status;
-    a->retry_after_ms = retry_after_ms;
-    cw_copy(a->code, sizeof(a->code), code);
-    cw_copy(a->step, sizeof(a->step), step);
-    cw_copy(a->peer, sizeof(a->peer), peer);
-    cw_copy(a->message, sizeof(a->message), message);
+    response_t* response = &r->response;
+    response->status = status;
+    response->retry_after_ms = retry_after_ms;
+    cw_copy(response->code, sizeof(response->code), code);
+    cw_copy(response->step, sizeof(response->step), step);
+    cw_copy(response->peer, sizeof(response->peer), peer);
+    cw_copy(response->message, sizeof(response->message), message);
 }
 
 /* Ends a stream that has begun: normally, or with an error event and a broken connection. */
@@ -145,8 +146,8 @@
     if (r->seq) {
         cw_map_remove(&e->by_seq, r->seq);
     }
-    if (r->view) {
-        cw_snapshot_release(r->view);
+    if (r->snapshot) {
+        cw_snapshot_release(r->snapshot);
     }
     free(r->body);
     cw_buffer_free(&r->response.body);
@@ -169,7 +170,7 @@
                      .joined_record = CW_RUN_NONE,
                      .shard = ENTRY_NONE};
     r->start_ms = node_now_ms();
-    r->view = cw_store_snapshot(e->node->store);
+    r->snapshot = cw_store_snapshot(e->node->store);
     snprintf(r->id, sizeof(r->id), "%.16s-%llx", e->node->settings.name, (unsigned long long)e->stats.requests);
     cw_exchange_set_data(x, r);
     e->stats.active++;
@@ -197,7 +198,7 @@
     const char* token = auth + strlen(BEARER);
     uint8_t digest[CW_DIGEST_BYTES];
     crypto_generichash(digest, sizeof(digest), (const uint8_t*)token, strlen(token), NULL, 0);
-    r->workspace = cw_snapshot_authenticate(r->view, digest);
+    r->workspace = cw_snapshot_authenticate(r->snapshot, digest);
     if (!r->workspace) {
         reject(r, HTTP_UNAUTHORIZED, "wrong-token", "authenticate", "no workspace has this token", 0);
     }
@@ -216,7 +217,7 @@
 /* Returns the class's pool that serves the model, or its first pool of inference engines when model is NULL. */
 static const cw_pool_t* find_pool_by_model(const request_t* r, const char* model) {
     for (uint32_t i = 0; i < r->class->pool_count; i++) {
-        const cw_pool_t* pool = cw_snapshot_pool(r->view, cw_name_id(r->class->pools[i]));
+        const cw_pool_t* pool = cw_snapshot_pool(r->snapshot, cw_name_id(r->class->pools[i]));
         if (pool && pool->is_engine && (!model || strcmp(model, pool->model) == 0)) {
             return pool;
         }
@@ -226,7 +227,7 @@
 
 static bool parse_class(request_t* r) {
     const char* name = cw_exchange_header(r->x, "Chalkway-Class");
-    r->class = name ? cw_snapshot_class(r->view, cw_name_id(name)) : NULL;
+    r->class = name ? cw_snapshot_class(r->snapshot, cw_name_id(name)) : NULL;
     if (!r->class) {
         reject(r, HTTP_BAD_REQUEST, "unknown-class", "classify", "the header Chalkway-Class names no known class", 0);
         return false;
@@ -269,7 +270,7 @@
     }
     r->wants_stream = json_is_true(json_object_get(root, "stream"));
     r->max_tokens = (uint32_t)json_integer_value(json_object_get(root, "max_tokens"));
-    r->prefix = hash_prompt_prefix(root);
+    r->prefix_hash = hash_prompt_prefix(root);
     const char* model = json_string_value(json_object_get(root, "model"));
     r->pool = find_pool_by_model(r, model);
     json_decref(root);
@@ -279,18 +280,18 @@
     return r->pool != NULL;
 }
 
-/* Routes /v1/services/POOL/rest to the pool, with the path /rest. */
+/* Routes /v1/services/POOL/SUBPATH to the pool, with the path /SUBPATH. */
 static bool classify_service(request_t* r, const char* path) {
     char name[CW_NAME_MAX];
-    const char* rest = strchr(path, '/');
-    size_t len = rest ? (size_t)(rest - path) : strlen(path);
+    const char* subpath = strchr(path, '/');
+    size_t len = subpath ? (size_t)(subpath - path) : strlen(path);
     cw_copy(name, len < sizeof(name) ? len + 1 : sizeof(name), path);
-    r->pool = cw_snapshot_pool(r->view, cw_name_id(name));
+    r->pool = cw_snapshot_pool(r->snapshot, cw_name_id(name));
     if (!r->pool || r->pool->is_engine || !class_allows_pool(r->class, name)) {
         reject(r, HTTP_NOT_FOUND, "unknown-pool", "classify", "the class may not use a service pool of this name", 0);
         return false;
     }
-    cw_copy(r->path, sizeof(r->path), rest ? rest : "/");
+    cw_copy(r->path, sizeof(r->path), subpath ? subpath : "/");
     return true;
 }
 
@@ -351,7 +352,7 @@
             replay_response(r, b.response);
             return false;
         case CW_RUN_RESPONSE_LOST:
-            reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its answer is not kept any more");
+            reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its response is no longer stored");
             return false;
         case CW_RUN_UNKNOWN:
             reject_runonce(r, CW_OUTCOME_UNKNOWN, "other-process",
@@ -385,7 +386,7 @@
     return &e->estimates[i];
 }
 
-/* Returns the counters of the workspace and class. The last element counts all that have none of their own. */
+/* Returns the counters of the workspace and class. When the table is full, its last element counts all further ones. */
 static metric_t* find_metric(entry_t* e, const request_t* r) {
     uint64_t key = cw_mix(r->workspace->id, r->class->id);
     uint32_t i = cw_map_get(&e->by_metric, key);
--- a/daemon/entry_internal.h
+++ b/daemon/entry_internal.h
@@ -61,9 +61,9 @@
 typedef struct request_t {
     bool is_used;
     entry_t* entry;
-    cw_request_t machine; /* state machine */
-    cw_exchange_t* x;     /* NULL: the caller closed its connection or got its response */
-    cw_snapshot_t* view;  /* configuration snapshot that the request uses throughout */
+    cw_request_t machine;    /* state machine */
+    cw_exchange_t* x;        /* NULL: the caller closed its connection or got its response */
+    cw_snapshot_t* snapshot; /* configuration snapshot that the request uses throughout */
     const cw_workspace_t* workspace;
     const cw_class_t* class;
     const cw_pool_t* pool;
@@ -76,7 +76,7 @@
     char idempotency_key[CW_IDEMPOTENCY_KEY_MAX];
     char* body;
     size_t body_size;
-    uint64_t prefix;           /* hash of the prompt's first bytes, 0: none */
+    uint64_t prefix_hash;      /* hash of the prompt's first bytes, 0: none */
     uint32_t cost, max_tokens; /* cost in output tokens, see estimate_cost */
     uint32_t runonce_record;   /* index in the run-once table, or CW_RUN_NONE */
     uint32_t joined_record;    /* run-once record of the running call that this retry waits for, or CW_RUN_NONE */
@@ -93,7 +93,7 @@
     bool is_direct;                  /* the slot belongs to this entry's static share */
     /* sent_ms: when the attempt's first byte was sent, 0: not yet. */
     int64_t grant_expires_ms, sent_ms, slot_request_sent_ms;
-    uint64_t exclude; /* upstream of the last failed attempt */
+    uint64_t excluded_upstream; /* upstream of the last failed attempt */
     cw_call_t* call;
     unsigned upstream_status;
     char upstream_type[64];
--- a/daemon/node.c
+++ b/daemon/node.c
@@ -29,11 +29,11 @@
     return node->policy == POLICY_SHARED ? cw_rendezvous_owner(shard, hosts, count) : node->host;
 }
 
-pool_layout_t node_pool_layout(const cw_snapshot_t* view, const cw_pool_t* pool) {
+pool_layout_t node_pool_layout(const cw_snapshot_t* snapshot, const cw_pool_t* pool) {
     pool_layout_t l = {.pool = pool->id};
-    for (uint32_t i = 0; i < view->upstream_count && l.count < NODE_MAX_POOL; i++) {
-        if (view->upstreams[i].pool_id == pool->id) {
-            l.ids[l.count++] = view->upstreams[i].id;
+    for (uint32_t i = 0; i < snapshot->upstream_count && l.count < NODE_MAX_POOL; i++) {
+        if (snapshot->upstreams[i].pool_id == pool->id) {
+            l.ids[l.count++] = snapshot->upstreams[i].id;
         }
     }
     l.shard_count = cw_rendezvous_shard_count(l.count, pool->shard_size);
@@ -56,13 +56,13 @@
     return cw_rendezvous_rank(u->id, node->host, hosts, count) < u->slots ? 1 : 0;
 }
 
-uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* view, const pool_layout_t* layout, uint64_t shard,
-                          bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]) {
+uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* snapshot, const pool_layout_t* layout,
+                          uint64_t shard, bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]) {
     uint64_t hosts[NODE_MAX_HOSTS];
     uint32_t host_count = node_list_live_hosts(node, hosts);
     uint32_t count = 0;
-    for (uint32_t i = 0; i < view->upstream_count && count < CW_PICK_MAX; i++) {
-        const cw_upstream_t* u = &view->upstreams[i];
+    for (uint32_t i = 0; i < snapshot->upstream_count && count < CW_PICK_MAX; i++) {
+        const cw_upstream_t* u = &snapshot->upstreams[i];
         if (u->pool_id != layout->pool ||
             cw_rendezvous_shard(layout->pool, u->id, layout->ids, layout->count, layout->shard_count) != shard) {
             continue;
@@ -139,17 +139,17 @@
     send_gossip(node);
 }
 
-static void on_peer_closed(void* user, uint64_t host, bool refused) {
+static void on_peer_closed(void* user, uint64_t host, bool connection_refused) {
     node_t* node = user;
     cw_log(&node->log, CW_EVENT_PEER_CLOSED, "peer=%016llx", (unsigned long long)host);
-    if (refused) {
+    if (connection_refused) {
         cw_members_suspect(node->members, node_now_ms(), host);
         notify_members_changed(node);
     } else {
         cw_members_probe_now(node->members, node_now_ms(), host);
         const cw_member_t* member = cw_members_find(node->members, host);
         if (member && !member->info.leaving && member->info.state == CW_MEMBER_ALIVE) {
-            /* A refused connection shows at once that the process has ended. */
+            /* If the process has ended, its machine refuses the new connection, which shows it at once. */
             cw_peers_connect(node->peers, host, member->info.peer);
         }
     }
@@ -157,7 +157,7 @@
     entry_on_peer_closed(node->entry, host);
 }
 
-static void on_peer_rejected(void* user, const cw_error_t* err) {
+static void on_peer_protocol_error(void* user, const cw_error_t* err) {
     node_t* node = user;
     cw_log(&node->log, CW_EVENT_PEER_REFUSED, "step=%s peer=%s reason=\"%s\"", err->step, err->peer, err->message);
 }
@@ -277,7 +277,7 @@
                                                     .on_message = on_message,
                                                     .on_closed = on_peer_closed,
                                                     .on_gossip = on_gossip,
-                                                    .on_protocol_error = on_peer_rejected,
+                                                    .on_protocol_error = on_peer_protocol_error,
                                                     .user_data = node},
                                  err);
     node->http = !node->peers ? NULL
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -84,7 +84,7 @@
     uint64_t aborted_count; /* requests still active when a graceful stop ended */
 };
 
-/* Current time in milliseconds on the monotonic clock. */
+/* Milliseconds of the monotonic clock (CLOCK_MONOTONIC), which omits suspended time. */
 int64_t node_now_ms(void);
 /* Whether a graceful stop has begun. */
 bool node_is_stopping(const node_t* node);
@@ -108,11 +108,11 @@
     uint64_t ids[NODE_MAX_POOL];
 } pool_layout_t;
 
-pool_layout_t node_pool_layout(const cw_snapshot_t* view, const cw_pool_t* pool);
+pool_layout_t node_pool_layout(const cw_snapshot_t* snapshot, const cw_pool_t* pool);
 /* Writes the upstreams of a shard that have slots for this host, each with all its slots or, with own_share_only, with
    this host's even share of them. Returns their number, at most CW_PICK_MAX. */
-uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* view, const pool_layout_t* layout, uint64_t shard,
-                          bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]);
+uint32_t node_shard_specs(const node_t* node, const cw_snapshot_t* snapshot, const pool_layout_t* layout,
+                          uint64_t shard, bool own_share_only, cw_pick_spec_t specs[CW_PICK_MAX]);
 /* Whether an upstream is leaving, by its document or the platform's list of hosts. It then gets no new requests. */
 bool node_is_upstream_leaving(const node_t* node, const cw_upstream_t* u);
 
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -64,7 +64,7 @@
 }
 
 /* Holds a request with ?since=REVISION open until the configuration is newer or the wait time has passed. Returns false
-   if the response is due at once, also when too many requests are held. */
+   if the response is due at once, also when MAX_LONG_POLLS requests are held open. */
 static bool hold_until_change(const node_t* node, cw_exchange_t* x) {
     const char* since = cw_exchange_arg(x, "since");
     const char* wait = cw_exchange_arg(x, "wait_ms");
@@ -150,14 +150,14 @@
         cw_shard_stats_t s = allocator_stats(node->allocator, i, &shard, &pool);
         char id[24];
         snprintf(id, sizeof(id), "%016llx", (unsigned long long)shard);
-        cw_snapshot_t* view = cw_store_snapshot(node->store);
-        const cw_pool_t* p = cw_snapshot_pool(view, pool);
+        cw_snapshot_t* snapshot = cw_store_snapshot(node->store);
+        const cw_pool_t* p = cw_snapshot_pool(snapshot, pool);
         json_array_append_new(list,
                               json_pack("{s:s,s:s,s:i,s:i,s:i,s:i,s:I,s:I,s:I}", "shard", id, "pool", p ? p->name : "?",
                                         "waiting", (int)s.waiting, "running", (int)s.running, "limit", (int)s.limit,
                                         "wait_ms", (int)s.wait_ms, "grants", (json_int_t)s.grants, "refusals",
                                         (json_int_t)s.refusals, "reclaimed", (json_int_t)s.reclaimed));
-        cw_snapshot_release(view);
+        cw_snapshot_release(snapshot);
     }
     return list;
 }
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -57,8 +57,8 @@
     return s->pull_started_ms && now_ms - s->pull_started_ms < PULL_TIMEOUT_MS;
 }
 
-/* Makes the stored documents the active configuration. Deferred while a pull is outstanding, since only a part of its
-   documents may have arrived. */
+/* Makes the stored documents the active configuration. While a pull is outstanding, the commit is deferred, since only
+   a part of the documents may have arrived. */
 static void commit_revision(sync_t* s, int64_t revision) {
     if (is_pull_outstanding(s, node_now_ms())) {
         s->deferred_revision = revision > s->deferred_revision ? revision : s->deferred_revision;
@@ -71,10 +71,11 @@
     if (revision <= previous_revision) {
         return;
     }
-    cw_snapshot_t* view = cw_store_snapshot(s->node->store);
+    cw_snapshot_t* snapshot = cw_store_snapshot(s->node->store);
     cw_log(&s->node->log, CW_EVENT_CONFIG_CHANGED, "revision=%lld workspaces=%u classes=%u pools=%u upstreams=%u",
-           (long long)revision, view->workspace_count, view->class_count, view->pool_count, view->upstream_count);
-    cw_snapshot_release(view);
+           (long long)revision, snapshot->workspace_count, snapshot->class_count, snapshot->pool_count,
+           snapshot->upstream_count);
+    cw_snapshot_release(snapshot);
     entry_on_cluster_changed(s->node->entry);
     allocator_on_cluster_changed(s->node->allocator);
 }
