--- a/io/client.h
+++ b/io/client.h
@@ -3,9 +3,9 @@
 /*
     HTTP client on a libev loop, built on libcurl's multi interface.
 
-    Idle connections are reused unless the call sets fresh. on_sending is
-    called immediately before the first byte of a request is sent; until it
-    returns true the request has certainly not been sent.
+    Idle connections are reused unless the call sets use_new_connection.
+    on_sending is called immediately before the first byte of a request is
+    sent; until it has returned true, no byte of the request has been sent.
 */
 #include <ev.h>
 
@@ -15,11 +15,11 @@
 typedef struct cw_call_t cw_call_t;
 
 typedef struct cw_call_result_t {
-    bool whole;          /* the response is complete, as its framing says */
+    bool whole;          /* the response is complete according to its framing */
     bool sent;           /* bytes of the request may have been sent */
     bool is_vetoed;      /* on_sending returned false */
     unsigned status;     /* 0: no response head received */
-    const char* message; /* reason when not whole, else "" */
+    const char* message; /* reason when the response is not complete, else "" */
 } cw_call_result_t;
 
 typedef struct cw_call_desc_t {
@@ -29,10 +29,10 @@
     uint32_t header_count;
     const void* body; /* not copied: must stay valid until on_done */
     size_t size;
-    uint32_t connect_timeout_ms; /* connect timeout, default 1000 */
-    uint32_t timeout_ms;         /* for the whole call, default none */
-    bool use_new_connection; /* use a new connection: libcurl resends a request when a reused connection turns out dead
-                              */
+    uint32_t connect_timeout_ms; /* default 1000 */
+    uint32_t timeout_ms;         /* from start to end of the call, default none */
+    /* Never reuses an idle connection: libcurl resends a request when a reused connection turns out dead. */
+    bool use_new_connection;
     /* Only on_done is required. on_sending returns false to abort the call before anything is sent. on_data returns
        false to pause: the data is not consumed and is passed again after cw_call_resume. */
     bool (*on_sending)(void* user_data);
--- a/io/clock.h
+++ b/io/clock.h
@@ -1,10 +1,11 @@
 #ifndef CW_IO_CLOCK_H
 #define CW_IO_CLOCK_H
 /*
-    The clock for every age and expiry: load reports, server lists, configuration, keys, leases, deadlines, retry
-    windows, suspicions. It is CLOCK_BOOTTIME, which includes the time for which the machine was suspended.
-    CLOCK_MONOTONIC, and therefore the event loop's timers, leave that time out: after a suspension of four seconds,
-    all state would look four seconds younger than it is. Only this module reads CLOCK_BOOTTIME.
+    The gateway's clock for every age and expiry: load reports, server lists, configuration, keys, leases,
+    deadlines, retry windows, suspicions. It is CLOCK_BOOTTIME, which includes the time for which the machine
+    was suspended. CLOCK_MONOTONIC, and therefore the event loop's timers, leave that time out: after a
+    suspension of four seconds, all state would look four seconds younger than it is. Only this module reads
+    CLOCK_BOOTTIME.
 */
 #include <stdint.h>
 
--- a/io/httpd.c
+++ b/io/httpd.c
@@ -21,7 +21,7 @@
     ev_timer timer;
     ev_prepare prepare;
     bool is_run_due; /* connections were resumed: MHD_run has to be called before the loop blocks */
-    uint32_t active;
+    uint32_t active_exchanges;
 };
 
 struct cw_exchange_t {
@@ -93,7 +93,7 @@
     if (x->response) {
         MHD_destroy_response(x->response);
     }
-    x->httpd->active--;
+    x->httpd->active_exchanges--;
     free(x->method);
     free(x->path);
     cw_buffer_free(&x->body);
@@ -230,7 +230,7 @@
     x->method = strdup(method);
     x->path = strdup(url);
     ev_io_init(&x->caller_io, on_caller_socket, -1, EV_READ);
-    h->active++;
+    h->active_exchanges++;
     const char* length = MHD_lookup_connection_value(connection, MHD_HEADER_KIND, "Content-Length");
     x->is_body_too_long = length && strtoull(length, NULL, 10) > h->desc.max_body_bytes;
     return x;
@@ -356,7 +356,7 @@
 }
 
 uint32_t cw_httpd_active_exchanges(const cw_httpd_t* h) {
-    return h->active;
+    return h->active_exchanges;
 }
 
 const char* cw_exchange_method(const cw_exchange_t* x) {
--- a/io/httpd.h
+++ b/io/httpd.h
@@ -23,9 +23,9 @@
 typedef struct cw_httpd_desc_t {
     struct ev_loop* loop;
     const char* address;             /* IP:PORT; port 0: the kernel picks one */
-    size_t max_body_bytes;           /* bytes, default 1 MiB; a request with a longer body is answered 413 */
+    size_t max_body_bytes;           /* default 1 MiB; a request with a longer body is answered 413 */
     uint32_t max_connections;        /* default 2000 */
-    uint32_t max_connections_per_ip; /* connections from one client IP address, default no limit */
+    uint32_t max_connections_per_ip; /* connections from one IP address, default no limit */
     uint32_t idle_timeout_s;         /* a connection without traffic for this long is closed, default 60 */
     void (*on_request)(cw_exchange_t* x, void* user_data);
     /* The caller closed its connection before the response was complete. The exchange must not be used afterwards. May
--- a/io/message.h
+++ b/io/message.h
@@ -21,7 +21,7 @@
     CW_MESSAGE_HEAD,
     CW_MESSAGE_BODY,
     CW_MESSAGE_COMPLETE,
-    CW_MESSAGE_MALFORMED /* malformed: not HTTP, or ambiguous, such as a space in a field name */
+    CW_MESSAGE_MALFORMED /* not HTTP, or ambiguous, such as a space in a field name */
 } cw_message_state_t;
 
 typedef enum cw_framing_t {
@@ -72,7 +72,7 @@
 /* Prepares for the next message of the connection; the parsed head becomes invalid. */
 void cw_message_reset(cw_message_t* m);
 /* Parses up to the end of the message and returns the number of bytes consumed. On invalid input or a protocol
-   upgrade the state becomes CW_MESSAGE_MALFORMED. Consumes nothing once the message is complete or broken. */
+   upgrade the state becomes CW_MESSAGE_MALFORMED. Consumes nothing once the message is complete or malformed. */
 size_t cw_message_parse(cw_message_t* m, const char* data, size_t size);
 /* To be called when the peer has closed the connection: completes a body with CW_FRAMING_UNTIL_CLOSE. */
 void cw_message_on_close(cw_message_t* m);
--- a/io/peers.c
+++ b/io/peers.c
@@ -18,19 +18,19 @@
 
 typedef struct link_t {
     cw_peers_t* peers;
-    int fd;                          /* -1: closed, entry kept for its back-off */
+    int fd;                          /* -1: closed; the entry stays in use for its backoff */
     uint64_t host;                   /* 0: accepted, no hello received yet */
     char address[CW_ADDR_TEXT_SIZE]; /* "" after the hello of an accepted link: only the other side reconnects */
     bool is_connecting;
     int connect_errno; /* connect failed immediately; reported in the next loop iteration, not from within a send */
     bool is_used;
-    bool dirty; /* in cw_peers_t.dirty */
+    bool is_dirty; /* listed in cw_peers_t.dirty */
     ev_io read_io, write_io;
     uint8_t* in;
     size_t in_size, in_capacity;
     cw_buffer_t out;
-    double active_s; /* loop time of the last frame in either direction */
-    double retry_s;  /* loop time before which no connection attempt is made */
+    double last_frame_s; /* loop time of the last frame in either direction */
+    double retry_s;      /* loop time before which no connection attempt is made */
     uint32_t backoff_ms;
 } link_t;
 
@@ -58,8 +58,11 @@
 static link_t* link_alloc(cw_peers_t* p) {
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         if (!p->links[i].is_used) {
-            p->links[i] = (link_t){
-                .peers = p, .fd = -1, .is_used = true, .dirty = p->links[i].dirty, .active_s = ev_now(p->desc.loop)};
+            p->links[i] = (link_t){.peers = p,
+                                   .fd = -1,
+                                   .is_used = true,
+                                   .is_dirty = p->links[i].is_dirty,
+                                   .last_frame_s = ev_now(p->desc.loop)};
             return &p->links[i];
         }
     }
@@ -89,7 +92,8 @@
     setsockopt(l->fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
 }
 
-/* Closes the socket. After a failure, the entry of a link that this host opened is kept: it holds the back-off. */
+/* Closes the socket. After a failure, the entry of a link that this host opened stays in use, since it holds
+   the backoff. */
 static void link_end(link_t* l, bool failed, bool connection_refused) {
     cw_peers_t* p = l->peers;
     if (l->fd >= 0) {
@@ -124,8 +128,8 @@
 
 static void link_append(link_t* l, cw_bytes_t bytes) {
     cw_buffer_add(&l->out, bytes.data, bytes.size);
-    if (!l->dirty) {
-        l->dirty = true;
+    if (!l->is_dirty) {
+        l->is_dirty = true;
         l->peers->dirty[l->peers->dirty_count++] = l;
         ev_feed_event(l->peers->desc.loop, &l->peers->prepare, EV_PREPARE);
     }
@@ -185,7 +189,7 @@
     cw_peers_t* p = w->data;
     for (uint32_t i = 0; i < p->dirty_count; i++) {
         link_t* l = p->dirty[i];
-        l->dirty = false;
+        l->is_dirty = false;
         if (l->is_used && l->fd >= 0 && !ev_is_active(&l->write_io)) {
             link_flush(l);
         }
@@ -235,7 +239,7 @@
         return false;
     }
     p->stats.frames_in++;
-    l->active_s = ev_now(p->desc.loop);
+    l->last_frame_s = ev_now(p->desc.loop);
     if (!l->host || p->message.type == CW_MSG_HELLO) {
         return link_handle_hello(l, &p->message);
     }
@@ -374,19 +378,19 @@
         return CW_ERR_FULL;
     }
     link_append(l, cw_wire_encode_frame(p->wire, msg));
-    l->active_s = ev_now(p->desc.loop);
+    l->last_frame_s = ev_now(p->desc.loop);
     p->stats.frames_out++;
     return CW_OK;
 }
 
-/* Closes links that are idle or sent no hello in time, and removes entries kept for an old back-off. */
+/* Closes links that are idle or sent no hello in time, and frees entries whose backoff has long passed. */
 static void on_sweep(struct ev_loop* loop, ev_timer* w, int events) {
     (void)events;
     cw_peers_t* p = w->data;
     double now = ev_now(loop);
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
-        double idle_timeout_ms = (now - l->active_s) * MS_PER_S;
+        double idle_timeout_ms = (now - l->last_frame_s) * MS_PER_S;
         if (l->is_used &&
             (idle_timeout_ms > p->desc.idle_timeout_ms || (!l->host && idle_timeout_ms > HELLO_TIMEOUT_MS))) {
             link_close(l, false);
--- a/io/peers.h
+++ b/io/peers.h
@@ -23,7 +23,7 @@
     uint32_t idle_timeout_ms; /* a link without a frame for this long is closed, default 60000 */
     size_t max_unsent_bytes;  /* bytes queued on one link before sends fail, default 8 MiB */
     void (*on_message)(void* user_data, uint64_t from, const cw_msg_t* msg);
-    /* The link was closed or could not be opened. refused: the host refused the connection (ECONNREFUSED), so no
+    /* The link was closed or could not be opened. connection_refused: connecting failed with ECONNREFUSED, so no
        process listens at the address. */
     void (*on_closed)(void* user_data, uint64_t host, bool connection_refused);
     void (*on_gossip)(void* user_data, const cw_gossip_t* gossip);
@@ -42,7 +42,7 @@
 cw_peers_t* cw_peers_setup(const cw_peers_desc_t* desc, cw_error_t* err);
 void cw_peers_shutdown(cw_peers_t* p);
 const char* cw_peers_address(const cw_peers_t* p);
-/* Queues a message and opens a link if there is none. CW_ERR_IO: the last attempt to connect failed and its back-off
+/* Queues a message and opens a link if there is none. CW_ERR_IO: the last attempt to connect failed and its backoff
    has not passed, or no socket can be opened. CW_ERR_FULL: max_links or max_unsent_bytes is reached. */
 cw_status_t cw_peers_send(cw_peers_t* p, uint64_t host, const char* address, const cw_msg_t* msg);
 /* Opens a link to the host if there is none, without sending a message. */
