--- a/tools/chalkway_load.c
+++ b/tools/chalkway_load.c
@@ -35,7 +35,7 @@
     uint32_t seed_count;
     char text_bytes[TEXT_BYTES_MAX]; /* storage of names, paths, tokens and addresses */
     size_t text_bytes_used;
-    int error_count; /* of the scenario file; any of them is fatal */
+    int error_count; /* errors in the scenario file; any of them is fatal */
     int ticks;
 } scenario_t;
 
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -100,10 +100,10 @@
 
 /* Concatenates the contents of a stream's events; false if the final [DONE] event is missing. */
 static bool join_stream(const char* body, char* out, size_t size) {
-    static const char mark[] = "\"content\":\"";
+    static const char content_key[] = "\"content\":\"";
     size_t at = 0;
-    for (const char* p = strstr(body, mark); p; p = strstr(p, mark)) {
-        p += sizeof(mark) - 1;
+    for (const char* p = strstr(body, content_key); p; p = strstr(p, content_key)) {
+        p += sizeof(content_key) - 1;
         size_t len = strcspn(p, "\"");
         if (at + len + 1 < size) {
             memcpy(out + at, p, len);
@@ -122,15 +122,15 @@
     char got[4096];
     format_prompt("stream-1", 40, true, body, sizeof(body));
     format_expected_text("stream-1", 40, expected, sizeof(expected));
-    site_response_t a = site_call(&(site_request_t){.address = address,
-                                                    .path = "/v1/chat/completions",
-                                                    .token = BEARER_TOKEN,
-                                                    .class_name = "fault-diagnosis",
-                                                    .body = body});
-    bool has_done_event = join_stream(a.body, got, sizeof(got));
-    bool is_ok = a.status == 200 && a.whole && has_done_event && strcmp(got, expected) == 0;
+    site_response_t response = site_call(&(site_request_t){.address = address,
+                                                           .path = "/v1/chat/completions",
+                                                           .token = BEARER_TOKEN,
+                                                           .class_name = "fault-diagnosis",
+                                                           .body = body});
+    bool has_done_event = join_stream(response.body, got, sizeof(got));
+    bool is_ok = response.status == 200 && response.whole && has_done_event && strcmp(got, expected) == 0;
     char observed[128];
-    snprintf(observed, sizeof(observed), "%ld, 40 tokens %s, end %s", a.status,
+    snprintf(observed, sizeof(observed), "%ld, 40 tokens %s, end %s", response.status,
              strcmp(got, expected) ? "differ" : "as sent", has_done_event ? "seen" : "missing");
     report_check(d, is_ok, "streamed chat completion (fault-diagnosis)", observed);
 }
@@ -140,23 +140,24 @@
     char expected[4096];
     format_prompt("whole-1", 25, false, body, sizeof(body));
     format_expected_text("whole-1", 25, expected, sizeof(expected));
-    site_response_t a = site_call(&(site_request_t){.address = address,
-                                                    .path = "/v1/chat/completions",
-                                                    .token = BEARER_TOKEN,
-                                                    .class_name = "stock-summary",
-                                                    .body = body});
-    json_t* root = json_loads(a.body, 0, NULL);
+    site_response_t response = site_call(&(site_request_t){.address = address,
+                                                           .path = "/v1/chat/completions",
+                                                           .token = BEARER_TOKEN,
+                                                           .class_name = "stock-summary",
+                                                           .body = body});
+    json_t* root = json_loads(response.body, 0, NULL);
     json_t* choice = json_array_get(json_object_get(root, "choices"), 0);
     const char* got = json_string_value(json_object_get(json_object_get(choice, "message"), "content"));
     bool is_same = got && strcmp(got, expected) == 0;
     char observed[128];
-    snprintf(observed, sizeof(observed), "%ld %s, 25 tokens %s", a.status, a.outcome, is_same ? "as sent" : "differ");
-    report_check(d, a.status == 200 && is_same, "non-streamed chat completion (stock-summary)", observed);
+    snprintf(observed, sizeof(observed), "%ld %s, 25 tokens %s", response.status, response.outcome,
+             is_same ? "as sent" : "differ");
+    report_check(d, response.status == 200 && is_same, "non-streamed chat completion (stock-summary)", observed);
     json_decref(root);
 }
 
-static int read_run_count(const site_response_t* a) {
-    json_t* root = json_loads(a->body, 0, NULL);
+static int read_run_count(const site_response_t* response) {
+    json_t* root = json_loads(response->body, 0, NULL);
     int ran = (int)json_integer_value(json_object_get(root, "ran"));
     json_decref(root);
     return ran;
@@ -254,14 +255,14 @@
 }
 
 static void check_wrong_token(demo_t* d, const char* address) {
-    site_response_t a = site_call(&(site_request_t){.address = address,
-                                                    .path = "/v1/chat/completions",
-                                                    .token = "wrong",
-                                                    .class_name = "stock-summary",
-                                                    .body = "{}"});
+    site_response_t response = site_call(&(site_request_t){.address = address,
+                                                           .path = "/v1/chat/completions",
+                                                           .token = "wrong",
+                                                           .class_name = "stock-summary",
+                                                           .body = "{}"});
     char observed[128];
-    snprintf(observed, sizeof(observed), "%ld %s", a.status, a.outcome);
-    report_check(d, a.status == 401 && strcmp(a.outcome, "not-run") == 0, "wrong bearer token", observed);
+    snprintf(observed, sizeof(observed), "%ld %s", response.status, response.outcome);
+    report_check(d, response.status == 401 && strcmp(response.outcome, "not-run") == 0, "wrong bearer token", observed);
 }
 
 static void check_stop(demo_t* d) {
--- a/tools/load.c
+++ b/tools/load.c
@@ -42,8 +42,8 @@
     load_class_result_t* result;
     caller_t* caller;
     char id[48];
-    char idempotency_key[192]; /* of the last attempt of a run-once call */
-    char address[48];          /* of the host that issued the key's ticket */
+    char idempotency_key[192]; /* key of the last attempt of a run-once call */
+    char address[48];          /* host that issued the key's ticket */
     char body[256];
     cw_buffer_t response;
     double first_byte_s;
@@ -217,10 +217,10 @@
 
 /* Concatenates the contents of a stream's events in place; returns the length. */
 static size_t join_stream(char* text) {
-    static const char mark[] = "\"content\":\"";
+    static const char content_key[] = "\"content\":\"";
     char* out = text;
-    for (char* at = strstr(text, mark); at; at = strstr(at, mark)) {
-        at += sizeof(mark) - 1;
+    for (char* at = strstr(text, content_key); at; at = strstr(at, content_key)) {
+        at += sizeof(content_key) - 1;
         size_t len = strcspn(at, "\"");
         memmove(out, at, len);
         out += len;
--- a/tools/load.h
+++ b/tools/load.h
@@ -25,13 +25,13 @@
 
 typedef struct load_class_t {
     const char* name;
-    const char* path;  /* of the request */
+    const char* path;  /* request path */
     const char* model; /* NULL: a plain service */
     bool is_run_once;  /* not repeatable: sent under an idempotency key of a ticket */
     bool is_stream;
     uint32_t deadline_ms;
-    double weight;      /* of a response in time, in the weighted goodput */
-    double mean_tokens; /* of the response; exponential distribution, at least 4 */
+    double weight;      /* weight of a response in time in the goodput */
+    double mean_tokens; /* mean length of a response; exponential distribution, at least 4 */
     double max_tokens;  /* cap of the distribution; 0: 8 times the mean */
     load_phase_t phases[LOAD_MAX_PHASES];
 } load_class_t;
@@ -49,7 +49,7 @@
     const char* seeds[16]; /* host addresses (IP:PORT) for the first lookup; NULL-terminated */
     double duration_s;     /* time span of the arrivals */
     uint32_t callers;      /* simulated callers, each with a lookup response of its own; 0: 40 */
-    uint64_t seed;         /* of the random numbers */
+    uint64_t seed;         /* seed of the random numbers */
     void (*on_progress)(void* user_data, double at_s); /* called every 100 ms; may be NULL */
     void* user_data;
 } load_desc_t;
@@ -58,7 +58,7 @@
    of 200; mismatched in content; unknown for all others that may have run. delivered includes in_time. */
 typedef struct load_class_result_t {
     uint32_t sent, delivered, in_time, refused, unknown, failed, mismatched, truncated;
-    uint64_t tokens; /* of delivered responses */
+    uint64_t tokens; /* tokens of delivered responses */
     cw_hist_t total_ms, first_ms;
 } load_class_result_t;
 
--- a/tools/site.c
+++ b/tools/site.c
@@ -227,25 +227,25 @@
 /* -- requests ------------------------------------------------------------- */
 
 static size_t on_body(char* data, size_t size, size_t count, void* user) {
-    site_response_t* a = user;
-    size_t used = strlen(a->body);
+    site_response_t* response = user;
+    size_t used = strlen(response->body);
     size_t n = size * count;
-    size_t available = sizeof(a->body) - 1 - used;
-    memcpy(a->body + used, data, n < available ? n : available);
-    a->body[used + (n < available ? n : available)] = 0;
+    size_t available = sizeof(response->body) - 1 - used;
+    memcpy(response->body + used, data, n < available ? n : available);
+    response->body[used + (n < available ? n : available)] = 0;
     return n;
 }
 
 static size_t on_header(char* data, size_t size, size_t count, void* user) {
-    site_response_t* a = user;
+    site_response_t* response = user;
     size_t n = size * count;
     char line[256];
     cw_copy(line, n + 1 < sizeof(line) ? n + 1 : sizeof(line), data);
     line[strcspn(line, "\r\n")] = 0;
     if (strncasecmp(line, "Chalkway-Outcome: ", 18) == 0) {
-        cw_copy(a->outcome, sizeof(a->outcome), line + 18);
+        cw_copy(response->outcome, sizeof(response->outcome), line + 18);
     } else if (strncasecmp(line, "Retry-After: ", 13) == 0) {
-        cw_copy(a->retry_after, sizeof(a->retry_after), line + 13);
+        cw_copy(response->retry_after, sizeof(response->retry_after), line + 13);
     }
     return n;
 }
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -110,7 +110,7 @@
            ": %u sent, %u served, %u refused, %u failed, %u left; calm %u sent, %u served, %u refused\n",
            s->seed, r.sent, r.served, r.refused, r.failed, r.abandoned, r.calm_sent, r.calm_served, r.calm_refused);
     if (r.qod_bodies) {
-        printf("  %u deadly bodies sent %u times: %u upstreams crashed\n", r.qod_bodies, r.qod_sent, r.qod_crashes);
+        printf("  %u queries of death sent %u times: %u upstreams crashed\n", r.qod_bodies, r.qod_sent, r.qod_crashes);
     }
     for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
         if (r.count[i]) {
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -88,16 +88,16 @@
     return ((double)(next_random(c) >> 11) + 0.5) / 9007199254740992.0;
 }
 
-static void record_event(callers_t* c, const char* what, const char* rest) {
+static void record_event(callers_t* c, const char* what, const char* fields) {
     char line[240];
-    snprintf(line, sizeof(line), "C %" PRId64 " %s %s", standin_now_ms(), what, rest);
+    snprintf(line, sizeof(line), "C %" PRId64 " %s %s", standin_now_ms(), what, fields);
     cw_lines_add(&c->lines, line);
 }
 
-static void schedule_next(caller_t* w, double s) {
-    ev_timer_stop(w->parent->loop, &w->think_timer);
-    ev_timer_set(&w->think_timer, s, 0.0);
-    ev_timer_start(w->parent->loop, &w->think_timer);
+static void schedule_next(caller_t* caller, double s) {
+    ev_timer_stop(caller->parent->loop, &caller->think_timer);
+    ev_timer_set(&caller->think_timer, s, 0.0);
+    ev_timer_start(caller->parent->loop, &caller->think_timer);
 }
 
 static double random_think_time_s(callers_t* c) {
@@ -107,17 +107,17 @@
 /* -- requests ------------------------------------------------------------- */
 
 /* Returns whether the response has the right body: all events in order, or the text that is expected for the call. */
-static bool is_body_correct(const caller_t* w) {
-    const soak_kind_t* kind = &soak_kinds[w->kind];
+static bool is_body_correct(const caller_t* caller) {
+    const soak_kind_t* kind = &soak_kinds[caller->kind];
     char expected[100];
-    const char* at = cw_buffer_text(&w->body);
+    const char* at = cw_buffer_text(&caller->body);
     if (!kind->tokens_max) {
-        snprintf(expected, sizeof(expected), "ran %s", w->id);
+        snprintf(expected, sizeof(expected), "ran %s", caller->id);
         return strcmp(at, expected) == 0;
     }
     for (uint32_t k = 1; k <= kind->events; k++) {
         int n = snprintf(expected, sizeof(expected), "id: %u\ndata: %016llx\n\n", k,
-                         (unsigned long long)XXH64(w->id, strlen(w->id), k));
+                         (unsigned long long)XXH64(caller->id, strlen(caller->id), k));
         if (strncmp(at, expected, (size_t)n) != 0) {
             return false;
         }
@@ -126,25 +126,26 @@
     return !*at;
 }
 
-static void finish(caller_t* w, unsigned status, bool is_response_complete) {
-    char rest[100];
-    const char* retry = is_response_complete && status == 503 ? cw_message_field(&w->response, "Retry-After") : NULL;
-    w->is_busy = false;
-    ev_timer_stop(w->parent->loop, &w->abandon_timer);
-    bool is_quarantined = status == 503 && strstr(cw_buffer_text(&w->body), QUARANTINE_TEXT);
-    snprintf(rest, sizeof(rest), "%s %u %d %d %" PRId64 " %d", w->id, status, is_response_complete,
-             is_response_complete && is_body_correct(w), w->first_byte_ms ? w->first_byte_ms - w->sent_ms : 0,
-             is_quarantined);
-    record_event(w->parent, "done", rest);
-    cw_buffer_free(&w->body);
-    w->retry_s = retry && !w->has_retried ? strtod(retry, NULL) : 0;
-    w->has_retried = w->retry_s > 0;
-    schedule_next(w, w->retry_s > 0 ? w->retry_s : random_think_time_s(w->parent));
+static void finish(caller_t* caller, unsigned status, bool is_response_complete) {
+    char fields[100];
+    const char* retry =
+        is_response_complete && status == 503 ? cw_message_field(&caller->response, "Retry-After") : NULL;
+    caller->is_busy = false;
+    ev_timer_stop(caller->parent->loop, &caller->abandon_timer);
+    bool is_quarantined = status == 503 && strstr(cw_buffer_text(&caller->body), QUARANTINE_TEXT);
+    snprintf(fields, sizeof(fields), "%s %u %d %d %" PRId64 " %d", caller->id, status, is_response_complete,
+             is_response_complete && is_body_correct(caller),
+             caller->first_byte_ms ? caller->first_byte_ms - caller->sent_ms : 0, is_quarantined);
+    record_event(caller->parent, "done", fields);
+    cw_buffer_free(&caller->body);
+    caller->retry_s = retry && !caller->has_retried ? strtod(retry, NULL) : 0;
+    caller->has_retried = caller->retry_s > 0;
+    schedule_next(caller, caller->retry_s > 0 ? caller->retry_s : random_think_time_s(caller->parent));
 }
 
-static void close_connection(caller_t* w) {
-    cw_stream_close(&w->stream);
-    w->is_open = false;
+static void close_connection(caller_t* caller) {
+    cw_stream_close(&caller->stream);
+    caller->is_open = false;
 }
 
 static void on_head(void* owner) {
@@ -152,43 +153,43 @@
 }
 
 static void on_body(void* owner, const char* data, size_t size) {
-    caller_t* w = owner;
-    w->first_byte_ms = w->first_byte_ms ? w->first_byte_ms : standin_now_ms();
-    cw_buffer_add(&w->body, data, size);
+    caller_t* caller = owner;
+    caller->first_byte_ms = caller->first_byte_ms ? caller->first_byte_ms : standin_now_ms();
+    cw_buffer_add(&caller->body, data, size);
 }
 
 static const cw_message_handlers_t response_handlers = {.on_head = on_head, .on_body = on_body};
 
 static void on_data(void* owner, const char* data, size_t size) {
-    caller_t* w = owner;
-    if (!w->is_busy) {
-        close_connection(w); /* data without a request */
+    caller_t* caller = owner;
+    if (!caller->is_busy) {
+        close_connection(caller); /* data without a request */
         return;
     }
-    cw_message_parse(&w->response, data, size);
-    if (w->response.state == CW_MESSAGE_MALFORMED) {
-        close_connection(w);
-        finish(w, 0, false);
-    } else if (w->response.state == CW_MESSAGE_COMPLETE) {
-        bool is_keep_alive = w->response.keep_alive;
-        finish(w, w->response.status, true);
-        cw_message_reset(&w->response);
+    cw_message_parse(&caller->response, data, size);
+    if (caller->response.state == CW_MESSAGE_MALFORMED) {
+        close_connection(caller);
+        finish(caller, 0, false);
+    } else if (caller->response.state == CW_MESSAGE_COMPLETE) {
+        bool is_keep_alive = caller->response.keep_alive;
+        finish(caller, caller->response.status, true);
+        cw_message_reset(&caller->response);
         if (!is_keep_alive) {
-            close_connection(w);
+            close_connection(caller);
         }
     }
 }
 
 static void on_end(void* owner, cw_stream_end_reason_t end) {
-    caller_t* w = owner;
-    bool in_response = w->response.state == CW_MESSAGE_HEAD || w->response.state == CW_MESSAGE_BODY;
-    w->is_open = false;
-    if (w->is_busy && end != CW_STREAM_CONNECT_FAILED) {
-        finish(w, in_response ? w->response.status : 0, false);
-    } else if (!w->is_busy) {
-        schedule_next(w, RECONNECT_DELAY_MS / 1000.0);
+    caller_t* caller = owner;
+    bool in_response = caller->response.state == CW_MESSAGE_HEAD || caller->response.state == CW_MESSAGE_BODY;
+    caller->is_open = false;
+    if (caller->is_busy && end != CW_STREAM_CONNECT_FAILED) {
+        finish(caller, in_response ? caller->response.status : 0, false);
+    } else if (!caller->is_busy) {
+        schedule_next(caller, RECONNECT_DELAY_MS / 1000.0);
     }
-    cw_message_reset(&w->response);
+    cw_message_reset(&caller->response);
 }
 
 /* Returns the number of the query of death to send now, or 0 for an ordinary request. */
@@ -198,76 +199,76 @@
                                                                                                                : 0;
 }
 
-static void choose_query_of_death(caller_t* w, uint32_t body) {
-    w->kind = soak_find_kind(body % 3 ? "short" : "get");
-    w->tokens = soak_kinds[w->kind].tokens_min;
-    snprintf(w->body_text, sizeof(w->body_text), "deadly-%u", body);
+static void choose_query_of_death(caller_t* caller, uint32_t body) {
+    caller->kind = soak_find_kind(body % 3 ? "short" : "get");
+    caller->tokens = soak_kinds[caller->kind].tokens_min;
+    snprintf(caller->body_text, sizeof(caller->body_text), "deadly-%u", body);
 }
 
-static void choose_request(caller_t* w) {
-    callers_t* c = w->parent;
+static void choose_request(caller_t* caller) {
+    callers_t* c = caller->parent;
     uint32_t qod_body = next_query_of_death(c);
     if (qod_body) {
-        choose_query_of_death(w, qod_body);
+        choose_query_of_death(caller, qod_body);
         return;
     }
     double at = next_random_unit(c);
-    w->kind = 0;
-    while (w->kind < SOAK_KINDS - 1 && at >= soak_kinds[w->kind].share) {
-        at -= soak_kinds[w->kind++].share;
+    caller->kind = 0;
+    while (caller->kind < SOAK_KINDS - 1 && at >= soak_kinds[caller->kind].share) {
+        at -= soak_kinds[caller->kind++].share;
     }
-    const soak_kind_t* kind = &soak_kinds[w->kind];
+    const soak_kind_t* kind = &soak_kinds[caller->kind];
     double span = kind->tokens_max ? log((double)kind->tokens_max / kind->tokens_min) : 0;
-    w->tokens =
+    caller->tokens =
         kind->tokens_max ? (uint32_t)(kind->tokens_min * exp(span * next_random_unit(c) * next_random_unit(c))) : 0;
-    w->body_text[0] = 0;
+    caller->body_text[0] = 0;
     if (kind->tokens_max) {
-        snprintf(w->body_text, sizeof(w->body_text), "%016" PRIx64, next_random(c));
+        snprintf(caller->body_text, sizeof(caller->body_text), "%016" PRIx64, next_random(c));
     }
 }
 
-static void send_request(caller_t* w) {
-    callers_t* c = w->parent;
-    const soak_kind_t* kind = &soak_kinds[w->kind];
+static void send_request(caller_t* caller) {
+    callers_t* c = caller->parent;
+    const soak_kind_t* kind = &soak_kinds[caller->kind];
     char text[400];
-    char rest[120];
-    snprintf(w->id, sizeof(w->id), "%016" PRIx64, next_random(c));
+    char fields[120];
+    snprintf(caller->id, sizeof(caller->id), "%016" PRIx64, next_random(c));
     int n =
         snprintf(text, sizeof(text), "POST %sx HTTP/1.1\r\nHost: soak.example\r\nChalkway-Request-Id: %s\r\n%s: %u\r\n",
-                 kind->path, w->id, DEADLINE_FIELD, kind->timeout_ms);
+                 kind->path, caller->id, DEADLINE_FIELD, kind->timeout_ms);
     if (kind->tokens_max) {
-        n += snprintf(text + n, sizeof(text) - (size_t)n, "Chalkway-Tokens: %u,%u\r\n", w->tokens, kind->events);
+        n += snprintf(text + n, sizeof(text) - (size_t)n, "Chalkway-Tokens: %u,%u\r\n", caller->tokens, kind->events);
     }
-    n += snprintf(text + n, sizeof(text) - (size_t)n, "Content-Length: %zu\r\n\r\n%s", strlen(w->body_text),
-                  w->body_text);
-    w->is_busy = true;
-    w->first_byte_ms = 0;
-    w->sent_ms = standin_now_ms();
-    bool is_query_of_death = strncmp(w->body_text, "deadly", strlen("deadly")) == 0;
-    snprintf(rest, sizeof(rest), "%s %s %s %u %s", w->id, kind->name, w->host, w->tokens,
-             is_query_of_death ? w->body_text : "-");
-    record_event(c, "sent", rest);
-    cw_stream_write(&w->stream, text, (size_t)n);
-    cw_stream_flush(&w->stream);
+    n += snprintf(text + n, sizeof(text) - (size_t)n, "Content-Length: %zu\r\n\r\n%s", strlen(caller->body_text),
+                  caller->body_text);
+    caller->is_busy = true;
+    caller->first_byte_ms = 0;
+    caller->sent_ms = standin_now_ms();
+    bool is_query_of_death = strncmp(caller->body_text, "deadly", strlen("deadly")) == 0;
+    snprintf(fields, sizeof(fields), "%s %s %s %u %s", caller->id, kind->name, caller->host, caller->tokens,
+             is_query_of_death ? caller->body_text : "-");
+    record_event(c, "sent", fields);
+    cw_stream_write(&caller->stream, text, (size_t)n);
+    cw_stream_flush(&caller->stream);
     bool abandons = next_random(c) % ABANDON_ONE_IN == 0;
     double abandon_s =
         (abandons ? ABANDON_MIN_MS + next_random_unit(c) * ABANDON_SPREAD_MS : RESPONSE_TIMEOUT_MS) / 1000.0;
-    ev_timer_stop(c->loop, &w->abandon_timer);
-    ev_timer_set(&w->abandon_timer, abandon_s, 0.0);
-    ev_timer_start(c->loop, &w->abandon_timer);
+    ev_timer_stop(c->loop, &caller->abandon_timer);
+    ev_timer_set(&caller->abandon_timer, abandon_s, 0.0);
+    ev_timer_start(c->loop, &caller->abandon_timer);
 }
 
 /* The caller abandons its request and closes the connection. */
 static void on_abandon(struct ev_loop* loop, ev_timer* t, int events) {
     (void)loop;
     (void)events;
-    caller_t* w = t->data;
-    record_event(w->parent, "left", w->id);
-    w->is_busy = w->has_retried = false;
-    cw_buffer_free(&w->body);
-    cw_message_reset(&w->response);
-    close_connection(w);
-    schedule_next(w, random_think_time_s(w->parent));
+    caller_t* caller = t->data;
+    record_event(caller->parent, "left", caller->id);
+    caller->is_busy = caller->has_retried = false;
+    cw_buffer_free(&caller->body);
+    cw_message_reset(&caller->response);
+    close_connection(caller);
+    schedule_next(caller, random_think_time_s(caller->parent));
 }
 
 /* -- connections ---------------------------------------------------------- */
@@ -279,10 +280,10 @@
 static const cw_stream_handlers_t stream_handlers = {.on_open = on_open, .on_data = on_data, .on_end = on_end};
 
 /* Picks a random one of the addresses "A:P" in the response of the lookup. Returns false if there is none. */
-static bool pick_host(caller_t* w) {
+static bool pick_host(caller_t* caller) {
     char* found[MAX_HOSTS];
     uint32_t count = 0;
-    char* at = strchr(w->lookup, '[');
+    char* at = strchr(caller->lookup, '[');
     for (at = at ? strchr(at, '"') : NULL; at && count < MAX_HOSTS; at = strchr(at, '"')) {
         char* end = strchr(at + 1, '"');
         if (!end || !strchr(at, ']') || strchr(at, ']') < at) {
@@ -297,58 +298,59 @@
     if (!count) {
         return false;
     }
-    cw_copy(w->host, sizeof(w->host), found[next_random(w->parent) % count]);
+    cw_copy(caller->host, sizeof(caller->host), found[next_random(caller->parent) % count]);
     return true;
 }
 
 static void on_lookup_done(void* user, const cw_call_result_t* result) {
-    caller_t* w = user;
+    caller_t* caller = user;
     struct sockaddr_in address;
-    bool found =
-        result->whole && result->status == 200 && pick_host(w) && cw_addr_parse(w->host, &address, NULL) == CW_OK;
-    if (!found || cw_stream_connect(&w->stream, w->parent->loop, &address, &stream_handlers, w) != CW_OK) {
-        schedule_next(w, RECONNECT_DELAY_MS / 1000.0);
+    bool found = result->whole && result->status == 200 && pick_host(caller) &&
+                 cw_addr_parse(caller->host, &address, NULL) == CW_OK;
+    if (!found ||
+        cw_stream_connect(&caller->stream, caller->parent->loop, &address, &stream_handlers, caller) != CW_OK) {
+        schedule_next(caller, RECONNECT_DELAY_MS / 1000.0);
         return;
     }
-    w->is_open = true;
+    caller->is_open = true;
 }
 
 static bool on_lookup_data(void* user, const char* data, size_t size) {
-    caller_t* w = user;
-    size_t have = strlen(w->lookup);
-    strncat(w->lookup, data, size < sizeof(w->lookup) - have - 1 ? size : 0);
+    caller_t* caller = user;
+    size_t have = strlen(caller->lookup);
+    strncat(caller->lookup, data, size < sizeof(caller->lookup) - have - 1 ? size : 0);
     return true;
 }
 
-static void look_up(caller_t* w) {
-    callers_t* c = w->parent;
+static void look_up(caller_t* caller) {
+    callers_t* c = caller->parent;
     char url[128];
     snprintf(url, sizeof(url), "http://%s/v1/lookup?hall=a", c->hosts[next_random(c) % c->host_count]);
-    w->lookup[0] = 0;
+    caller->lookup[0] = 0;
     cw_client_call(c->client, &(cw_call_desc_t){.url = url,
                                                 .connect_timeout_ms = LOOKUP_TIMEOUT_MS,
                                                 .timeout_ms = LOOKUP_TIMEOUT_MS,
                                                 .use_new_connection = true,
                                                 .on_data = on_lookup_data,
                                                 .on_done = on_lookup_done,
-                                                .user_data = w});
+                                                .user_data = caller});
 }
 
 static void on_think_end(struct ev_loop* loop, ev_timer* t, int events) {
     (void)loop;
     (void)events;
-    caller_t* w = t->data;
-    if (w->parent->is_ending || w->is_busy) {
+    caller_t* caller = t->data;
+    if (caller->parent->is_ending || caller->is_busy) {
         return;
     }
-    if (w->retry_s <= 0) {
-        choose_request(w);
+    if (caller->retry_s <= 0) {
+        choose_request(caller);
     }
-    w->retry_s = 0;
-    if (w->is_open) {
-        send_request(w);
+    caller->retry_s = 0;
+    if (caller->is_open) {
+        send_request(caller);
     } else {
-        look_up(w);
+        look_up(caller);
     }
 }
 
@@ -432,14 +434,14 @@
     watch_signal(c, &c->burst_end, SIGUSR2, on_burst_end);
     watch_signal(c, &c->term, SIGTERM, on_term);
     for (uint32_t i = 0; i < c->count; i++) {
-        caller_t* w = &c->callers[i];
-        w->parent = c;
-        w->stream.fd = -1;
-        cw_message_setup(&w->response, CW_MESSAGE_RESPONSE, &response_handlers, w);
-        ev_timer_init(&w->think_timer, on_think_end, 0.0, 0.0);
-        ev_timer_init(&w->abandon_timer, on_abandon, 0.0, 0.0);
-        w->think_timer.data = w->abandon_timer.data = w;
-        schedule_next(w, random_think_time_s(c));
+        caller_t* caller = &c->callers[i];
+        caller->parent = c;
+        caller->stream.fd = -1;
+        cw_message_setup(&caller->response, CW_MESSAGE_RESPONSE, &response_handlers, caller);
+        ev_timer_init(&caller->think_timer, on_think_end, 0.0, 0.0);
+        ev_timer_init(&caller->abandon_timer, on_abandon, 0.0, 0.0);
+        caller->think_timer.data = caller->abandon_timer.data = caller;
+        schedule_next(caller, random_think_time_s(c));
     }
     ev_run(c->loop, 0);
     cw_lines_shutdown(&c->lines);
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -18,8 +18,8 @@
 #define IDLE_SHARE_MIN 0.25         /* with this share of idle engines a refused request could have begun at once */
 #define INVERSION_WINDOW_MS 5000    /* in which refusals of a kind are compared with less urgent requests */
 #define INVERSION_REFUSALS_MIN 10   /* fewer refusals in a window prove nothing */
-#define INVERSION_REFUSED_ONE_IN 12 /* more than this share (1/12) of the kind's requests has to be refused */
-#define INVERSION_SIZE_RATIO 2      /* of the mean prompt that began to the mean prompt that was refused */
+#define INVERSION_REFUSED_ONE_IN 12 /* a violation needs more than 1/12 of the kind's requests refused */
+#define INVERSION_SIZE_RATIO 2      /* ratio of the mean prompt that began to the mean prompt that was refused */
 #define LEAVING_SLACK_MS 1000  /* beyond the drain time: polling, propagation and scheduling delays of the machine */
 #define CANCEL_SLACK_MS 500    /* after a caller abandoned its request */
 #define RECOVERY_SHARE_MIN 0.9 /* of the requests sent in calm periods */
@@ -160,7 +160,7 @@
 
 /* -- parsing -------------------------------------------------------------- */
 
-/* Share of idle engines among those that take new requests. */
+/* Share of idle engines among those that accept new requests. */
 static double idle_share(const checker_t* c) {
     uint32_t engines = 0;
     uint32_t idle_count = 0;
@@ -173,7 +173,7 @@
     return engines ? (double)idle_count / engines : 0;
 }
 
-static void handle_sent(checker_t* c, int64_t at_ms, const char* rest) {
+static void handle_sent(checker_t* c, int64_t at_ms, const char* fields) {
     char kind[NAME_SIZE] = "";
     char body[NAME_SIZE] = "-";
     if (c->count == MAX_REQUESTS) {
@@ -181,7 +181,7 @@
     }
     request_t* r = &c->requests[c->count];
     *r = (request_t){.sent_ms = at_ms, .idle_engine_share = idle_share(c)};
-    if (sscanf(rest, "%31s %31s %31s %u %31s", r->id, kind, r->host, &r->tokens, body) >= 4) {
+    if (sscanf(fields, "%31s %31s %31s %u %31s", r->id, kind, r->host, &r->tokens, body) >= 4) {
         r->kind = soak_find_kind(kind);
         r->is_calm = !is_disturbed(c, at_ms, NULL, SETTLE_MS);
         cw_map_put(&c->by_id, cw_name_id(r->id), c->count++);
@@ -194,13 +194,13 @@
     }
 }
 
-static void handle_caller(checker_t* c, int64_t at_ms, const char* what, const char* rest) {
+static void handle_caller(checker_t* c, int64_t at_ms, const char* what, const char* fields) {
     char id[NAME_SIZE] = "";
     if (strcmp(what, "sent") == 0) {
-        handle_sent(c, at_ms, rest);
+        handle_sent(c, at_ms, fields);
         return;
     }
-    sscanf(rest, "%31s", id);
+    sscanf(fields, "%31s", id);
     request_t* r = find_request(c, id);
     if (!r) {
         return;
@@ -212,7 +212,7 @@
     uint32_t is_complete = 0;
     uint32_t is_correct = 0;
     uint32_t is_quarantined = 0;
-    sscanf(rest, "%*s %u %u %u %*u %u", &r->status, &is_complete, &is_correct, &is_quarantined);
+    sscanf(fields, "%*s %u %u %u %*u %u", &r->status, &is_complete, &is_correct, &is_quarantined);
     r->done_ms = at_ms;
     r->is_complete = is_complete;
     r->is_correct = is_correct;
@@ -313,11 +313,11 @@
     return false;
 }
 
-static void handle_upstream(checker_t* c, int64_t at_ms, const char* what, const char* rest) {
+static void handle_upstream(checker_t* c, int64_t at_ms, const char* what, const char* fields) {
     char id[NAME_SIZE] = "";
     char server[NAME_SIZE] = "";
     double value = 0;
-    sscanf(rest, "%31s %31s %lf", id, server, &value);
+    sscanf(fields, "%31s %31s %lf", id, server, &value);
     request_t* r = find_request(c, id);
     server_record_t* s = find_server(c, server);
     if (!s || handle_pushback(c, at_ms, what, r, s, value) || !r) {
@@ -434,10 +434,10 @@
     }
 }
 
-static void handle_soak(checker_t* c, int64_t at_ms, const char* what, const char* rest) {
+static void handle_soak(checker_t* c, int64_t at_ms, const char* what, const char* fields) {
     char name[NAME_SIZE] = "-";
     char target[NAME_SIZE] = "-";
-    sscanf(rest, "%31s %31s", name, target);
+    sscanf(fields, "%31s %31s", name, target);
     if (strcmp(what, "fault") == 0 || strcmp(what, "over") == 0) {
         handle_fault(c, at_ms, strcmp(what, "fault") == 0, name, target);
     } else if (strcmp(what, "ended") == 0) {
@@ -509,19 +509,19 @@
     for (uint32_t i = 0; i < count; i++) {
         char who = 0;
         char what[NAME_SIZE] = "";
-        char rest[160] = "";
+        char fields[160] = "";
         char text[240];
         size_t size = strcspn(lines[i].text, "\n");
         cw_copy(text, size + 1 < sizeof(text) ? size + 1 : sizeof(text), lines[i].text);
-        if (sscanf(text, "%c %*d %31s %159[^\n]", &who, what, rest) < 2) {
+        if (sscanf(text, "%c %*d %31s %159[^\n]", &who, what, fields) < 2) {
             continue;
         }
         if (who == 'C') {
-            handle_caller(c, lines[i].at_ms, what, rest);
+            handle_caller(c, lines[i].at_ms, what, fields);
         } else if (who == 'U') {
-            handle_upstream(c, lines[i].at_ms, what, rest);
+            handle_upstream(c, lines[i].at_ms, what, fields);
         } else {
-            handle_soak(c, lines[i].at_ms, what, rest);
+            handle_soak(c, lines[i].at_ms, what, fields);
         }
     }
     free(lines);
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -145,14 +145,14 @@
     }
 }
 
-static bool rest_begin(active_fault_t* a) {
+static bool backoff_begin(active_fault_t* a) {
     char path[40];
     snprintf(path, sizeof(path), "/admin/set?rest=%.1f", 0.5 + (double)(soak_random(a->soak) % 30) / 10);
     soak_post(a->soak, a->target->address, path, "");
     return true;
 }
 
-static void rest_end(active_fault_t* a) {
+static void backoff_end(active_fault_t* a) {
     if (a->target->pid) {
         soak_post(a->soak, a->target->address, "/admin/set?rest=0", "");
     }
@@ -210,7 +210,7 @@
     {"freeze", PROC_UPSTREAM, 1, freeze_begin, freeze_end},
     {"slow", PROC_UPSTREAM, 2, slow_begin, slow_end},
     {"limit", PROC_UPSTREAM, 8, limit_begin, limit_end},
-    {"rest", PROC_UPSTREAM, 6, rest_begin, rest_end},
+    {"rest", PROC_UPSTREAM, 6, backoff_begin, backoff_end},
     {"source-down", PROC_SOURCE, 1, source_down, source_recover},
     {"source-slow", PROC_SOURCE, 1, source_slow, source_recover},
     {"source-lossy", PROC_SOURCE, 1, source_lossy, source_recover},
--- a/tools/soak_pushback.c
+++ b/tools/soak_pushback.c
@@ -55,8 +55,8 @@
     }
 }
 
-/* Returns whether the host of the arrival had received pushback of this kind from the upstream by before_ms, the time
-   at which the request was sent or arrived, less the time that the host has to comply. */
+/* Returns whether the host of the arrival had received pushback of this kind from the upstream by before_ms. Callers
+   pass the time at which the request was sent or arrived, minus the time that the host has to comply. */
 static bool has_signal(const soak_pushback_t* p, soak_pushback_kind_t kind, const soak_arrival_t* a,
                        int64_t before_ms) {
     for (uint32_t i = 0; i < p->signal_count && p->signals[i].at_ms <= before_ms; i++) {
--- a/tools/soak_pushback.h
+++ b/tools/soak_pushback.h
@@ -1,7 +1,7 @@
 #ifndef CW_TOOLS_SOAK_PUSHBACK_H
 #define CW_TOOLS_SOAK_PUSHBACK_H
 /*
-    Checks whether the hosts of a soak comply with server pushback, the requests in the response heads of upstreams: an
+    Checks whether the hosts of a soak comply with server pushback, which upstreams state in response heads: an
     advertised rate for all hosts together, a backoff for one host, and no new requests to a leaving upstream.
 */
 #include <stdbool.h>
@@ -10,7 +10,7 @@
 #define SOAK_PUSHBACK_RATE_GRACE_MS 3000     /* from advertising a rate until the hosts must comply */
 #define SOAK_PUSHBACK_WINDOW_MS 4000         /* window in which requests are counted against the rate */
 #define SOAK_PUSHBACK_REACTION_MS 500        /* from a response until its host must comply */
-#define SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX 2 /* requests tolerated in a backoff after that */
+#define SOAK_PUSHBACK_BACKOFF_ARRIVALS_MAX 2 /* requests tolerated in a backoff after the reaction time */
 
 /* Arrival of a request at an upstream. server: hash of the upstream's name and incarnation. */
 typedef struct soak_arrival_t {
--- a/tools/soak_qod.h
+++ b/tools/soak_qod.h
@@ -9,13 +9,13 @@
 #define SOAK_QOD_BODIES_MAX 64
 #define SOAK_QOD_CRASHES_MAX 3       /* crashes after which the hosts must quarantine a body */
 #define SOAK_QOD_PROPAGATION_MS 3000 /* from the last of these crashes until all hosts must know of it */
-#define SOAK_QOD_LATE_REACHES_MAX 3  /* arrivals at upstreams that are tolerated after that */
+#define SOAK_QOD_LATE_REACHES_MAX 3  /* arrivals at upstreams tolerated after the propagation time */
 
 typedef struct soak_qod_body_t {
     char name[32];
     uint32_t sent, crashes;
-    int64_t known_from_ms; /* all hosts must know of the body from then on; 0: not yet */
-    uint32_t late_reaches; /* arrivals at an upstream after that time */
+    int64_t known_from_ms; /* from when on all hosts must know of the body; 0: not set yet */
+    uint32_t late_reaches; /* arrivals at upstreams after known_from_ms */
 } soak_qod_body_t;
 
 typedef struct soak_qod_t {
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -18,7 +18,7 @@
 
 #define MAX_ARGS 80
 #define WATCH_INTERVAL_MS 20 /* period of the timer that detects scheduling delays */
-#define LATE_WAKEUP_MS 200   /* a longer gap: the machine did not schedule this program in time, nor others */
+#define LATE_WAKEUP_MS 200   /* a longer gap shows that the machine did not schedule processes in time */
 #define ENGINE_SLOTS 12
 #define ENGINE_MEMORY_TOKENS 400000
 #define PREFILL_US_PER_TOKEN "18"
@@ -213,7 +213,8 @@
     soak_record_event(p->soak, "over died %s", p->name);
 }
 
-/* Restarts an upstream that a request crashed under its id after a delay; its entry stays published meanwhile. */
+/* Restarts an upstream that a query of death crashed, after a delay and under the same id; until then its entry stays
+   published. */
 static void schedule_restart(proc_t* p) {
     p->has_stale_entry = true;
     ev_timer_init(&p->restart_timer, on_restart, 0.0, 0.0);
@@ -381,14 +382,15 @@
     char seed[24];
     char rate[24];
     char count[24];
-    char deadly[24];
+    char qod_body_count_text[24];
     char addresses[MAX_ARGS][32];
-    const char* args[MAX_ARGS + 1] = {"--seed", seed, "--rate", rate, "--callers", count, "--deadly", deadly};
+    const char* args[MAX_ARGS + 1] = {"--seed",    seed,  "--rate",   rate,
+                                      "--callers", count, "--deadly", qod_body_count_text};
     uint32_t n = 8;
     snprintf(seed, sizeof(seed), "%" PRIu64, s->seed);
     snprintf(rate, sizeof(rate), "%.1f", s->requests_per_s);
     snprintf(count, sizeof(count), "%u", s->caller_count);
-    snprintf(deadly, sizeof(deadly), "%u", s->qod_body_count);
+    snprintf(qod_body_count_text, sizeof(qod_body_count_text), "%u", s->qod_body_count);
     for (uint32_t i = 0; i < s->host_count && n < MAX_ARGS; i++) {
         snprintf(addresses[n], sizeof(addresses[n]), "%s.%u:%d", s->address_prefix, i + 1, LOOKUP_PORT);
         args[n] = addresses[n];
--- a/tools/soak_site.h
+++ b/tools/soak_site.h
@@ -29,7 +29,7 @@
     char address[48]; /* of a stand-in, set once it is ready */
     bool is_engine, is_leaving, is_ready, is_stopping;
     bool has_stale_entry;       /* an upstream that exited but is still published */
-    ev_timer restart_timer;     /* of an upstream that a request crashed: until its restart */
+    ev_timer restart_timer;     /* of an upstream that a query of death crashed: until its restart */
     int64_t started_ms;         /* of an upstream, published in its entry */
     int64_t suspended_since_ms; /* of a suspended host: start of the suspension */
     int64_t suspended_total_ms; /* of a host: total time that its monotonic clock omits */
