--- a/bench/bench_scenario.c
+++ b/bench/bench_scenario.c
@@ -31,7 +31,7 @@
     int daemons, halls, engines, services;
     int engine_slots, service_slots, service_ms;
     double step_ms;
-    int reserve;            /* slots of a shard of the engine pool kept for protected classes */
+    int reserve;            /* slots of each engine pool shard that are reserved for protected classes */
     uint32_t report_lag_ms; /* delay of the engines' load reports */
     load_desc_t load;
     class_settings_t class_settings[LOAD_MAX_CLASSES];
@@ -389,7 +389,7 @@
 }
 
 /* Site in Almaty: 9 daemons in 3 halls, 9 engines, 3 services; at opening time the rate of bookings is four times as
- * high for 15 s. */
+   high for 15 s. */
 static scenario_t saqtau_morning(void) {
     scenario_t sc = {.name = "saqtau-morning",
                      .daemons = 9,
--- a/standins/fake_platform.c
+++ b/standins/fake_platform.c
@@ -52,7 +52,7 @@
     uint64_t calls, rejected;
     cw_bucket_t bucket;
     watch_t watches[MAX_WATCHES];
-    char* hosts; /* visible to callers */
+    char* hosts; /* list of hosts as callers see it */
     char* pending_hosts;
     int64_t pending_hosts_due_ms;
     uint32_t host_lag_ms;
--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -22,7 +22,7 @@
 
     Standard output, after the ready line: one line per event, MS is the monotonic clock in milliseconds.
         U MS begin ID SERVER PRIORITY TOKENS   the request started to run
-        U MS end|gone ID SERVER       it completed; its caller closed the connection
+        U MS end|gone ID SERVER       the request completed; its caller closed the connection
         U MS reach|died ID SERVER     a query of death arrived; the process exits because of it
         U MS came ID SERVER           a request with an id arrived, before it is queued or rejected
         U MS rate - SERVER PER_S      the advertised rate changed, -1: none
@@ -45,7 +45,7 @@
 #define CHUNK_TOKENS 512
 #define STEP_MS 3.0              /* duration of a step without prefill */
 #define STEP_PER_REQUEST_MS 0.02 /* added to a step for each running request */
-#define LINES_MAX_BYTES 4194304  /* buffer for lines that the reader of standard output has not taken yet */
+#define LINES_MAX_BYTES 4194304  /* buffer for lines not yet written to standard output */
 #define PRIORITY_LOWEST 9
 #define HEADERS_MAX 6
 #define CRASH_DELAY_MS 60.0
@@ -53,7 +53,7 @@
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool is_used, running, has_begun, is_deadly;
+    bool is_used, running, has_begun, is_query_of_death;
     char id[64];
     uint32_t priority, tokens, prefill_left, events_sent, event_count;
     ev_timer timer; /* end of a service call, or delay before the crash */
@@ -133,9 +133,9 @@
     job->running = job->has_begun = true;
     u->running++;
     log_begin(u, job);
-    if (u->prefill_us <= 0 || job->is_deadly) {
-        double ms = job->is_deadly ? CRASH_DELAY_MS : u->call_ms * u->slowdown;
-        ev_timer_init(&job->timer, job->is_deadly ? on_crash : on_call_done, ms / 1000.0, 0.0);
+    if (u->prefill_us <= 0 || job->is_query_of_death) {
+        double ms = job->is_query_of_death ? CRASH_DELAY_MS : u->call_ms * u->slowdown;
+        ev_timer_init(&job->timer, job->is_query_of_death ? on_crash : on_call_done, ms / 1000.0, 0.0);
         job->timer.data = job;
         ev_timer_start(u->standin.loop, &job->timer);
     }
@@ -205,10 +205,10 @@
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
         bool is_complete =
-            job->events_sent >= job->event_count && !job->is_deadly; /* a query of death never completes */
+            job->events_sent >= job->event_count && !job->is_query_of_death; /* a query of death never completes */
         if (job->is_used && job->running && !job->prefill_left && job != prefilling && !is_complete) {
             send_event(job);
-            is_complete = job->events_sent >= job->event_count && !job->is_deadly;
+            is_complete = job->events_sent >= job->event_count && !job->is_query_of_death;
         }
         if (job->is_used && job->running && !job->prefill_left && is_complete) {
             cw_exchange_finish(job->x, true);
@@ -283,8 +283,8 @@
     job->events_sent = after ? (uint32_t)strtoul(after, NULL, 10) : 0;
     cw_exchange_set_data(x, job);
     size_t size = 0;
-    job->is_deadly = strncmp(cw_exchange_body(x, &size), "deadly", strlen("deadly")) == 0;
-    if (job->is_deadly) {
+    job->is_query_of_death = strncmp(cw_exchange_body(x, &size), "deadly", strlen("deadly")) == 0;
+    if (job->is_query_of_death) {
         log_job_event(u, "reach", job);
     }
     if (u->prefill_us > 0) {
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -88,8 +88,8 @@
 
 /* Makes an idempotency key from a ticket of the daemon. */
 static void make_idempotency_key(const char* address, const char* suffix, char out[256]) {
-    site_response_t a = site_call(&(site_request_t){.address = address, .path = "/v1/lookup"});
-    json_t* root = json_loads(a.body, 0, NULL);
+    site_response_t response = site_call(&(site_request_t){.address = address, .path = "/v1/lookup"});
+    json_t* root = json_loads(response.body, 0, NULL);
     const char* ticket = json_string_value(json_object_get(root, "ticket"));
     ck_assert_ptr_nonnull(ticket);
     snprintf(out, 256, "%s/%s", ticket, suffix);
@@ -148,10 +148,10 @@
 START_TEST(an_aborted_stream_ends_with_an_error_event) {
     start_site();
     site_call(&(site_request_t){.address = http_of("engine"), .path = "/admin/set?cut_after=5", .body = ""});
-    site_response_t a = send_summary(http_of("a"), "x", true, 50);
-    ck_assert(!a.whole);
-    ck_assert_ptr_nonnull(strstr(a.body, "event: error"));
-    ck_assert_ptr_null(strstr(a.body, "[DONE]"));
+    site_response_t response = send_summary(http_of("a"), "x", true, 50);
+    ck_assert(!response.whole);
+    ck_assert_ptr_nonnull(strstr(response.body, "event: error"));
+    ck_assert_ptr_null(strstr(response.body, "[DONE]"));
     stop_site();
 }
 END_TEST
@@ -229,12 +229,12 @@
     for (int i = 0; i < 16; i++) {
         children[i] = fork();
         if (children[i] == 0) {
-            site_response_t a = site_call(&(site_request_t){.address = http_of("a"),
-                                                            .path = "/v1/services/sched/pay",
-                                                            .token = TOKEN,
-                                                            .class_name = "pay",
-                                                            .body = "{}"});
-            _exit(a.status == 200 ? 0 : 1);
+            site_response_t response = site_call(&(site_request_t){.address = http_of("a"),
+                                                                   .path = "/v1/services/sched/pay",
+                                                                   .token = TOKEN,
+                                                                   .class_name = "pay",
+                                                                   .body = "{}"});
+            _exit(response.status == 200 ? 0 : 1);
         }
     }
     int failed = 0;
@@ -292,8 +292,8 @@
         if (children[i] == 0) {
             char id[16];
             snprintf(id, sizeof(id), "s%d", i);
-            site_response_t a = send_summary(http_of("a"), id, true, 60);
-            _exit(a.whole && strstr(a.body, "[DONE]") ? 0 : 1);
+            site_response_t response = send_summary(http_of("a"), id, true, 60);
+            _exit(response.whole && strstr(response.body, "[DONE]") ? 0 : 1);
         }
     }
     site_sleep_ms(400);
@@ -315,9 +315,10 @@
     make_idempotency_key(http_of("a"), "one", key);
     ck_assert_int_eq(send_status_call(http_of("a")).status, 200); /* leaves an idle connection that could be reused */
     set_service("reset_after=1");
-    site_response_t a = send_booking(http_of("a"), key, "one", 10000);
-    ck_assert_int_eq(a.status, 502);
-    ck_assert_msg(strcmp(a.outcome, "unknown") == 0 || strcmp(a.outcome, "failed") == 0, "outcome %s", a.outcome);
+    site_response_t response = send_booking(http_of("a"), key, "one", 10000);
+    ck_assert_int_eq(response.status, 502);
+    ck_assert_msg(strcmp(response.outcome, "unknown") == 0 || strcmp(response.outcome, "failed") == 0, "outcome %s",
+                  response.outcome);
     for (int i = 0; i < 3; i++) {
         ck_assert_int_ne(send_booking(http_of("a"), key, "one", 10000).status, 200);
     }
@@ -334,9 +335,9 @@
     make_idempotency_key(http_of("a"), "two", key);
     set_service("ms=700");
     ck_assert_int_eq(send_booking(http_of("a"), key, "two", 200).status, 0);
-    site_response_t a = send_booking(http_of("a"), key, "two", 10000);
-    ck_assert_int_eq(a.status, 200);
-    ck_assert_ptr_nonnull(strstr(a.body, "\"ran\":1"));
+    site_response_t response = send_booking(http_of("a"), key, "two", 10000);
+    ck_assert_int_eq(response.status, 200);
+    ck_assert_ptr_nonnull(strstr(response.body, "\"ran\":1"));
     ck_assert_double_eq(service_count("repeated"), 0);
     stop_site();
 }
@@ -446,10 +447,10 @@
     publish_items("{\"items\":[{\"key\":\"classes/status\",\"value\":{\"tier\":77}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     ck_assert_int_eq(send_status_call(http_of("a")).status, 200);
-    site_response_t a = site_call(&(site_request_t){.address = site_find_process(&site, "b")->operator_http,
-                                                    .path = "/v1/resources/classes/status"});
-    ck_assert_ptr_nonnull(strstr(a.body, "\"status\":false"));
-    ck_assert_ptr_nonnull(strstr(a.body, "tier"));
+    site_response_t response = site_call(&(site_request_t){.address = site_find_process(&site, "b")->operator_http,
+                                                           .path = "/v1/resources/classes/status"});
+    ck_assert_ptr_nonnull(strstr(response.body, "\"status\":false"));
+    ck_assert_ptr_nonnull(strstr(response.body, "tier"));
     stop_site();
 }
 END_TEST
@@ -493,9 +494,9 @@
         if (p->kind != SITE_DAEMON || p == site_find_process(&site, "c")) {
             continue;
         }
-        site_response_t a =
+        site_response_t response =
             site_call(&(site_request_t){.address = p->operator_http, .path = "/v1/status", .timeout_ms = 2000});
-        json_t* root = json_loads(a.body, 0, NULL);
+        json_t* root = json_loads(response.body, 0, NULL);
         size_t k = 0;
         json_t* shard = NULL;
         json_array_foreach(json_object_get(root, "shards"), k, shard) {
