--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -504,8 +504,8 @@
     response_t* response = &r->response;
     response->status = r->upstream_status;
     cw_copy(response->type, sizeof(response->type), r->upstream_type);
-    bool served = r->upstream_status < HTTP_SERVER_ERROR;
-    if (served) {
+    bool is_served = r->upstream_status < HTTP_SERVER_ERROR;
+    if (is_served) {
         update_estimates(r);
     }
     request_event(r, CW_EV_RESPONSE_END);
@@ -646,11 +646,11 @@
     return r->class->is_protected ? s->silent_protected_ms : s->silent_ms;
 }
 
-/* Time at which the attempt counts as stalled, INT64_MAX: never. Needed because a frozen upstream sends nothing but
-   keeps its connection open. */
+/* Time at which the attempt counts as stalled, INT64_MAX: never. Without this timeout, a frozen upstream would not be
+   noticed: it sends nothing but keeps its connection open. */
 static int64_t stall_time_ms(const request_t* r) {
-    bool runs = r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING;
-    if (!runs || !r->machine.resumable || !r->machine.repeatable || r->is_upstream_paused) {
+    bool is_running = r->machine.state == CW_REQ_SENT || r->machine.state == CW_REQ_STREAMING;
+    if (!is_running || !r->machine.resumable || !r->machine.repeatable || r->is_upstream_paused) {
         return INT64_MAX;
     }
     const cw_settings_t* s = &r->entry->node->settings;
@@ -659,7 +659,7 @@
 
 static void attempt_stalled(request_t* r) {
     const cw_call_result_t result = {
-        .sent = true, .status = r->upstream_status, .message = "no token came for too long"};
+        .sent = true, .status = r->upstream_status, .message = "stalled: no token received in time"};
     attempt_failed(r, &result);
 }
 
@@ -853,7 +853,7 @@
     int64_t now_ms = node_now_ms();
     for (uint32_t i = 0; i < e->shard_count; i++) {
         if (e->shards[i].owner == host && e->shards[i].last_received_ms) {
-            e->shards[i].next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS; /* releases in transit were lost */
+            e->shards[i].next_digest_ms = now_ms + DIGEST_AFTER_LOSS_MS; /* releases in transit may be lost */
             e->shards[i].has_reported_grants = true;
         }
     }
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -332,13 +332,13 @@
 /* Handles the idempotency key of a non-repeatable call; returns true if the request is to run. */
 static bool begin_runonce(request_t* r) {
     entry_t* e = r->entry;
-    const char* name = cw_exchange_header(r->x, "Idempotency-Key");
-    if (r->class->repeatable || !name) {
+    const char* key = cw_exchange_header(r->x, "Idempotency-Key");
+    if (r->class->repeatable || !key) {
         return true;
     }
-    cw_copy(r->idempotency_key, sizeof(r->idempotency_key), name);
+    cw_copy(r->idempotency_key, sizeof(r->idempotency_key), key);
     uint64_t body_hash = XXH64(r->body, r->body_size, cw_name_id(r->path));
-    cw_runonce_begin_t b = cw_runonce_begin(e->runonce, r->start_ms, r->workspace->id, name, body_hash);
+    cw_runonce_begin_t b = cw_runonce_begin(e->runonce, r->start_ms, r->workspace->id, key, body_hash);
     switch (b.verdict) {
         case CW_RUN_NEW:
             r->runonce_record = b.record;
@@ -360,15 +360,16 @@
             return false;
         case CW_RUN_NO_TICKET:
             reject(r, HTTP_BAD_REQUEST, "no-ticket", "run-once",
-                   "the name of a call that may not be repeated must be TICKET/SUFFIX, see GET /v1/lookup", 0);
+                   "the idempotency key of a non-repeatable call must be TICKET/SUFFIX, see GET /v1/lookup", 0);
             return false;
         case CW_RUN_MISMATCH:
-            reject(r, HTTP_UNPROCESSABLE, "name-reused", "run-once", "the name was used for another call", 0);
+            reject(r, HTTP_UNPROCESSABLE, "name-reused", "run-once", "the idempotency key was used for another call",
+                   0);
             return false;
         case CW_RUN_FULL:
             break;
     }
-    reject(r, HTTP_UNAVAILABLE, "names-full", "run-once", "too many named calls are remembered", 1000);
+    reject(r, HTTP_UNAVAILABLE, "names-full", "run-once", "too many idempotency keys are stored", 1000);
     return false;
 }
 
@@ -397,9 +398,9 @@
         return &e->metrics[ENTRY_MAX_METRICS - 1];
     }
     metric_t* m = &e->metrics[e->metric_count];
-    bool last = e->metric_count == ENTRY_MAX_METRICS - 1;
-    cw_copy(m->workspace, sizeof(m->workspace), last ? "other" : r->workspace->name);
-    cw_copy(m->class, sizeof(m->class), last ? "other" : r->class->name);
+    bool is_last = e->metric_count == ENTRY_MAX_METRICS - 1;
+    cw_copy(m->workspace, sizeof(m->workspace), is_last ? "other" : r->workspace->name);
+    cw_copy(m->class, sizeof(m->class), is_last ? "other" : r->class->name);
     cw_map_put(&e->by_metric, key, e->metric_count++);
     return m;
 }
@@ -459,14 +460,14 @@
 void entry_on_request(cw_exchange_t* x, void* user) {
     node_t* node = user;
     const char* path = cw_exchange_path(x);
-    bool ready = sync_is_ready(node->sync);
+    bool is_ready = sync_is_ready(node->sync);
     if (strcmp(path, "/healthz") == 0) {
         reply_json(x, HTTP_OK, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
-        reply_json(x, ready && !node_is_stopping(node) ? HTTP_OK : HTTP_UNAVAILABLE,
-                   ready ? (node_is_stopping(node) ? "{\"status\":\"leaving\"}" : "{\"status\":\"ready\"}")
-                         : "{\"status\":\"starting\"}");
-    } else if (!ready) {
+        reply_json(x, is_ready && !node_is_stopping(node) ? HTTP_OK : HTTP_UNAVAILABLE,
+                   is_ready ? (node_is_stopping(node) ? "{\"status\":\"leaving\"}" : "{\"status\":\"ready\"}")
+                            : "{\"status\":\"starting\"}");
+    } else if (!is_ready) {
         reply_error(x, HTTP_UNAVAILABLE, CW_OUTCOME_NOT_RUN, "starting", "accept", NULL,
                     "this host has no configuration yet", 500);
     } else if (strcmp(path, "/v1/lookup") == 0) {
--- a/daemon/node.c
+++ b/daemon/node.c
@@ -262,8 +262,8 @@
     node->members = cw_members_setup(&desc);
     char seeds[CW_SETTINGS_TEXT_MAX];
     cw_copy(seeds, sizeof(seeds), s->seeds);
-    char* rest = NULL;
-    for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
+    char* saveptr = NULL;
+    for (char* seed = strtok_r(seeds, ", ", &saveptr); seed; seed = strtok_r(NULL, ", ", &saveptr)) {
         cw_members_add_seed(node->members, seed);
     }
 }
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -213,8 +213,8 @@
     } else if (strcmp(path, "/healthz") == 0) {
         reply_json(x, 200, "{\"status\":\"ok\"}");
     } else if (strcmp(path, "/readyz") == 0) {
-        bool ready = sync_is_ready(node->sync) && !node_is_stopping(node);
-        reply_json(x, ready ? 200 : 503, ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not-ready\"}");
+        bool is_ready = sync_is_ready(node->sync) && !node_is_stopping(node);
+        reply_json(x, is_ready ? 200 : 503, is_ready ? "{\"status\":\"ready\"}" : "{\"status\":\"not-ready\"}");
     } else {
         reply_error(x, 404, CW_OUTCOME_NONE, "no-such-path", "operator", NULL, "nothing is served here", 0);
     }
--- a/io/peers.c
+++ b/io/peers.c
@@ -383,16 +383,15 @@
     return CW_OK;
 }
 
-/* Closes links that are idle or sent no hello in time, and frees entries whose backoff has long passed. */
+/* Closes links that are idle or sent no hello in time, and frees idle entries that hold only a backoff. */
 static void on_sweep(struct ev_loop* loop, ev_timer* w, int events) {
     (void)events;
     cw_peers_t* p = w->data;
-    double now = ev_now(loop);
+    double now_s = ev_now(loop);
     for (uint32_t i = 0; i < p->desc.max_links; i++) {
         link_t* l = &p->links[i];
-        double idle_timeout_ms = (now - l->last_frame_s) * MS_PER_S;
-        if (l->is_used &&
-            (idle_timeout_ms > p->desc.idle_timeout_ms || (!l->host && idle_timeout_ms > HELLO_TIMEOUT_MS))) {
+        double idle_ms = (now_s - l->last_frame_s) * MS_PER_S;
+        if (l->is_used && (idle_ms > p->desc.idle_timeout_ms || (!l->host && idle_ms > HELLO_TIMEOUT_MS))) {
             link_close(l, false);
         }
     }
--- a/standins/fake_engine.c
+++ b/standins/fake_engine.c
@@ -75,7 +75,7 @@
     *job = (job_t){0};
 }
 
-/* Whether the prefix is cached; if not, it replaces the oldest entry. */
+/* Returns whether the prefix is cached; if it is not, caches it in place of the oldest entry. */
 static bool cache_has_or_add(engine_t* e, uint64_t prefix) {
     for (uint32_t i = 0; i < CACHE_ENTRIES; i++) {
         if (e->cache[i] == prefix) {
--- a/tools/chalkway_load.c
+++ b/tools/chalkway_load.c
@@ -63,9 +63,10 @@
         s->load.seed = strtoull(value, NULL, 10);
     } else if (strcmp(key, "addresses") == 0) {
         char* list = (char*)store_text(s, value);
-        char* rest = NULL;
-        for (char* a = strtok_r(list, ", ", &rest); a && s->seed_count < 15; a = strtok_r(NULL, ", ", &rest)) {
-            s->load.seeds[s->seed_count++] = a;
+        char* saveptr = NULL;
+        for (char* address = strtok_r(list, ", ", &saveptr); address && s->seed_count < 15;
+             address = strtok_r(NULL, ", ", &saveptr)) {
+            s->load.seeds[s->seed_count++] = address;
         }
     } else {
         return false;
@@ -165,7 +166,8 @@
     return 1;
 }
 
-/* Sets the phase that follows a burst and checks required settings. Prints errors; false if the file had any. */
+/* Sets the phase that follows a burst and checks required settings. Prints errors; returns false if the file has
+   any, also those found earlier. */
 static bool finish_scenario(scenario_t* s) {
     for (uint32_t i = 0; i < s->load.class_count; i++) {
         load_class_t* c = &s->load.classes[i];
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -6,7 +6,7 @@
 
     The record is text, one event per line, with times in ms of the machine's monotonic clock:
 
-        C MS sent ID KIND HOST TOKENS BODY a whole request is sent to a host; BODY: "-", or the name of a query of
+        C MS sent ID KIND HOST TOKENS BODY a request was sent completely to a host; BODY: "-", or the name of a query of
                                            death, a body that crashes every upstream which begins to run it
         C MS done ID STATUS WHOLE RIGHT FIRST_MS HELD
                                            the response ended, or the connection closed (status 0). WHOLE 1: the
@@ -24,12 +24,12 @@
         U MS away ID SERVER REST_MS        arrivals at upstreams and their server pushback: an advertised rate,
                                            responses that advertise it, responses that announce leaving, and
                                            refusals that request a backoff (standins/fake_upstream.c)
-        S MS fault NAME TARGET             a fault is injected, until
-        S MS over NAME TARGET              it ends
+        S MS fault NAME TARGET             a fault begins
+        S MS over NAME TARGET              the fault ends
         S MS up SERVER SLOTS, S MS leaves SERVER, S MS down SERVER
                                            state of a server as published; SLOTS is 0 for a service
         S MS started HOST, S MS ended HOST CODE
-                                           a host's process starts or exits; CODE 128 and more: killed by a signal
+                                           a host's process starts or exits; CODE 128 or more: killed by a signal
         S MS calm, S MS finish             no further faults are injected; the callers stop
 */
 #include <stdint.h>
--- a/tools/soak_qod.c
+++ b/tools/soak_qod.c
@@ -4,16 +4,16 @@
 
 #include "../chalkway_core.h"
 
-soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* d, const char* name) {
-    for (uint32_t i = 0; i < d->count; i++) {
-        if (strcmp(d->bodies[i].name, name) == 0) {
-            return &d->bodies[i];
+soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* qod, const char* name) {
+    for (uint32_t i = 0; i < qod->count; i++) {
+        if (strcmp(qod->bodies[i].name, name) == 0) {
+            return &qod->bodies[i];
         }
     }
-    if (d->count == SOAK_QOD_BODIES_MAX) {
+    if (qod->count == SOAK_QOD_BODIES_MAX) {
         return NULL;
     }
-    soak_qod_body_t* body = &d->bodies[d->count++];
+    soak_qod_body_t* body = &qod->bodies[qod->count++];
     cw_copy(body->name, sizeof(body->name), name);
     return body;
 }
--- a/tools/soak_qod.h
+++ b/tools/soak_qod.h
@@ -24,7 +24,7 @@
 } soak_qod_t;
 
 /* Returns the entry of the body with the name, added if it is new, or NULL if the table is full. */
-soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* d, const char* name);
+soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* qod, const char* name);
 /* The body arrived at an upstream. */
 void soak_qod_on_reach(soak_qod_body_t* body, int64_t at_ms);
 /* An upstream crashed while it ran the body. */
