--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -316,9 +316,9 @@
     owned_shard_t* owned = find_owned_shard(load_call->node->allocator, load_call->shard);
     json_t* root = (owned && result->whole) ? json_loadb(load_call->body, load_call->size, 0, NULL) : NULL;
     if (root) {
-        bool draining = json_is_true(json_object_get(root, "draining"));
+        bool is_draining = json_is_true(json_object_get(root, "draining"));
         json_int_t running = json_integer_value(json_object_get(root, "running"));
-        cw_shard_report_load(owned->shard, node_now_ms(), load_call->upstream, (uint32_t)running, draining);
+        cw_shard_report_load(owned->shard, node_now_ms(), load_call->upstream, (uint32_t)running, is_draining);
         json_decref(root);
     }
     load_call->call = NULL;
--- a/io/client.c
+++ b/io/client.c
@@ -23,7 +23,7 @@
     CURL* easy;
     struct curl_slist* headers;
     cw_call_desc_t desc;
-    bool sent, is_vetoed, is_head_notified, has_framing, cancelled, is_paused, is_in_resumed;
+    bool sent, is_vetoed, is_head_notified, has_framing, is_cancelled, is_paused, is_in_resumed;
     unsigned status;
     cw_call_t* prev_open;
     cw_call_t* next_open;
@@ -78,7 +78,7 @@
     if (code == CURLE_OK) {
         notify_head(call); /* a response without a body */
     }
-    if (call->cancelled) {
+    if (call->is_cancelled) {
         return;
     }
     cw_call_result_t result = {.sent = call->sent, .is_vetoed = call->is_vetoed, .status = call->status};
@@ -102,7 +102,7 @@
         cw_call_t* call = NULL;
         CURLcode code = msg->data.result;
         curl_easy_getinfo(msg->easy_handle, CURLINFO_PRIVATE, &call);
-        if (!call->cancelled) {
+        if (!call->is_cancelled) {
             call_finish(call, code);
         }
     }
@@ -173,7 +173,7 @@
         cw_call_t* call = c->resumed;
         c->resumed = call->next_resumed;
         call->is_in_resumed = false;
-        if (!call->cancelled) {
+        if (!call->is_cancelled) {
             curl_easy_pause(call->easy, CURLPAUSE_CONT);
         }
     }
@@ -223,7 +223,7 @@
     (void)port;
     (void)local_port;
     cw_call_t* call = user;
-    if (call->cancelled || (call->desc.on_sending && !call->desc.on_sending(call->desc.user_data))) {
+    if (call->is_cancelled || (call->desc.on_sending && !call->desc.on_sending(call->desc.user_data))) {
         call->is_vetoed = true;
         return CURL_PREREQFUNC_ABORT;
     }
@@ -243,15 +243,15 @@
                (len > 18 && strncasecmp(data, "transfer-encoding:", 18) == 0)) {
         call->has_framing = true;
     }
-    return call->cancelled ? 0 : len;
+    return call->is_cancelled ? 0 : len;
 }
 
 static size_t on_body(char* data, size_t size, size_t count, void* user) {
     cw_call_t* call = user;
-    if (!call->cancelled) {
+    if (!call->is_cancelled) {
         notify_head(call);
     }
-    if (call->cancelled) {
+    if (call->is_cancelled) {
         return 0;
     }
     call->is_paused = call->desc.on_data && !call->desc.on_data(call->desc.user_data, data, size * count);
@@ -320,8 +320,8 @@
 }
 
 void cw_call_cancel(cw_call_t* call) {
-    if (!call->cancelled) {
-        call->cancelled = true;
+    if (!call->is_cancelled) {
+        call->is_cancelled = true;
         call->next_cancelled = call->client->cancelled;
         call->client->cancelled = call;
         ev_feed_event(call->client->loop, &call->client->prepare, EV_PREPARE);
--- a/standins/fake_engine.c
+++ b/standins/fake_engine.c
@@ -33,7 +33,7 @@
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool is_used, running, is_streaming;
+    bool is_used, is_running, is_streaming;
     char id[64];
     uint32_t token_count, tokens_sent, sent_from;
     double prefill_steps; /* prefill steps left before the first token */
@@ -70,7 +70,7 @@
 
 static void job_free(engine_t* e, job_t* job) {
     cw_heap_remove(&e->queue, (uint32_t)(job - e->jobs));
-    e->running -= job->running ? 1 : 0;
+    e->running -= job->is_running ? 1 : 0;
     cw_buffer_free(&job->text);
     *job = (job_t){0};
 }
@@ -94,7 +94,7 @@
     while (e->running < e->slots && e->queue.count) {
         uint32_t i = cw_heap_top(&e->queue);
         cw_heap_remove(&e->queue, i);
-        e->jobs[i].running = true;
+        e->jobs[i].is_running = true;
         e->running++;
     }
     e->max_running = e->running > e->max_running ? e->running : e->max_running;
@@ -165,7 +165,7 @@
     (void)events;
     engine_t* e = w->data;
     for (int i = 0; i < MAX_JOBS; i++) {
-        if (e->jobs[i].is_used && e->jobs[i].running) {
+        if (e->jobs[i].is_used && e->jobs[i].is_running) {
             if (e->crash_after >= 0 && e->crash_after-- == 0) {
                 _Exit(3);
             }
--- a/standins/fake_source.c
+++ b/standins/fake_source.c
@@ -34,7 +34,7 @@
 typedef struct source_standin_t {
     standin_t standin;
     document_t catalog, servers;
-    bool is_down, stale;
+    bool is_down, is_stale;
     uint32_t response_delay_ms, lost_percent, call_count;
 } source_standin_t;
 
@@ -44,7 +44,7 @@
 }
 
 static const char* visible_text(const source_standin_t* s, const document_t* d) {
-    return s->stale ? d->stale : d->current;
+    return s->is_stale ? d->stale : d->current;
 }
 
 static int64_t revision_of(const char* text) {
@@ -86,13 +86,13 @@
 }
 
 static void set_mode(source_standin_t* s, cw_exchange_t* x) {
-    bool stale = standin_number_arg(x, "stale", s->stale) != 0;
+    bool is_stale = standin_number_arg(x, "stale", s->is_stale) != 0;
     document_t* documents[] = {&s->catalog, &s->servers};
-    for (size_t i = 0; i < 2 && stale && !s->stale; i++) {
+    for (size_t i = 0; i < 2 && is_stale && !s->is_stale; i++) {
         free(documents[i]->stale);
         documents[i]->stale = documents[i]->current ? strdup(documents[i]->current) : NULL;
     }
-    s->stale = stale;
+    s->is_stale = is_stale;
     s->is_down = standin_number_arg(x, "down", s->is_down) != 0;
     s->response_delay_ms = (uint32_t)standin_number_arg(x, "slow_ms", s->response_delay_ms);
     s->lost_percent = (uint32_t)standin_number_arg(x, "lose", s->lost_percent);
--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -53,7 +53,7 @@
 
 typedef struct job_t {
     cw_exchange_t* x;
-    bool is_used, running, has_begun, is_query_of_death;
+    bool is_used, is_running, has_begun, is_query_of_death;
     char id[64];
     uint32_t priority, tokens, prefill_left, events_sent, event_count;
     ev_timer timer; /* end of a service call, or delay before the crash */
@@ -114,7 +114,7 @@
     upstream_t* u = job->upstream;
     cw_heap_remove(&u->queue, (uint32_t)(job - u->jobs));
     ev_timer_stop(u->standin.loop, &job->timer);
-    u->running -= job->running ? 1 : 0;
+    u->running -= job->is_running ? 1 : 0;
     *job = (job_t){0};
 }
 
@@ -130,7 +130,7 @@
 }
 
 static void begin_job(upstream_t* u, job_t* job) {
-    job->running = job->has_begun = true;
+    job->is_running = job->has_begun = true;
     u->running++;
     log_begin(u, job);
     if (u->prefill_us <= 0 || job->is_query_of_death) {
@@ -145,7 +145,7 @@
     job_t* first = NULL;
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
-        if (job->is_used && job->running && job->prefill_left && (!first || job->priority < first->priority)) {
+        if (job->is_used && job->is_running && job->prefill_left && (!first || job->priority < first->priority)) {
             first = job;
         }
     }
@@ -206,11 +206,11 @@
         job_t* job = &u->jobs[i];
         bool is_complete =
             job->events_sent >= job->event_count && !job->is_query_of_death; /* a query of death never completes */
-        if (job->is_used && job->running && !job->prefill_left && job != prefilling && !is_complete) {
+        if (job->is_used && job->is_running && !job->prefill_left && job != prefilling && !is_complete) {
             send_event(job);
             is_complete = job->events_sent >= job->event_count && !job->is_query_of_death;
         }
-        if (job->is_used && job->running && !job->prefill_left && is_complete) {
+        if (job->is_used && job->is_running && !job->prefill_left && is_complete) {
             cw_exchange_finish(job->x, true);
             log_job_event(u, "end", job);
             job_free(job);
