--- a/standins/fake_platform.c
+++ b/standins/fake_platform.c
@@ -139,8 +139,8 @@
 static void admin_mode(platform_t* p, cw_exchange_t* x) {
     p->is_down = standin_number_arg(x, "down", p->is_down) != 0;
     p->response_delay_ms = (uint32_t)standin_number_arg(x, "slow_ms", p->response_delay_ms);
-    bool stale = standin_number_arg(x, "stale", p->stale_revision != 0) != 0;
-    p->stale_revision = stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
+    bool is_stale = standin_number_arg(x, "stale", p->stale_revision != 0) != 0;
+    p->stale_revision = is_stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
     standin_reply_json(x, 200, "{}");
     reply_watches(p);
 }
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -620,9 +620,9 @@
     for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
         site_request_t r = cases[i].request;
         r.address = a;
-        site_response_t answer = site_call(&r);
-        ck_assert_msg(answer.status == cases[i].status, "case %zu: %ld %s", i, answer.status, answer.body);
-        ck_assert_str_eq(answer.outcome, "not-run");
+        site_response_t response = site_call(&r);
+        ck_assert_msg(response.status == cases[i].status, "case %zu: %ld %s", i, response.status, response.body);
+        ck_assert_str_eq(response.outcome, "not-run");
     }
     ck_assert_double_eq(service_count("runs"), 0);
     ck_assert_int_eq(send_status_call(a).status, 200);
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -198,7 +198,7 @@
         {"rate", 'r', "N", 0, "requests per second, default 120", 0},
         {"deadly", 'd', "N", 0, "bodies that crash every upstream which begins to run them, default 3", 0},
         {"keep", 'k', NULL, 0, "keep the record and the logs", 0},
-        {"judge", 'j', "RECORD", 0, "check a kept record instead of running a soak", 0},
+        {"judge", 'j', "RECORD", 0, "check a saved record instead of running a soak", 0},
         {0},
     };
     const struct argp argp = {
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -163,7 +163,7 @@
 static void on_data(void* owner, const char* data, size_t size) {
     caller_t* caller = owner;
     if (!caller->is_busy) {
-        close_connection(caller); /* data without a request */
+        close_connection(caller); /* the host sent data although no request is open */
         return;
     }
     cw_message_parse(&caller->response, data, size);
@@ -279,7 +279,7 @@
 
 static const cw_stream_handlers_t stream_handlers = {.on_open = on_open, .on_data = on_data, .on_end = on_end};
 
-/* Picks a random one of the addresses "A:P" in the response of the lookup. Returns false if there is none. */
+/* Picks a random host among the addresses ("IP:PORT") in the lookup response. Returns false if there is none. */
 static bool pick_host(caller_t* caller) {
     char* found[MAX_HOSTS];
     uint32_t count = 0;
@@ -317,8 +317,8 @@
 
 static bool on_lookup_data(void* user, const char* data, size_t size) {
     caller_t* caller = user;
-    size_t have = strlen(caller->lookup);
-    strncat(caller->lookup, data, size < sizeof(caller->lookup) - have - 1 ? size : 0);
+    size_t used = strlen(caller->lookup);
+    strncat(caller->lookup, data, size < sizeof(caller->lookup) - used - 1 ? size : 0);
     return true;
 }
 
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -279,8 +279,8 @@
     int fds[2] = {-1, -1};
     char log[128];
     snprintf(log, sizeof(log), "%s/%s.log", s->dir, p->name);
-    bool host = p->kind == PROC_HOST;
-    int out = host                         ? open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)
+    bool is_host = p->kind == PROC_HOST;
+    int out = is_host                      ? open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600)
               : pipe2(fds, O_CLOEXEC) == 0 ? fds[1]
                                            : -1;
     if (out < 0) {
@@ -296,7 +296,7 @@
     ev_child_init(&p->child, on_child, p->pid, 0);
     p->child.data = p;
     ev_child_start(s->loop, &p->child);
-    if (!host) {
+    if (!is_host) {
         fcntl(fds[0], F_SETFL, O_NONBLOCK);
         ev_io_init(&p->output, on_output, fds[0], EV_READ);
         p->output.data = p;
