--- a/standins/fake_platform.c
+++ b/standins/fake_platform.c
@@ -52,7 +52,7 @@
     uint64_t calls, rejected;
     cw_bucket_t bucket;
     watch_t watches[MAX_WATCHES];
-    char* hosts; /* visible to callers */
+    char* hosts; /* list of hosts as callers see it */
     char* pending_hosts;
     int64_t pending_hosts_due_ms;
     uint32_t host_lag_ms;
@@ -139,8 +139,8 @@
 static void admin_mode(platform_t* p, cw_exchange_t* x) {
     p->is_down = standin_number_arg(x, "down", p->is_down) != 0;
     p->response_delay_ms = (uint32_t)standin_number_arg(x, "slow_ms", p->response_delay_ms);
-    bool stale = standin_number_arg(x, "stale", p->stale_revision != 0) != 0;
-    p->stale_revision = stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
+    bool is_stale = standin_number_arg(x, "stale", p->stale_revision != 0) != 0;
+    p->stale_revision = is_stale ? (p->stale_revision ? p->stale_revision : p->revision) : 0;
     standin_reply_json(x, 200, "{}");
     reply_watches(p);
 }
--- a/tools/soak.c
+++ b/tools/soak.c
@@ -110,7 +110,7 @@
            ": %u sent, %u served, %u refused, %u failed, %u left; calm %u sent, %u served, %u refused\n",
            s->seed, r.sent, r.served, r.refused, r.failed, r.abandoned, r.calm_sent, r.calm_served, r.calm_refused);
     if (r.qod_bodies) {
-        printf("  %u deadly bodies sent %u times: %u upstreams crashed\n", r.qod_bodies, r.qod_sent, r.qod_crashes);
+        printf("  %u queries of death sent %u times: %u upstreams crashed\n", r.qod_bodies, r.qod_sent, r.qod_crashes);
     }
     for (int i = 0; i < SOAK_CHECK_COUNT; i++) {
         if (r.count[i]) {
@@ -198,7 +198,7 @@
         {"rate", 'r', "N", 0, "requests per second, default 120", 0},
         {"deadly", 'd', "N", 0, "bodies that crash every upstream which begins to run them, default 3", 0},
         {"keep", 'k', NULL, 0, "keep the record and the logs", 0},
-        {"judge", 'j', "RECORD", 0, "check a kept record instead of running a soak", 0},
+        {"judge", 'j', "RECORD", 0, "check a saved record instead of running a soak", 0},
         {0},
     };
     const struct argp argp = {
