--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -540,7 +540,7 @@
         request_event(r, CW_EV_GRANT_EXPIRED);
     } else if (is_busy) {
         const cw_call_result_t refused = {
-            .sent = true, .status = result->status, .message = "the upstream accepts no requests"};
+            .sent = true, .status = result->status, .message = "the upstream takes no work"};
         attempt_failed(r, &refused);
     } else if (is_response_complete) {
         attempt_ended(r);
@@ -659,7 +659,7 @@
 
 static void attempt_stalled(request_t* r) {
     const cw_call_result_t result = {
-        .sent = true, .status = r->upstream_status, .message = "stalled: no token received in time"};
+        .sent = true, .status = r->upstream_status, .message = "no token came for too long"};
     attempt_failed(r, &result);
 }
 
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -352,7 +352,7 @@
             replay_response(r, b.response);
             return false;
         case CW_RUN_RESPONSE_LOST:
-            reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its response is no longer stored");
+            reject_runonce(r, CW_OUTCOME_FAILED, "answer-lost", "the call ran; its answer is not kept any more");
             return false;
         case CW_RUN_UNKNOWN:
             reject_runonce(r, CW_OUTCOME_UNKNOWN, "other-process",
@@ -360,16 +360,15 @@
             return false;
         case CW_RUN_NO_TICKET:
             reject(r, HTTP_BAD_REQUEST, "no-ticket", "run-once",
-                   "the idempotency key of a non-repeatable call must be TICKET/SUFFIX, see GET /v1/lookup", 0);
+                   "the name of a call that may not be repeated must be TICKET/SUFFIX, see GET /v1/lookup", 0);
             return false;
         case CW_RUN_MISMATCH:
-            reject(r, HTTP_UNPROCESSABLE, "name-reused", "run-once", "the idempotency key was used for another call",
-                   0);
+            reject(r, HTTP_UNPROCESSABLE, "name-reused", "run-once", "the name was used for another call", 0);
             return false;
         case CW_RUN_FULL:
             break;
     }
-    reject(r, HTTP_UNAVAILABLE, "names-full", "run-once", "too many idempotency keys are stored", 1000);
+    reject(r, HTTP_UNAVAILABLE, "names-full", "run-once", "too many named calls are remembered", 1000);
     return false;
 }
 
