--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -87,18 +87,17 @@
 /* Load of one daemon at one server. */
 typedef struct cw_load_t {
     uint32_t running;
-    uint32_t gap_ms;    /* strictest gap limit among its streams there; 0: none */
-    uint32_t streaming; /* streams with that gap limit */
-    uint32_t
-        backlog_ms[CW_URGENCY_LEVELS]; /* time to prefill its unanswered prompts of this urgency and more urgent ones */
-    uint32_t longest_prompt_tokens;    /* tokens of the longest unanswered prompt */
-    uint32_t tokens;                   /* memory that its running requests use or will use */
-    uint32_t event_interval_us;        /* learned event interval there while no prompt is prefilled; 0: unknown */
-    uint32_t failed_ago_ms;            /* since one of its connections to the server last failed; 0: not recently */
-    uint32_t answered_ago_ms;          /* since it last sent a request there that was answered; 0: not recently */
-    cw_rate_state_t rate;              /* state of the server's advertised rate in the daemon's own recent responses */
-    uint32_t rate_per_ks;              /* that rate, requests per 1,000 s */
-    uint32_t rate_ago_ms;              /* age of that observation */
+    uint32_t gap_ms;                        /* strictest gap limit among its streams there; 0: none */
+    uint32_t streaming;                     /* streams with that gap limit */
+    uint32_t backlog_ms[CW_URGENCY_LEVELS]; /* by urgency: time to prefill unanswered prompts at least as urgent */
+    uint32_t longest_prompt_tokens;         /* tokens of the longest unanswered prompt */
+    uint32_t tokens;                        /* memory that its running requests use or will use */
+    uint32_t event_interval_us;             /* learned event interval there while no prompt is prefilled; 0: unknown */
+    uint32_t failed_ago_ms;   /* since one of its connections to the server last failed; 0: not recently */
+    uint32_t answered_ago_ms; /* since it last sent a request there that was answered; 0: not recently */
+    cw_rate_state_t rate;     /* state of the server's advertised rate in the daemon's own recent responses */
+    uint32_t rate_per_ks;     /* that rate, requests per 1,000 s */
+    uint32_t rate_ago_ms;     /* age of that observation */
 } cw_load_t;
 
 /* The urgency by which a request is queued: a late one goes last and delays no other request. */
@@ -258,7 +257,7 @@
 bool cw_balance_has_rate_to_send(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Whether the server is suspected to be gone, by the reports of all daemons. */
 bool cw_balance_is_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* Returns an unreachable server whose next probe is due, and schedules the one after that. 0: none. */
+/* Returns the id of an unreachable server whose probe is due, and schedules its next one; 0: no probe is due. */
 uint64_t cw_balance_next_probe(cw_balance_t* b, int64_t now_ms);
 /* This daemon's load at the server. */
 cw_load_t cw_balance_own_load(const cw_balance_t* b, int64_t now_ms, uint32_t server);
@@ -293,7 +292,7 @@
 #include "chalkway_stall.h"
 
 /* Slow start. */
-#define _CW_COLD_SHARE 0.8 /* of cold_per_s: two daemons may briefly both take themselves for the server's owner */
+#define _CW_COLD_SHARE 0.8 /* of cold_per_s: two daemons may briefly both consider themselves the server's owner */
 #define _CW_COLD_BURST 2.0 /* requests at once */
 
 /* Speed and failures of servers. */
@@ -316,7 +315,8 @@
 #define _CW_LONG_PROMPT_DOWN 0.005
 /* Cost to a gap-sensitive stream of each step in the fill order, in targets. */
 #define _CW_FILL_ORDER_COST_SHARE 0.1
-/* Share of the slots that requests with a long target leave to those with a short one. It grows with the target. */
+/* Largest share of the slots that requests with a long target leave to those with a short one. The share grows with the
+   target. */
 #define _CW_TOLERANT_RESERVE_SHARE 0.4
 /* Multiple of the shortest target above which a target is long. */
 #define _CW_TOLERANT_TARGET_RATIO 2.0
@@ -325,8 +325,8 @@
 /* The shortest target is learned as a low quantile. */
 #define _CW_SHORT_TARGET_DOWN 0.1
 #define _CW_SHORT_TARGET_UP 0.005
-/* Backlog limit of a request, in targets. It is lower for long prompts, since they delay other prompts themselves; the
-   others delay no one, and a late response to them is still useful. */
+/* Backlog limit of a request, in targets. It is lower for long prompts, since they delay other prompts. Short prompts
+   delay no others, and a late response to them is still useful. */
 #define _CW_BACKLOG_TARGETS_LONG 1.0
 #define _CW_BACKLOG_TARGETS_SHORT 3.0
 /* The backlog limit of an urgency is learned as a low quantile. */
@@ -335,15 +335,15 @@
 #define _CW_LONG_PROMPT_SHARE 0.25      /* of the learned length of long prompts: a longer prompt is long */
 #define _CW_LONG_PROMPT_WAIT_WEIGHT 0.1 /* of the backlog that one long prompt found */
 
-/* Bound of the prefill time left at a server: more than is known may be left, since load reports arrive late. The added
-   time is the usual event interval. */
+/* Upper bound of the prefill time left at a server, as a factor on the known time and an addition to it: load reports
+   arrive late, so more may be left than is known. The addition is the usual event interval. */
 #define _CW_PREFILL_LEFT_FACTOR 1.2
 #define _CW_PREFILL_LEFT_EXTRA_MS 20.0
 
 /* Event intervals of servers. */
 #define _CW_INTERVAL_WEIGHT 0.05     /* of a new sample */
 #define _CW_INTERVAL_SAMPLES_MIN 20  /* with fewer samples an interval counts as unknown */
-#define _CW_INTERVAL_SLOW_RATIO 1.15 /* to the fastest server's: from here on a server comes last in the fill order */
+#define _CW_INTERVAL_SLOW_RATIO 1.15 /* to the fastest interval: slower servers come last in the fill order */
 #define _CW_INTERVAL_RUNS_MAX 8      /* with more requests running no sample is taken */
 
 #define _CW_RUN_COST_MS 0.5 /* slowdown of an engine's other requests by one more */
@@ -363,7 +363,8 @@
 #define _CW_SERVERS_CAPACITY 64  /* initial capacity, servers */
 #define _CW_REPORTS_CAPACITY 4   /* initial capacity, load reports for one server */
 #define _CW_REPORTED_AGE_MAX_MS 2000 /* older failures and responses in a peer's load report no longer matter */
-#define _CW_FULL_PAUSE_MS 100        /* time for which a server that reported to be full is excluded */
+/* Time for which a server is excluded after it refused a request for lack of capacity. */
+#define _CW_FULL_EXCLUSION_MS 100
 
 /* The last load report of another daemon. */
 typedef struct _cw_load_report_t {
@@ -385,7 +386,7 @@
     double event_interval_ms;       /* learned event interval while nothing is prefilled there; 0: unknown */
     uint32_t interval_samples;
     double slowdown;        /* time that requests take, relative to the other servers; 1: the same */
-    int64_t slowdown_at_ms; /* when it was learned */
+    int64_t slowdown_at_ms; /* time of its last update */
     double failure_ratio;   /* 0..1 */
     int64_t failure_at_ms;
     bool has_idle_connection;
@@ -396,8 +397,8 @@
     bool is_owner_host;           /* this host is an owner host of it, as of owner_fleet_version */
     uint64_t owner_fleet_version; /* fleet_version at which that was decided; 0: not yet */
     cw_suspect_t suspicion;       /* by the reports of all hosts */
-    int64_t own_failed_ms;        /* observed by this host and sent to its peers; 0: never */
-    int64_t own_answered_ms;
+    int64_t own_failed_ms;        /* last failure that this host observed, as reported to its peers; 0: none */
+    int64_t own_answered_ms;      /* sending time of the last request of this host that it answered; 0: none */
     cw_rate_t rate;
     cw_backoff_t backoff;
     int64_t cold_until_ms;
@@ -619,8 +620,7 @@
 
 /* Known load of all daemons at a server. */
 typedef struct _cw_total_load_t {
-    uint32_t running, streaming, gap_ms, longest_prompt_tokens,
-        age_ms; /* age_ms: of the oldest load report that was used */
+    uint32_t running, streaming, gap_ms, longest_prompt_tokens, age_ms; /* age_ms: of the oldest report used */
     double tokens;
     double wait_ms;    /* backlog of the urgency and more urgent ones */
     double backlog_ms; /* of all urgencies */
@@ -635,7 +635,7 @@
     sum->gap_ms = gap_ms;
 }
 
-/* Time until this daemon's prompts there of the urgency and more urgent ones are prefilled. Plain calls have none. */
+/* Time until this daemon's pending prompts at the server, at least as urgent, are prefilled; 0 for plain calls. */
 static double _cw_balance_own_backlog_ms(const _cw_server_t* s, int64_t now_ms, uint32_t urgency) {
     return s->spec.memory_tokens ? cw_backlog_ms(&s->backlog, now_ms, urgency) : 0;
 }
@@ -645,7 +645,7 @@
     return reported_ms > age_ms ? (double)(reported_ms - age_ms) : 0;
 }
 
-/* Load that a request of the urgency finds there. */
+/* Load that a request of the urgency finds at the server. */
 static _cw_total_load_t _cw_balance_total_load(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
                                                uint32_t urgency) {
     double own_ms = _cw_balance_own_backlog_ms(s, now_ms, CW_URGENCY_LEVELS - 1);
@@ -657,23 +657,23 @@
     cw_gap_limit_t own = cw_gap_limits_strictest(&s->gap_limits);
     _cw_balance_add_gap_limit(&sum, own.gap_ms, own.count);
     for (uint32_t i = 0; i < s->report_count; i++) {
-        const _cw_load_report_t* n = &s->reports[i];
-        int64_t age_ms = now_ms - n->at_ms;
+        const _cw_load_report_t* report = &s->reports[i];
+        int64_t age_ms = now_ms - report->at_ms;
         if (age_ms > b->desc.report_max_age_ms) {
             continue;
         }
-        sum.running += n->load.running;
-        sum.tokens += n->load.tokens;
-        _cw_balance_add_gap_limit(&sum, n->load.gap_ms, n->load.streaming);
-        sum.wait_ms += _cw_balance_remaining_ms(n->load.backlog_ms[urgency], age_ms);
-        double all_ms = _cw_balance_remaining_ms(n->load.backlog_ms[CW_URGENCY_LEVELS - 1], age_ms);
+        sum.running += report->load.running;
+        sum.tokens += report->load.tokens;
+        _cw_balance_add_gap_limit(&sum, report->load.gap_ms, report->load.streaming);
+        sum.wait_ms += _cw_balance_remaining_ms(report->load.backlog_ms[urgency], age_ms);
+        double all_ms = _cw_balance_remaining_ms(report->load.backlog_ms[CW_URGENCY_LEVELS - 1], age_ms);
         if (all_ms > 0) {
             sum.backlog_ms += all_ms;
-            sum.longest_prompt_tokens = n->load.longest_prompt_tokens > sum.longest_prompt_tokens
-                                            ? n->load.longest_prompt_tokens
+            sum.longest_prompt_tokens = report->load.longest_prompt_tokens > sum.longest_prompt_tokens
+                                            ? report->load.longest_prompt_tokens
                                             : sum.longest_prompt_tokens;
         }
-        sum.age_ms = n->load.running && age_ms > sum.age_ms ? (uint32_t)age_ms : sum.age_ms;
+        sum.age_ms = report->load.running && age_ms > sum.age_ms ? (uint32_t)age_ms : sum.age_ms;
     }
     return sum;
 }
@@ -710,14 +710,14 @@
     }
 }
 
-static void _cw_balance_learn_interval(cw_balance_t* b, _cw_server_t* s, double pause_ms) {
+static void _cw_balance_learn_interval(cw_balance_t* b, _cw_server_t* s, double event_gap_ms) {
     double old_interval_ms = s->event_interval_ms;
-    s->event_interval_ms += (s->interval_samples ? _CW_INTERVAL_WEIGHT : 1) * (pause_ms - s->event_interval_ms);
+    s->event_interval_ms += (s->interval_samples ? _CW_INTERVAL_WEIGHT : 1) * (event_gap_ms - s->event_interval_ms);
     s->interval_samples++;
     _cw_balance_update_fastest(b, s, old_interval_ms);
 }
 
-/* Takes over the event interval that another daemon has learned, as long as this one has few samples of its own. */
+/* Applies the event interval that another daemon has learned, while this one has few samples of its own. */
 static void _cw_balance_merge_interval(cw_balance_t* b, _cw_server_t* s, uint32_t event_interval_us) {
     if (!event_interval_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
         return;
@@ -729,8 +729,8 @@
 }
 
 static double _cw_balance_slowdown(const _cw_server_t* s, int64_t now_ms) {
-    double left = exp(-(double)(now_ms - s->slowdown_at_ms) / _CW_SLOWDOWN_DECAY_MS);
-    return 1 + (s->slowdown - 1) * left;
+    double decay = exp(-(double)(now_ms - s->slowdown_at_ms) / _CW_SLOWDOWN_DECAY_MS);
+    return 1 + (s->slowdown - 1) * decay;
 }
 
 static double _cw_balance_failure_ratio(const _cw_server_t* s, int64_t now_ms) {
@@ -761,7 +761,7 @@
     return prefix;
 }
 
-/* Tokens that the server gets faster from the holder's cache than by prefill; 0: none. */
+/* Tokens that the server fetches from prefix->best_server, if a fetch is faster than their prefill; 0: none. */
 static uint32_t _cw_balance_fetched_tokens(const cw_balance_t* b, const _cw_server_t* s, const cw_prefix_t* prefix,
                                            uint32_t cached_tokens) {
     uint32_t missing_tokens = prefix->best_tokens > cached_tokens ? prefix->best_tokens - cached_tokens : 0;
@@ -802,8 +802,8 @@
     return work->target_ms * sum->streaming * _cw_balance_stall_risk(b, work->prompt_tokens, gap_ms, prefill_left_ms);
 }
 
-/* Cost, ms, of the stalls of the response itself by the prompts that are prefilled there now. These end during its own
-   prefill or soon after, so only half is counted. */
+/* Cost, ms, of the stalls of the response itself that are caused by the prompts prefilled there now. Their prefills end
+   during its own prefill or soon after, so only half the cost is counted. */
 static double _cw_balance_own_stall_ms(const cw_balance_t* b, const _cw_server_t* s, const _cw_total_load_t* sum,
                                        const cw_work_t* work) {
     double gap_ms = work->gap_ms / _cw_balance_interval_ratio(b, s);
@@ -829,7 +829,7 @@
            _CW_FETCH_FACTOR * s->spec.fetch_ms_per_token * c->fetched_tokens;
 }
 
-/* Cost, ms, of a server that neither caches nor owns the shared parts: it would hold one more copy, and the owners
+/* Cost, ms, of a server that neither caches nor owns the shared parts: it would store one more copy, and the owners
    would still have to prefill theirs later. Owners are the first servers for the part by rendezvous hashing, so all
    hosts agree on them without communication. While they are busy, the prompt goes elsewhere. */
 static double _cw_balance_cache_miss_ms(const _cw_server_t* s, const cw_prefix_t* prefix, uint32_t cached_tokens) {
@@ -840,8 +840,8 @@
 
 /* Cost, ms, of memory overflow: the engine would preempt a running request. */
 static double _cw_balance_overflow_ms(const _cw_server_t* s, const _cw_total_load_t* sum, const cw_work_t* work) {
-    double memory = _CW_MEMORY_SHARE * s->spec.memory_tokens;
-    return sum->tokens + work->prompt_tokens + work->output_tokens > memory ? _CW_OVERFLOW_COST_MS : 0;
+    double usable_tokens = _CW_MEMORY_SHARE * s->spec.memory_tokens;
+    return sum->tokens + work->prompt_tokens + work->output_tokens > usable_tokens ? _CW_OVERFLOW_COST_MS : 0;
 }
 
 /* Cost of a generation at the server. The backlog of all urgencies counts, since a more urgent prompt delays the less
@@ -872,10 +872,10 @@
     _cw_total_load_t sum = _cw_balance_total_load(b, s, now_ms, cw_urgency_level(work->urgency));
     cw_choice_t c = {
         .server = at, .id = s->spec.id, .wait_ms = sum.wait_ms, .running = sum.running, .age_ms = sum.age_ms};
-    bool engine = s->spec.memory_tokens > 0;
-    double ms = engine ? _cw_balance_generation_ms(b, s, &sum, work, prefix, &c) : _cw_balance_call_ms(b, s, &sum);
-    double cold = now_ms < s->cold_until_ms ? 2 : 1;
-    c.cost_ms = ms * cold * _cw_balance_slowdown(s, now_ms) + _cw_balance_failure_cost_ms(s, now_ms, work);
+    bool is_engine = s->spec.memory_tokens > 0;
+    double ms = is_engine ? _cw_balance_generation_ms(b, s, &sum, work, prefix, &c) : _cw_balance_call_ms(b, s, &sum);
+    double cold_factor = now_ms < s->cold_until_ms ? 2 : 1;
+    c.cost_ms = ms * cold_factor * _cw_balance_slowdown(s, now_ms) + _cw_balance_failure_cost_ms(s, now_ms, work);
     c.cost_ms += s->spec.hall == b->desc.hall ? 0 : _CW_OTHER_HALL_COST_MS;
     c.cost_ms += s->has_idle_connection ? 0 : _CW_CONNECT_COST_MS;
     c.interval_ratio = _cw_balance_interval_ratio(b, s);
@@ -884,17 +884,18 @@
 }
 
 bool cw_balance_is_delay_tolerant(const cw_balance_t* b, const cw_work_t* work) {
-    double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
-    return from_ms > 0 && work->target_ms > from_ms;
+    double long_target_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
+    return long_target_ms > 0 && work->target_ms > long_target_ms;
 }
 
-/* Share of an engine's slots that the request may use. Otherwise, delay-tolerant requests of a burst would take every
-   slot for seconds and leave none for urgent ones. Targets of up to _CW_TOLERANT_TARGET_RATIO times the shortest one
-   are treated alike. */
+/* Share of an engine's slots that the request may use. Without this limit, the delay-tolerant requests of a burst would
+   take every slot for seconds and leave none for urgent ones. Targets of up to _CW_TOLERANT_TARGET_RATIO times the
+   shortest one are treated alike. */
 static double _cw_balance_slot_share(const cw_balance_t* b, const cw_work_t* work) {
-    double from_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
-    return 1 -
-           (cw_balance_is_delay_tolerant(b, work) ? _CW_TOLERANT_RESERVE_SHARE * (1 - from_ms / work->target_ms) : 0);
+    double long_target_ms = _CW_TOLERANT_TARGET_RATIO * b->short_target_ms;
+    return 1 - (cw_balance_is_delay_tolerant(b, work)
+                    ? _CW_TOLERANT_RESERVE_SHARE * (1 - long_target_ms / work->target_ms)
+                    : 0);
 }
 
 /* Whether the prompt is long compared to the pool's other prompts. */
@@ -908,7 +909,7 @@
            work->target_ms;
 }
 
-/* Called before the choice, so that refused requests count as well. */
+/* Learns the backlog limit of the request's urgency. Called before the choice, so that refused requests count, too. */
 static void _cw_balance_learn_backlog_limit(cw_balance_t* b, const cw_work_t* work) {
     double* learned_ms = &b->backlog_limit_ms[cw_urgency_level(work->urgency)];
     double backlog_limit_ms = _cw_balance_backlog_limit_ms(b, work);
@@ -989,7 +990,8 @@
     }
 }
 
-/* Evaluated lazily, for busy servers only, since it hashes the ids of all hosts. */
+/* Whether this host is an owner host of the server. Evaluated lazily, for busy servers only, since it hashes the ids of
+   all hosts. */
 static bool _cw_balance_is_owner_host(const cw_balance_t* b, _cw_server_t* s) {
     if (s->owner_fleet_version != b->fleet_version) {
         s->owner_fleet_version = b->fleet_version;
@@ -1034,10 +1036,10 @@
     cw_throttled_t throttled = {0};
     for (uint32_t i = 0; i < b->entry_count; i++) {
         const _cw_server_t* s = &b->servers[i];
-        bool rate_limited = s->is_used && s->is_listed && cw_rate_is_active(&s->rate, now_ms);
+        bool is_rate_limited = s->is_used && s->is_listed && cw_rate_is_active(&s->rate, now_ms);
         throttled.backing_off += s->is_used && s->is_listed && now_ms < s->backoff.until_ms;
-        throttled.rate_limited += rate_limited;
-        throttled.owned_rates += rate_limited && s->rate.is_owner;
+        throttled.rate_limited += is_rate_limited;
+        throttled.owned_rates += is_rate_limited && s->rate.is_owner;
     }
     return throttled;
 }
@@ -1144,20 +1146,20 @@
 /* Returns the counter of the reason to exclude the server, or NULL if it may be used as far as can be determined
    without summing its load. */
 static uint32_t* _cw_balance_exclusion_counter(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms,
-                                               bool exclude_suspects, cw_excluded_t* exclusions) {
+                                               bool exclude_suspects, cw_excluded_t* excluded) {
     if (s->is_unreachable || now_ms < s->full_until_ms) {
-        return &exclusions->unreachable;
+        return &excluded->unreachable;
     }
     if (!_cw_balance_can_send_cold(b, s, now_ms)) {
-        return &exclusions->cold;
+        return &excluded->cold;
     }
     if (cw_backoff_wait_ms(&s->backoff, now_ms)) {
-        return &exclusions->backing_off;
+        return &excluded->backing_off;
     }
     if (cw_rate_wait_ms(&s->rate, now_ms)) {
-        return &exclusions->rate_limited;
+        return &excluded->rate_limited;
     }
-    return exclude_suspects && _cw_balance_is_excluded_suspect(b, s, now_ms) ? &exclusions->suspected : NULL;
+    return exclude_suspects && _cw_balance_is_excluded_suspect(b, s, now_ms) ? &excluded->suspected : NULL;
 }
 
 /* Whether a choice is better than the best one so far. */
@@ -1174,12 +1176,12 @@
 cw_choice_t cw_balance_choose(cw_balance_t* b, int64_t now_ms, const cw_work_t* work, const uint64_t* tried,
                               uint32_t tried_count) {
     cw_choice_t best = {.server = CW_BALANCE_NONE};
-    cw_excluded_t exclusions = {0};
+    cw_excluded_t excluded = {0};
     uint32_t candidates = 0;
     double free_slots = 0; /* at all engines that are not excluded */
     cw_prefix_t prefix = _cw_balance_prefix(b, now_ms, work);
     bool exclude_suspects = _cw_balance_can_exclude_suspects(b, now_ms);
-    double share = _cw_balance_slot_share(b, work);
+    double slot_share = _cw_balance_slot_share(b, work);
     _cw_balance_learn_backlog_limit(b, work);
     for (uint32_t i = 0; i < b->entry_count; i++) {
         _cw_server_t* s = &b->servers[i];
@@ -1187,16 +1189,16 @@
             continue;
         }
         uint32_t* excluded_by = _cw_balance_is_tried(tried, tried_count, s->spec.id)
-                                    ? &exclusions.tried
-                                    : _cw_balance_exclusion_counter(b, s, now_ms, exclude_suspects, &exclusions);
+                                    ? &excluded.tried
+                                    : _cw_balance_exclusion_counter(b, s, now_ms, exclude_suspects, &excluded);
         if (excluded_by) {
             ++*excluded_by;
             continue;
         }
         cw_choice_t c = _cw_balance_evaluate(b, i, now_ms, work, &prefix);
         free_slots += (double)s->spec.slots - c.running;
-        if (s->spec.memory_tokens && !_cw_balance_can_use(b, s, now_ms, work, share * s->spec.slots - c.running)) {
-            exclusions.no_slot++;
+        if (s->spec.memory_tokens && !_cw_balance_can_use(b, s, now_ms, work, slot_share * s->spec.slots - c.running)) {
+            excluded.no_slot++;
             continue;
         }
         candidates++;
@@ -1205,16 +1207,16 @@
             best = c;
         }
     }
-    bool engine = best.server != CW_BALANCE_NONE && b->servers[best.server].spec.memory_tokens;
-    double reserved_slots = engine ? _cw_balance_reserved_slots(b, now_ms, work) : 0;
-    if (engine && free_slots - reserved_slots < 1) {
+    bool is_engine = best.server != CW_BALANCE_NONE && b->servers[best.server].spec.memory_tokens;
+    double reserved_slots = is_engine ? _cw_balance_reserved_slots(b, now_ms, work) : 0;
+    if (is_engine && free_slots - reserved_slots < 1) {
         best = (cw_choice_t){.server = CW_BALANCE_NONE};
-        exclusions.no_slot += candidates;
+        excluded.no_slot += candidates;
         candidates = 0;
     }
     best.reserved_slots = reserved_slots;
     best.candidates = candidates;
-    best.excluded = exclusions;
+    best.excluded = excluded;
     return best;
 }
 
@@ -1286,7 +1288,7 @@
 /* Learns the prefill time in the pool and the slowdown of the server from the first event of a response. */
 static void _cw_balance_learn_prefill(cw_balance_t* b, _cw_server_t* s, int64_t now_ms, const cw_run_t* run) {
     double took_ms = (double)(now_ms - run->begun_ms);
-    /* Time that the prompts ahead of it may have taken is no slowdown of the server. */
+    /* The backlog that the prompt found may have delayed it: this is no slowdown of the server. */
     double alone_ms = took_ms - run->backlog_ahead_ms;
     double expected_ms = cw_prefill_ms(&b->prefill, run->uncached_tokens);
     if (run->uncached_tokens) {
@@ -1330,11 +1332,11 @@
     uint32_t longest_prompt_tokens = sum.longest_prompt_tokens > run->concurrent_prompt_tokens
                                          ? sum.longest_prompt_tokens
                                          : run->concurrent_prompt_tokens;
-    double pause_ms = (double)(now_ms - run->last_event_ms);
+    double event_gap_ms = (double)(now_ms - run->last_event_ms);
     if (longest_prompt_tokens) {
-        cw_stalls_learn(&b->stalls, longest_prompt_tokens, pause_ms / _cw_balance_interval_ratio(b, s));
+        cw_stalls_learn(&b->stalls, longest_prompt_tokens, event_gap_ms / _cw_balance_interval_ratio(b, s));
     } else if (sum.running <= _CW_INTERVAL_RUNS_MAX) {
-        _cw_balance_learn_interval(b, s, pause_ms);
+        _cw_balance_learn_interval(b, s, event_gap_ms);
     }
     run->last_event_ms = now_ms;
     run->concurrent_prompt_tokens = sum.longest_prompt_tokens;
@@ -1396,7 +1398,7 @@
             cw_balance_set_unreachable(b, now_ms, run->id, true);
             break;
         case CW_TRY_FULL:
-            s->full_until_ms = now_ms + _CW_FULL_PAUSE_MS;
+            s->full_until_ms = now_ms + _CW_FULL_EXCLUSION_MS;
             break;
         case CW_TRY_CANCELLED:
             break;
