--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -60,27 +60,27 @@
 } cw_pick_query_t;
 
 typedef struct cw_pick_desc_t {
-    uint32_t eject_after;   /* consecutive errors until ejection, default 3 */
-    uint32_t eject_ms;      /* duration of the first ejection, doubled each time, default 2000 */
-    uint32_t eject_max_ms;  /* longest ejection, default 60000 */
-    uint32_t return_ms;     /* slow start after an ejection: time until the full limit is restored, default 10000 */
-    uint32_t report_age_ms; /* load reports older than this are ignored, default 10000 */
-    bool by_report;         /* upstreams are shared with others: reported requests count against the limit */
-    bool rotate;            /* plain round robin over the upstreams, without limit */
-    double prefix_bound;    /* load above the mean that prefix affinity may cause, default 0.25 */
+    uint32_t eject_after;       /* consecutive errors until ejection, default 3 */
+    uint32_t eject_ms;          /* duration of the first ejection, doubled each time, default 2000 */
+    uint32_t eject_max_ms;      /* longest ejection, default 60000 */
+    uint32_t slow_start_ms;     /* slow start after an ejection: time until the full limit is restored, default 10000 */
+    uint32_t report_max_age_ms; /* load reports are ignored when older, default 10000 */
+    bool by_report;             /* upstreams are shared with others: reported requests count against the limit */
+    bool rotate;                /* plain round robin over the upstreams, without limit */
+    double prefix_bound;        /* load above the mean that prefix affinity may cause, default 0.25 */
     cw_allocator_t allocator;
 } cw_pick_desc_t;
 
 typedef struct cw_pick_upstream_t {
     cw_pick_spec_t spec;
-    uint32_t inflight;     /* slots taken through this table */
-    uint32_t reported;     /* running requests by its own last load report */
-    int64_t reported_ms;   /* 0: never */
-    bool draining;         /* by its own report */
-    double ms_per_cost;    /* learned; 0: unknown */
-    uint32_t errors;       /* consecutive */
-    uint32_t ejections;    /* since the last success */
-    int64_t ejected_until; /* 0: not ejected */
+    uint32_t inflight;        /* slots taken through this table */
+    uint32_t reported;        /* running requests in its own last load report */
+    int64_t reported_ms;      /* 0: never */
+    bool draining;            /* by its own report */
+    double ms_per_cost;       /* learned; 0: unknown */
+    uint32_t errors;          /* consecutive */
+    uint32_t ejections;       /* since the last success */
+    int64_t ejected_until_ms; /* end of the last ejection; 0: never ejected */
 } cw_pick_upstream_t;
 
 typedef struct cw_pick_t cw_pick_t;
@@ -94,11 +94,11 @@
 cw_pick_upstream_t cw_pick_at(const cw_pick_t* pick, uint32_t index);
 uint32_t cw_pick_find(const cw_pick_t* pick, uint64_t id);
 /* Sets the share (0..1] of every limit that this table may use: less than 1 during a partition or a take-over. */
-void cw_pick_set_share(cw_pick_t* pick, double scale);
+void cw_pick_set_share(cw_pick_t* pick, double share);
 /* Index of the best upstream with a free slot, or CW_PICK_NONE. */
 uint32_t cw_pick_choose(const cw_pick_t* pick, int64_t now_ms, const cw_pick_query_t* query);
 void cw_pick_begin(cw_pick_t* pick, uint32_t index);
-/* Releases the slot. cost and took_ms are used only with CW_PICK_SERVED. */
+/* Releases the slot. took_ms and cost are used only with CW_PICK_SERVED. */
 void cw_pick_end(cw_pick_t* pick, int64_t now_ms, uint32_t index, cw_pick_result_t result, uint32_t took_ms,
                  uint32_t cost);
 /* Records a load report of the upstream itself. */
@@ -131,7 +131,7 @@
     uint32_t count;
     uint32_t inflight;
     uint32_t next_index; /* of the round robin */
-    double scale;
+    double share;
 };
 
 static cw_pick_desc_t _cw_pick_desc_defaults(const cw_pick_desc_t* desc) {
@@ -139,8 +139,8 @@
     d.eject_after = d.eject_after ? d.eject_after : 3;
     d.eject_ms = d.eject_ms ? d.eject_ms : 2000;
     d.eject_max_ms = d.eject_max_ms ? d.eject_max_ms : 60000;
-    d.return_ms = d.return_ms ? d.return_ms : 10000;
-    d.report_age_ms = d.report_age_ms ? d.report_age_ms : 10000;
+    d.slow_start_ms = d.slow_start_ms ? d.slow_start_ms : 10000;
+    d.report_max_age_ms = d.report_max_age_ms ? d.report_max_age_ms : 10000;
     d.prefix_bound = d.prefix_bound > 0 ? d.prefix_bound : 0.25;
     return d;
 }
@@ -149,7 +149,7 @@
     cw_pick_desc_t d = _cw_pick_desc_defaults(desc);
     cw_pick_t* pick = cw_alloc(&d.allocator, 1, sizeof(*pick));
     pick->desc = d;
-    pick->scale = 1.0;
+    pick->share = 1.0;
     return pick;
 }
 
@@ -194,31 +194,31 @@
     return pick->ups[index];
 }
 
-void cw_pick_set_share(cw_pick_t* pick, double scale) {
-    pick->scale = scale;
+void cw_pick_set_share(cw_pick_t* pick, double share) {
+    pick->share = share;
 }
 
 /* Slots of one upstream that may be used now. */
-static uint32_t _cw_pick_scaled_slots(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up,
-                                      double scale) {
-    if (up->spec.leaving || up->draining || now_ms < up->ejected_until) {
+static uint32_t _cw_pick_slots_at_share(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up,
+                                        double share) {
+    if (up->spec.leaving || up->draining || now_ms < up->ejected_until_ms) {
         return 0;
     }
-    double slots = up->spec.slots * scale;
-    int64_t since_return_ms = now_ms - up->ejected_until;
-    if (up->ejected_until && since_return_ms < pick->desc.return_ms) {
-        slots = slots * (double)since_return_ms / pick->desc.return_ms;
+    double slots = up->spec.slots * share;
+    int64_t since_ejection_ms = now_ms - up->ejected_until_ms;
+    if (up->ejected_until_ms && since_ejection_ms < pick->desc.slow_start_ms) {
+        slots = slots * (double)since_ejection_ms / pick->desc.slow_start_ms;
     }
     return slots < 1.0 ? 1 : (uint32_t)slots;
 }
 
 static uint32_t _cw_pick_slots(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
-    return _cw_pick_scaled_slots(pick, now_ms, up, pick->scale);
+    return _cw_pick_slots_at_share(pick, now_ms, up, pick->share);
 }
 
-/* Running requests in the last load report beyond those of this table. */
+/* Requests at the upstream that were not sent through this table, by its last load report. */
 static uint32_t _cw_pick_external(const cw_pick_t* pick, int64_t now_ms, const cw_pick_upstream_t* up) {
-    bool is_fresh = up->reported_ms && now_ms - up->reported_ms < pick->desc.report_age_ms;
+    bool is_fresh = up->reported_ms && now_ms - up->reported_ms < pick->desc.report_max_age_ms;
     return (is_fresh && up->reported > up->inflight) ? up->reported - up->inflight : 0;
 }
 
@@ -244,7 +244,7 @@
 uint32_t cw_pick_capacity(const cw_pick_t* pick, int64_t now_ms) {
     uint32_t capacity = 0;
     for (uint32_t i = 0; i < pick->count; i++) {
-        capacity += _cw_pick_scaled_slots(pick, now_ms, &pick->ups[i], 1.0);
+        capacity += _cw_pick_slots_at_share(pick, now_ms, &pick->ups[i], 1.0);
     }
     return capacity;
 }
@@ -255,14 +255,14 @@
 
 double cw_pick_ms_per_cost(const cw_pick_t* pick) {
     double sum = 0;
-    uint32_t known = 0;
+    uint32_t known_count = 0;
     for (uint32_t i = 0; i < pick->count; i++) {
         if (pick->ups[i].ms_per_cost > 0) {
             sum += pick->ups[i].ms_per_cost;
-            known++;
+            known_count++;
         }
     }
-    return known ? sum / known : 0;
+    return known_count ? sum / known_count : 0;
 }
 
 /* The next upstream of the round robin that has a slot limit above 0. */
@@ -288,7 +288,7 @@
     double best_score = 0;
     double affinity_load = 0;
     double load_sum = 0;
-    uint32_t usable = 0;
+    uint32_t usable_count = 0;
     double mean = cw_pick_ms_per_cost(pick);
     mean = mean > 0 ? mean : 1.0;
     for (uint32_t i = 0; i < pick->count; i++) {
@@ -298,7 +298,7 @@
             continue;
         }
         double load = _cw_pick_load(pick, now_ms, up, slots);
-        usable++;
+        usable_count++;
         load_sum += load;
         uint32_t used = up->inflight + (pick->desc.by_report ? _cw_pick_external(pick, now_ms, up) : 0);
         if (used >= slots) {
@@ -324,7 +324,7 @@
     if (free_slots <= query->keep) {
         return CW_PICK_NONE;
     }
-    if (affinity != CW_PICK_NONE && affinity_load <= load_sum / usable + pick->desc.prefix_bound) {
+    if (affinity != CW_PICK_NONE && affinity_load <= load_sum / usable_count + pick->desc.prefix_bound) {
         return affinity;
     }
     return best != CW_PICK_NONE ? best : excluded;
@@ -339,13 +339,13 @@
 
 static void _cw_pick_record_failure(cw_pick_t* pick, int64_t now_ms, cw_pick_upstream_t* up) {
     up->errors++;
-    if (up->errors < pick->desc.eject_after || now_ms < up->ejected_until) {
+    if (up->errors < pick->desc.eject_after || now_ms < up->ejected_until_ms) {
         return;
     }
     uint32_t doublings = up->ejections < _CW_PICK_EJECT_DOUBLINGS_MAX ? up->ejections : _CW_PICK_EJECT_DOUBLINGS_MAX;
     uint64_t ms = (uint64_t)pick->desc.eject_ms << doublings;
     ms = ms > pick->desc.eject_max_ms ? pick->desc.eject_max_ms : ms;
-    up->ejected_until = now_ms + (int64_t)ms;
+    up->ejected_until_ms = now_ms + (int64_t)ms;
     up->ejections++;
     up->errors = 0;
 }
