--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -39,9 +39,9 @@
 } cw_load_scope_t;
 
 typedef struct cw_load_entry_t {
-    uint64_t host; /* whose load it is */
+    uint64_t host; /* the host that causes the load */
     uint64_t server;
-    bool leaving; /* by the server's own response */
+    bool leaving; /* the server announced in a response that it is leaving */
     cw_load_t load;
     uint32_t part_count;
     cw_prompt_part_t parts[CW_LOAD_PARTS];
@@ -94,7 +94,7 @@
 #define _CW_LOAD_HEAD_FIELDS 9 /* fields before the entries; the last one is the array of quarantine observations */
 #define _CW_LOAD_OBSERVATION_FIELDS 5 /* numbers of an observation */
 #define _CW_LOAD_ID_FIELDS 2          /* first fields of an entry: the host, 0 for the sender, and the server */
-#define _CW_LOAD_ENTRY_FIELDS 12      /* fixed fields of an entry; the last one is the bit set of its backlogs */
+#define _CW_LOAD_ENTRY_FIELDS 12      /* fixed fields of an entry; the last one is the urgency bits of its backlogs */
 #define _CW_LOAD_RATE_FIELDS 2        /* numbers of a server's rate: its value and its age */
 #define _CW_LOAD_LEAVING 1U           /* flags of an entry */
 #define _CW_LOAD_RATE_ADVERTISED 2U
@@ -116,18 +116,18 @@
     source_state->servers_age_ms = _cw_load_add_age(source_state->servers_age_ms, ms);
 }
 
-/* Backlog, ms, that each urgency's prompts add to that of the more urgent ones. Only urgencies that add any, usually
-   few, are encoded. Returns their number; bit i of which is set for urgency i. */
-static uint32_t _cw_load_backlog(const cw_load_t* load, uint32_t own_ms[CW_URGENCY_LEVELS], uint32_t* which) {
+/* Computes the backlog, ms, that each urgency's prompts add to that of the more urgent ones. Only urgencies that add
+   any, usually few, are encoded. Returns their number; bit i of urgency_bits is set when urgency i adds a backlog. */
+static uint32_t _cw_load_backlog(const cw_load_t* load, uint32_t added_ms[CW_URGENCY_LEVELS], uint32_t* urgency_bits) {
     uint32_t count = 0;
     uint32_t before_ms = 0;
-    *which = 0;
+    *urgency_bits = 0;
     for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
         uint32_t total_ms =
             load->backlog_ms[i] < _CW_LOAD_BACKLOG_MAX_MS ? load->backlog_ms[i] : _CW_LOAD_BACKLOG_MAX_MS;
         if (total_ms > before_ms) {
-            own_ms[count++] = total_ms - before_ms;
-            *which |= 1U << i;
+            added_ms[count++] = total_ms - before_ms;
+            *urgency_bits |= 1U << i;
             before_ms = total_ms;
         }
     }
@@ -140,9 +140,9 @@
 }
 
 static void _cw_load_pack_entry(msgpack_packer* p, const cw_load_entry_t* e, uint64_t sender) {
-    uint32_t own_ms[CW_URGENCY_LEVELS];
-    uint32_t which;
-    uint32_t backlogs = _cw_load_backlog(&e->load, own_ms, &which);
+    uint32_t added_ms[CW_URGENCY_LEVELS];
+    uint32_t urgency_bits;
+    uint32_t backlogs = _cw_load_backlog(&e->load, added_ms, &urgency_bits);
     uint32_t rate_fields = e->load.rate ? _CW_LOAD_RATE_FIELDS : 0;
     msgpack_pack_array(p, _CW_LOAD_ENTRY_FIELDS + rate_fields + backlogs + 2 * e->part_count);
     msgpack_pack_uint64(p, e->host == sender ? 0 : e->host);
@@ -156,13 +156,13 @@
     msgpack_pack_uint32(p, e->load.event_interval_us);
     msgpack_pack_uint32(p, e->load.failed_ago_ms);
     msgpack_pack_uint32(p, e->load.answered_ago_ms);
-    msgpack_pack_uint32(p, which);
+    msgpack_pack_uint32(p, urgency_bits);
     if (e->load.rate) {
         msgpack_pack_uint32(p, e->load.rate_per_ks);
         msgpack_pack_uint32(p, e->load.rate_ago_ms);
     }
     for (uint32_t i = 0; i < backlogs; i++) {
-        msgpack_pack_uint32(p, own_ms[i]);
+        msgpack_pack_uint32(p, added_ms[i]);
     }
     for (uint32_t i = 0; i < e->part_count; i++) {
         msgpack_pack_uint64(p, e->parts[i].id);
@@ -174,12 +174,12 @@
 static void _cw_load_pack_observations(msgpack_packer* p, const cw_load_message_t* message) {
     msgpack_pack_array(p, (size_t)_CW_LOAD_OBSERVATION_FIELDS * message->observation_count);
     for (uint32_t i = 0; i < message->observation_count; i++) {
-        const cw_quarantine_observation_t* mark = &message->observations[i];
-        msgpack_pack_uint32(p, mark->kind);
-        msgpack_pack_uint64(p, mark->request.workspace);
-        msgpack_pack_uint64(p, mark->request.content_hash);
-        msgpack_pack_uint64(p, mark->incarnation);
-        msgpack_pack_uint32(p, mark->age_ms);
+        const cw_quarantine_observation_t* observation = &message->observations[i];
+        msgpack_pack_uint32(p, observation->kind);
+        msgpack_pack_uint64(p, observation->request.workspace);
+        msgpack_pack_uint64(p, observation->request.content_hash);
+        msgpack_pack_uint64(p, observation->incarnation);
+        msgpack_pack_uint32(p, observation->age_ms);
     }
 }
 
@@ -216,14 +216,14 @@
 }
 
 /* Reads the backlogs that start at *at, and advances *at past them. */
-static bool _cw_load_read_backlog(const msgpack_object_array* a, uint64_t which, cw_load_t* load, uint32_t* at) {
+static bool _cw_load_read_backlog(const msgpack_object_array* a, uint64_t urgency_bits, cw_load_t* load, uint32_t* at) {
     uint64_t total_ms = 0;
     for (uint32_t i = 0; i < CW_URGENCY_LEVELS; i++) {
-        uint64_t own_ms = 0;
-        if ((which >> i & 1U) && !_cw_load_read_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX_MS, &own_ms)) {
+        uint64_t added_ms = 0;
+        if ((urgency_bits >> i & 1U) && !_cw_load_read_number(a, (*at)++, _CW_LOAD_BACKLOG_MAX_MS, &added_ms)) {
             return false;
         }
-        total_ms += own_ms;
+        total_ms += added_ms;
         load->backlog_ms[i] = (uint32_t)total_ms;
     }
     return true;
@@ -288,15 +288,15 @@
     return true;
 }
 
-static bool _cw_load_read_source_state(cw_source_state_t* k, const msgpack_object_array* a) {
+static bool _cw_load_read_source_state(cw_source_state_t* source_state, const msgpack_object_array* a) {
     uint64_t revision_age_ms = 0;
     uint64_t servers_age_ms = 0;
-    bool ok = _cw_load_read_number(a, 3, INT64_MAX, &k->revision) &&
-              _cw_load_read_number(a, 4, UINT64_MAX, &k->servers) &&
+    bool ok = _cw_load_read_number(a, 3, INT64_MAX, &source_state->revision) &&
+              _cw_load_read_number(a, 4, UINT64_MAX, &source_state->servers) &&
               _cw_load_read_number(a, 5, UINT32_MAX, &revision_age_ms) &&
               _cw_load_read_number(a, 6, UINT32_MAX, &servers_age_ms);
-    k->revision_age_ms = (uint32_t)revision_age_ms;
-    k->servers_age_ms = (uint32_t)servers_age_ms;
+    source_state->revision_age_ms = (uint32_t)revision_age_ms;
+    source_state->servers_age_ms = (uint32_t)servers_age_ms;
     return ok;
 }
 
@@ -307,18 +307,18 @@
     }
     const msgpack_object_array* a = &o->via.array;
     for (uint32_t at = 0; at < a->size; at += _CW_LOAD_OBSERVATION_FIELDS) {
-        cw_quarantine_observation_t* mark = &message->observations[message->observation_count++];
+        cw_quarantine_observation_t* observation = &message->observations[message->observation_count++];
         uint64_t kind = 0;
         uint64_t age_ms = 0;
         if (!_cw_load_read_number(a, at, CW_OBSERVED_COUNT - 1, &kind) ||
-            !_cw_load_read_number(a, at + 1, UINT64_MAX, &mark->request.workspace) ||
-            !_cw_load_read_number(a, at + 2, UINT64_MAX, &mark->request.content_hash) ||
-            !_cw_load_read_number(a, at + 3, UINT64_MAX, &mark->incarnation) ||
+            !_cw_load_read_number(a, at + 1, UINT64_MAX, &observation->request.workspace) ||
+            !_cw_load_read_number(a, at + 2, UINT64_MAX, &observation->request.content_hash) ||
+            !_cw_load_read_number(a, at + 3, UINT64_MAX, &observation->incarnation) ||
             !_cw_load_read_number(a, at + 4, UINT32_MAX, &age_ms)) {
             return false;
         }
-        mark->kind = (cw_quarantine_observation_kind_t)kind;
-        mark->age_ms = (uint32_t)age_ms;
+        observation->kind = (cw_quarantine_observation_kind_t)kind;
+        observation->age_ms = (uint32_t)age_ms;
     }
     return true;
 }
