--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -13,7 +13,7 @@
             if (cw_bucket_take(&bucket, now_ms, 1)) { ... }
 
             cw_retry_budget_t budget = {.share = 0.1, .burst = 10};
-            cw_retry_on_first_attempt(&budget);                           // on each first attempt
+            cw_retry_on_first_attempt(&budget);                // on each first attempt
             if (cw_retry_take(&budget)) { ... }
 
     WHAT IT DOES NOT DO
@@ -28,8 +28,8 @@
     double rate;  /* tokens per second; 0 or less: no limit */
     double burst; /* capacity of the bucket, tokens; default: the rate times one second */
     double tokens;
-    int64_t at_ms;
-    bool started;
+    int64_t at_ms; /* time at which the bucket had these tokens */
+    bool started;  /* false: never used, so it is full */
 } cw_bucket_t;
 
 typedef struct cw_retry_budget_t {
@@ -78,7 +78,7 @@
 
 #define _CW_RETRY_WINDOW_MS 10000U
 
-/* Clears the slices that have left the window. One slice more than the window's length is kept, so that any span of
+/* Clears the slices that have left the window. One slice more than the window's length is counted, so that any span of
    that length is covered. */
 static void _cw_retry_window_advance(cw_retry_window_t* w, int64_t now_ms) {
     uint32_t window_ms = w->window_ms ? w->window_ms : _CW_RETRY_WINDOW_MS;
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -13,31 +13,31 @@
         what that one has just sent.
 
         Hosts that vanished without a clean stop may run on behind a network
-        partition and take themselves for owners by their own list of hosts.
+        partition and consider themselves owners by their own list of hosts.
         Shares are therefore computed as if they were still present, so that
-        both sides of the partition together keep the rate.
+        both sides of the partition together stay within the rate.
 
         The rate is active while responses advertise it. Responses can
-        overtake each other, so one counts as newer than another only if its
-        request was sent after the other one had arrived, or if it arrived
-        more than CW_RATE_RESPONSE_DELAY_MAX_MS later. A rate that no response has
-        confirmed or withdrawn for CW_RATE_EXPIRY_MS expires. Until then,
-        owners send a request from time to time even with a rate of 0, so
-        that they notice its withdrawal.
+        overtake each other, so a response counts as newer than another one
+        only if its request was sent after the other one had arrived, or if it
+        arrived more than CW_RATE_RESPONSE_DELAY_MAX_MS later. A rate that no
+        response has confirmed or withdrawn for CW_RATE_EXPIRY_MS expires.
+        Until then, owners send a request from time to time even with a rate
+        of 0, so that they notice its withdrawal.
 
     HOW TO USE IT
-            cw_rate_t rate = {0};                            // no rate is advertised
-            cw_rate_on_advertised(&rate, sent_ms, now_ms, 2.5);      // a response advertises one
-            cw_rate_set_hosts(&rate, now_ms, &hosts);        // after any change of the rate or the hosts
+            cw_rate_t rate = {0};                               // no rate is advertised
+            cw_rate_on_advertised(&rate, sent_ms, now_ms, 2.5); // a response advertises one
+            cw_rate_set_hosts(&rate, now_ms, &hosts);           // after any change of the rate or the hosts
             if (!cw_rate_wait_ms(&rate, now_ms)) {
                 cw_rate_on_send(&rate, now_ms);                 // and send
             }
-            cw_rate_on_withdrawn(&rate, sent_ms, now_ms);          // a response advertises none
+            cw_rate_on_withdrawn(&rate, sent_ms, now_ms);       // a response advertises none
 
     WHAT IT DOES NOT DO
         It does not communicate: observations of other hosts are passed in
         with cw_rate_on_peer. Hosts whose lists of hosts differ for a moment
-        may both take themselves for owners; the sum of their shares is
+        may both consider themselves owners; the sum of their shares is
         bounded by twice the rate.
 
     LICENCE
@@ -78,7 +78,7 @@
 /* All zero: no rate is advertised. */
 typedef struct cw_rate_t {
     cw_rate_observation_t observation; /* the active one, whichever host observed it */
-    cw_rate_observation_t own;         /* the last one in this host's own responses */
+    cw_rate_observation_t own;         /* the last one from a response to this host */
     int64_t advertised_ms, withdrawn_ms;
     uint32_t owners;
     bool is_owner; /* this host is one of the owners */
@@ -89,11 +89,13 @@
    active rate changed. */
 bool cw_rate_on_advertised(cw_rate_t* r, int64_t sent_ms, int64_t now_ms, double per_s);
 bool cw_rate_on_withdrawn(cw_rate_t* r, int64_t sent_ms, int64_t now_ms);
-/* Records the observation of another host; propagation_ms: longest time that it was in transit. True: as above. */
+/* Records the observation of another host; propagation_ms: longest time that it was in transit. True: the active rate
+   changed. */
 bool cw_rate_on_peer(cw_rate_t* r, const cw_rate_observation_t* observation, uint32_t propagation_ms);
 /* Whether a rate is active. */
 bool cw_rate_is_active(const cw_rate_t* r, int64_t now_ms);
-/* Observation that this host has to send to its peers; CW_RATE_UNKNOWN where theirs is newer or its own has expired. */
+/* Observation that this host has to send to its peers; CW_RATE_UNKNOWN when a peer has sent a newer one or its own has
+   expired. */
 cw_rate_observation_t cw_rate_to_send(const cw_rate_t* r, int64_t now_ms);
 /* Recomputes this host's share. */
 void cw_rate_set_hosts(cw_rate_t* r, int64_t now_ms, const cw_rate_hosts_t* hosts);
@@ -126,18 +128,19 @@
     return r->observation.state == CW_RATE_ADVERTISED && now_ms - r->advertised_ms <= CW_RATE_EXPIRY_MS;
 }
 
-/* Applies a rate that was advertised between from_ms and until_ms. If it is undecided whether this was after the active
-   rate, the lower one of the two is used. */
+/* Applies a rate that was advertised between from_ms and until_ms. If it may be older than the active rate, the lower
+   one of the two is used. */
 static bool _cw_rate_apply_advertised(cw_rate_t* r, int64_t from_ms, int64_t until_ms, double per_s) {
     if (until_ms <= r->withdrawn_ms) {
         return false;
     }
     bool was_active = cw_rate_is_active(r, until_ms);
     bool is_newer = !was_active || from_ms > r->advertised_ms;
-    double value = is_newer || per_s < r->observation.per_s ? per_s : r->observation.per_s;
-    bool changed = !was_active || value != r->observation.per_s;
+    double active_per_s = is_newer || per_s < r->observation.per_s ? per_s : r->observation.per_s;
+    bool changed = !was_active || active_per_s != r->observation.per_s;
     r->advertised_ms = until_ms > r->advertised_ms ? until_ms : r->advertised_ms;
-    r->observation = (cw_rate_observation_t){.state = CW_RATE_ADVERTISED, .per_s = value, .at_ms = r->advertised_ms};
+    r->observation =
+        (cw_rate_observation_t){.state = CW_RATE_ADVERTISED, .per_s = active_per_s, .at_ms = r->advertised_ms};
     return changed;
 }
 
--- a/chalkway_suspect.h
+++ b/chalkway_suspect.h
@@ -6,13 +6,13 @@
     WHAT IT IS
         A server that crashed, or that resets every connection, runs no
         requests. To a host that has not yet had a failure there it looks
-        idle and attracts all its requests. Hosts therefore tell each other
-        when a connection to a server last broke or could not be established,
-        and when they last sent a request that the server answered. After two
-        failures since then the server is suspected: hosts exclude it for a
-        while, except for about one host at a time, which probes it with a
-        request. A response to a request that was sent after the failures
-        ends the suspicion everywhere. A response to an earlier request proves
+        idle and attracts all its requests. Hosts therefore report to each
+        other when a connection to a server last broke or could not be
+        established, and when they last sent a request that the server
+        answered. After two failures later than that request the server is
+        suspected: hosts exclude it for a while, except for about one host at
+        a time, which probes it with a request. A response to a request that
+        was sent after the failures ends the suspicion everywhere. A response to an earlier request proves
         nothing: the server may still finish it while it resets all others.
         One failure alone raises no suspicion, since healthy servers also
         lose a response now and then.
@@ -23,7 +23,7 @@
     HOW TO USE IT
             cw_suspect_t s = {0};
             cw_suspect_on_failure(&s, host, at_ms); // observed here or reported by another host
-            cw_suspect_on_response(&s, sent_ms);      // a request that was sent then is being answered
+            cw_suspect_on_response(&s, sent_ms);    // a request that was sent then is being answered
             if (cw_suspect_is_active(&s, now_ms) && !cw_suspect_may_probe(&s, now_ms, host, server, hosts)) { ... }
 
     WHAT IT DOES NOT DO
@@ -47,7 +47,7 @@
 /* Records that a connection of the host to the server broke or could not be established. A failure that is reported
    repeatedly counts once. */
 void cw_suspect_on_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
-/* Does the same for a failure of this host's own request. */
+/* Records such a failure of a request of this host itself. */
 void cw_suspect_on_own_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
 /* Records that the server began to answer a request that was sent at sent_ms or later. True: it ends a suspicion. */
 bool cw_suspect_on_response(cw_suspect_t* s, int64_t sent_ms);
@@ -55,7 +55,7 @@
 bool cw_suspect_is_active(const cw_suspect_t* s, int64_t now_ms);
 /* Whether this host may probe the suspected server now; hosts: number of live hosts. */
 bool cw_suspect_may_probe(const cw_suspect_t* s, int64_t now_ms, uint64_t host, uint64_t server, uint32_t hosts);
-/* Age of a time for a report to peers, ms: at least 1; 0: no time, or one too old to matter. */
+/* Age, ms, of the time at_ms, for a load report: at least 1; 0: at_ms is 0 or too old to matter. */
 uint32_t cw_suspect_age_ms(int64_t at_ms, int64_t now_ms);
 
 #endif /* CHALKWAY_SUSPECT_H */
