--- a/chalkway_backoff.h
+++ b/chalkway_backoff.h
@@ -34,11 +34,11 @@
 } cw_backoff_t;
 
 /* Starts a backoff of ms from now, unless the present one ends later. */
-void cw_backoff_start(cw_backoff_t* r, int64_t now_ms, uint32_t ms);
+void cw_backoff_start(cw_backoff_t* b, int64_t now_ms, uint32_t ms);
 /* Time until a request may be sent to the server, 0: now. */
-uint32_t cw_backoff_wait_ms(const cw_backoff_t* r, int64_t now_ms);
+uint32_t cw_backoff_wait_ms(const cw_backoff_t* b, int64_t now_ms);
 /* Records that a request is sent to the server. */
-void cw_backoff_on_send(cw_backoff_t* r, int64_t now_ms);
+void cw_backoff_on_send(cw_backoff_t* b, int64_t now_ms);
 
 #endif /* CHALKWAY_BACKOFF_H */
 
@@ -50,26 +50,26 @@
 #define _CW_BACKOFF_SLOW_START_MS 1000    /* duration of the slow start */
 #define _CW_BACKOFF_SLOW_START_PER_S 20.0 /* requests per second during the slow start */
 
-void cw_backoff_start(cw_backoff_t* r, int64_t now_ms, uint32_t ms) {
-    if (now_ms + ms <= r->until_ms) {
+void cw_backoff_start(cw_backoff_t* b, int64_t now_ms, uint32_t ms) {
+    if (now_ms + ms <= b->until_ms) {
         return;
     }
-    r->until_ms = now_ms + ms;
-    r->ramp = (cw_bucket_t){
-        .rate = _CW_BACKOFF_SLOW_START_PER_S, .burst = 1, .tokens = 1, .at_ms = r->until_ms, .started = true};
+    b->until_ms = now_ms + ms;
+    b->ramp = (cw_bucket_t){
+        .rate = _CW_BACKOFF_SLOW_START_PER_S, .burst = 1, .tokens = 1, .at_ms = b->until_ms, .started = true};
 }
 
-uint32_t cw_backoff_wait_ms(const cw_backoff_t* r, int64_t now_ms) {
-    if (now_ms < r->until_ms) {
-        return (uint32_t)(r->until_ms - now_ms);
+uint32_t cw_backoff_wait_ms(const cw_backoff_t* b, int64_t now_ms) {
+    if (now_ms < b->until_ms) {
+        return (uint32_t)(b->until_ms - now_ms);
     }
-    bool is_slow_start = r->until_ms && now_ms - r->until_ms < _CW_BACKOFF_SLOW_START_MS;
-    return is_slow_start ? cw_bucket_wait_ms(&r->ramp, now_ms, 1) : 0;
+    bool is_slow_start = b->until_ms && now_ms - b->until_ms < _CW_BACKOFF_SLOW_START_MS;
+    return is_slow_start ? cw_bucket_wait_ms(&b->ramp, now_ms, 1) : 0;
 }
 
-void cw_backoff_on_send(cw_backoff_t* r, int64_t now_ms) {
-    if (r->until_ms && now_ms >= r->until_ms) {
-        cw_bucket_take(&r->ramp, now_ms, 1);
+void cw_backoff_on_send(cw_backoff_t* b, int64_t now_ms) {
+    if (b->until_ms && now_ms >= b->until_ms) {
+        cw_bucket_take(&b->ramp, now_ms, 1);
     }
 }
 
--- a/chalkway_contention.h
+++ b/chalkway_contention.h
@@ -37,9 +37,9 @@
 typedef struct cw_contention_level_t {
     double rate;     /* arrivals per second, a moving mean */
     int64_t rate_ms; /* time of its last update */
-    double waiting;  /* requests without a slot, smoothed */
+    double waiting;  /* requests that wait for a slot, smoothed */
     uint32_t waiting_now;
-    int64_t waiting_ms; /* time of the last update of both */
+    int64_t waiting_ms; /* time of the last update of waiting and waiting_now */
 } cw_contention_level_t;
 
 /* All zero: no requests yet. */
@@ -54,7 +54,7 @@
     double free_slots; /* free slots there, as far as known */
     uint32_t urgency;  /* of the request */
     uint32_t hosts;    /* hosts that may use these slots, this one among them */
-    uint32_t delay_ms; /* until a load report has reached them, 0: at once */
+    uint32_t delay_ms; /* time until a load report has reached them, 0: at once */
 } cw_contention_use_t;
 
 /* Counts a new request. */
@@ -127,8 +127,8 @@
     if (contenders <= admitted) {
         return true;
     }
-    uint64_t epoch = (uint64_t)(now_ms / use->delay_ms);
-    double draw = (double)(cw_mix(cw_mix(c->seed, use->server), epoch) >> 11) / 9007199254740992.0; /* 0..1 */
+    uint64_t slice = (uint64_t)(now_ms / use->delay_ms);
+    double draw = (double)(cw_mix(cw_mix(c->seed, use->server), slice) >> 11) / 9007199254740992.0; /* 0..1 */
     return draw < admitted / contenders;
 }
 
--- a/chalkway_gap_limits.h
+++ b/chalkway_gap_limits.h
@@ -5,8 +5,8 @@
 
     WHAT IT IS
         Numbers of streams by gap limit, the longest accepted gap between two
-        events. Only the strictest limit matters: a prompt that stalls no
-        stream beyond it stalls none beyond its own limit.
+        events. Only the strictest limit matters: a prompt whose stalls are
+        within it exceeds no other stream's limit either.
 
     HOW TO USE IT
             cw_gap_limits_t g = {0};
@@ -58,14 +58,14 @@
 }
 
 cw_gap_limit_t cw_gap_limits_strictest(const cw_gap_limits_t* g) {
-    cw_gap_limit_t shortest = {0};
+    cw_gap_limit_t strictest = {0};
     for (uint32_t i = 0; i < CW_GAP_LIMITS_MAX; i++) {
         const cw_gap_limit_t* other = &g->items[i];
-        if (other->count && (!shortest.count || other->gap_ms < shortest.gap_ms)) {
-            shortest = *other;
+        if (other->count && (!strictest.count || other->gap_ms < strictest.gap_ms)) {
+            strictest = *other;
         }
     }
-    return shortest;
+    return strictest;
 }
 
 #endif /* CHALKWAY_GAP_LIMITS_IMPL_INCLUDED */
--- a/chalkway_prefill.h
+++ b/chalkway_prefill.h
@@ -16,9 +16,9 @@
         below. A sample that may include a wait can only lower the estimate.
 
     HOW TO USE IT
-            cw_prefill_t r = cw_prefill_init();
-            double ms = cw_prefill_ms(&r, tokens);
-            cw_prefill_learn(&r, tokens, took_ms, is_unqueued);
+            cw_prefill_t p = cw_prefill_init();
+            double ms = cw_prefill_ms(&p, tokens);
+            cw_prefill_learn(&p, tokens, took_ms, is_unqueued);
 
     WHAT IT DOES NOT DO
         It does not distinguish servers; the slowdown of each server relative
@@ -37,10 +37,10 @@
 /* The estimate before the first sample. */
 cw_prefill_t cw_prefill_init(void);
 /* Predicted time to the first event for a prompt of so many tokens. */
-double cw_prefill_ms(const cw_prefill_t* r, uint32_t tokens);
+double cw_prefill_ms(const cw_prefill_t* p, uint32_t tokens);
 /* Records a time to the first event for a prompt of so many tokens. is_unqueued: nothing is known that the prompt may
    have waited for; otherwise only a sample below the prediction counts. */
-void cw_prefill_learn(cw_prefill_t* r, uint32_t tokens, double took_ms, bool is_unqueued);
+void cw_prefill_learn(cw_prefill_t* p, uint32_t tokens, double took_ms, bool is_unqueued);
 
 #endif /* CHALKWAY_PREFILL_H */
 
@@ -63,24 +63,24 @@
     return (cw_prefill_t){.base_ms = _CW_PREFILL_INITIAL_BASE_MS, .ms_per_token = _CW_PREFILL_INITIAL_MS_PER_TOKEN};
 }
 
-double cw_prefill_ms(const cw_prefill_t* r, uint32_t tokens) {
-    return r->base_ms + r->ms_per_token * tokens;
+double cw_prefill_ms(const cw_prefill_t* p, uint32_t tokens) {
+    return p->base_ms + p->ms_per_token * tokens;
 }
 
-void cw_prefill_learn(cw_prefill_t* r, uint32_t tokens, double took_ms, bool is_unqueued) {
-    double expected_ms = cw_prefill_ms(r, tokens);
+void cw_prefill_learn(cw_prefill_t* p, uint32_t tokens, double took_ms, bool is_unqueued) {
+    double expected_ms = cw_prefill_ms(p, tokens);
     bool is_above = took_ms > expected_ms;
     if (is_above && !is_unqueued) {
         return;
     }
     /* Each part is corrected by its share of the prediction: short prompts mainly correct the fixed part, long ones the
        part for each token. */
-    double token_share = r->ms_per_token * tokens / expected_ms;
+    double token_share = p->ms_per_token * tokens / expected_ms;
     double step = is_above ? _CW_PREFILL_STEP_UP : -_CW_PREFILL_STEP_DOWN;
-    r->ms_per_token *= 1 + step * token_share;
-    r->base_ms *= 1 + step * (1 - token_share);
-    r->ms_per_token = r->ms_per_token > _CW_PREFILL_MIN_MS_PER_TOKEN ? r->ms_per_token : _CW_PREFILL_MIN_MS_PER_TOKEN;
-    r->base_ms = r->base_ms > _CW_PREFILL_BASE_MIN_MS ? r->base_ms : _CW_PREFILL_BASE_MIN_MS;
+    p->ms_per_token *= 1 + step * token_share;
+    p->base_ms *= 1 + step * (1 - token_share);
+    p->ms_per_token = p->ms_per_token > _CW_PREFILL_MIN_MS_PER_TOKEN ? p->ms_per_token : _CW_PREFILL_MIN_MS_PER_TOKEN;
+    p->base_ms = p->base_ms > _CW_PREFILL_BASE_MIN_MS ? p->base_ms : _CW_PREFILL_BASE_MIN_MS;
 }
 
 #endif /* CHALKWAY_PREFILL_IMPL_INCLUDED */
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -29,7 +29,7 @@
 */
 #include "chalkway_prefix_cache.h"
 
-#define CW_PREFIX_OWNERS 2 /* more than one, since one may be busy or gone */
+#define CW_PREFIX_OWNERS 2 /* more than one, since one may be busy or unreachable */
 
 /* A part of a prompt: the id of its name, and its length. */
 typedef struct cw_prompt_part_t {
@@ -46,10 +46,10 @@
 
 /* Cached and shared parts of one prompt. */
 typedef struct cw_prefix_t {
-    uint64_t best_server;                    /* the server with most of the prompt cached, 0: none has any */
+    uint64_t best_server;                    /* the server with most of the prompt's start cached, 0: none */
     uint32_t best_tokens;                    /* tokens cached there */
     uint32_t shared_tokens;                  /* tokens before the last part, which is the request's own */
-    uint64_t part;                           /* the last shared part */
+    uint64_t last_shared_part;               /* id of the last part that other prompts share */
     uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
 } cw_prefix_t;
 
@@ -87,13 +87,13 @@
     cw_prefix_t p = {0};
     for (uint32_t i = 0; i + 1 < count; i++) {
         p.shared_tokens += parts[i].tokens;
-        p.part = parts[i].id;
+        p.last_shared_part = parts[i].id;
     }
     return p;
 }
 
 static uint64_t _cw_prefix_score(const cw_prefix_t* p, uint64_t server) {
-    return cw_mix(p->part, server);
+    return cw_mix(p->last_shared_part, server);
 }
 
 void cw_prefix_add_server(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own) {
--- a/chalkway_prefix_cache.h
+++ b/chalkway_prefix_cache.h
@@ -12,10 +12,10 @@
         first one is added.
 
     HOW TO USE IT
-            cw_prefix_cache_t* k = cw_prefix_cache_setup(131072, NULL);
-            cw_prefix_cache_add(k, server, part, prefilled_tokens);
-            if (cw_prefix_cache_has(k, server, part, prefilled_tokens_now, capacity_tokens)) { ... }
-            cw_prefix_cache_shutdown(k);
+            cw_prefix_cache_t* cache = cw_prefix_cache_setup(131072, NULL);
+            cw_prefix_cache_add(cache, server, part, prefilled_tokens);
+            if (cw_prefix_cache_has(cache, server, part, prefilled_tokens_now, capacity_tokens)) { ... }
+            cw_prefix_cache_shutdown(cache);
 
     WHAT IT DOES NOT DO
         It gets no information from the servers: it is an estimate from the
@@ -31,11 +31,11 @@
 
 /* A table for about capacity pairs. allocator may be NULL. */
 cw_prefix_cache_t* cw_prefix_cache_setup(uint32_t capacity, const cw_allocator_t* allocator);
-void cw_prefix_cache_shutdown(cw_prefix_cache_t* k);
+void cw_prefix_cache_shutdown(cw_prefix_cache_t* cache);
 /* Records that the server uses the part. prefilled_tokens: all tokens that it has prefilled so far. */
-void cw_prefix_cache_add(cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens);
+void cw_prefix_cache_add(cw_prefix_cache_t* cache, uint64_t server, uint64_t part, uint64_t prefilled_tokens);
 /* Whether the part is still cached at the server, whose cache holds capacity_tokens. */
-bool cw_prefix_cache_has(const cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
+bool cw_prefix_cache_has(const cw_prefix_cache_t* cache, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
                          double capacity_tokens);
 
 #endif /* CHALKWAY_PREFIX_CACHE_H */
@@ -63,19 +63,19 @@
 
 cw_prefix_cache_t* cw_prefix_cache_setup(uint32_t capacity, const cw_allocator_t* allocator) {
     cw_allocator_t alloc = allocator ? *allocator : (cw_allocator_t){0};
-    cw_prefix_cache_t* k = cw_alloc(&alloc, 1, sizeof(*k));
-    k->allocator = alloc;
-    k->count = _CW_PREFIX_CACHE_WAYS;
-    while (k->count < capacity) {
-        k->count *= 2;
+    cw_prefix_cache_t* cache = cw_alloc(&alloc, 1, sizeof(*cache));
+    cache->allocator = alloc;
+    cache->count = _CW_PREFIX_CACHE_WAYS;
+    while (cache->count < capacity) {
+        cache->count *= 2;
     }
-    return k;
+    return cache;
 }
 
-void cw_prefix_cache_shutdown(cw_prefix_cache_t* k) {
-    cw_allocator_t alloc = k->allocator;
-    cw_free(&alloc, k->entries);
-    cw_free(&alloc, k);
+void cw_prefix_cache_shutdown(cw_prefix_cache_t* cache) {
+    cw_allocator_t alloc = cache->allocator;
+    cw_free(&alloc, cache->entries);
+    cw_free(&alloc, cache);
 }
 
 /* Tag that distinguishes the pair from others of the same set; never 0. */
@@ -85,36 +85,36 @@
 }
 
 /* The pair's entry, or the one that it would replace: a free one, else the least recently used one. */
-static _cw_prefix_cache_entry_t* _cw_prefix_cache_entry(const cw_prefix_cache_t* k, uint64_t key) {
+static _cw_prefix_cache_entry_t* _cw_prefix_cache_entry(const cw_prefix_cache_t* cache, uint64_t key) {
     _cw_prefix_cache_entry_t* ways =
-        &k->entries[(uint32_t)key & (k->count - 1) & ~(uint32_t)(_CW_PREFIX_CACHE_WAYS - 1)];
+        &cache->entries[(uint32_t)key & (cache->count - 1) & ~(uint32_t)(_CW_PREFIX_CACHE_WAYS - 1)];
     _cw_prefix_cache_entry_t* oldest = ways;
     for (uint32_t i = 0; i < _CW_PREFIX_CACHE_WAYS; i++) {
         if (!ways[i].tag || ways[i].tag == _cw_prefix_cache_tag(key)) {
             return &ways[i];
         }
-        oldest = k->uses - ways[i].last_use > k->uses - oldest->last_use ? &ways[i] : oldest;
+        oldest = cache->uses - ways[i].last_use > cache->uses - oldest->last_use ? &ways[i] : oldest;
     }
     return oldest;
 }
 
-void cw_prefix_cache_add(cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens) {
+void cw_prefix_cache_add(cw_prefix_cache_t* cache, uint64_t server, uint64_t part, uint64_t prefilled_tokens) {
     uint64_t key = cw_mix(server, part);
-    if (!k->entries) {
-        k->entries = cw_alloc(&k->allocator, k->count, sizeof(*k->entries));
+    if (!cache->entries) {
+        cache->entries = cw_alloc(&cache->allocator, cache->count, sizeof(*cache->entries));
     }
-    _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
+    _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(cache, key);
     *entry = (_cw_prefix_cache_entry_t){
-        .tag = _cw_prefix_cache_tag(key), .prefilled_tokens = (uint32_t)prefilled_tokens, .last_use = ++k->uses};
+        .tag = _cw_prefix_cache_tag(key), .prefilled_tokens = (uint32_t)prefilled_tokens, .last_use = ++cache->uses};
 }
 
-bool cw_prefix_cache_has(const cw_prefix_cache_t* k, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
+bool cw_prefix_cache_has(const cw_prefix_cache_t* cache, uint64_t server, uint64_t part, uint64_t prefilled_tokens,
                          double capacity_tokens) {
-    if (!k->entries) {
+    if (!cache->entries) {
         return false;
     }
     uint64_t key = cw_mix(server, part);
-    const _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(k, key);
+    const _cw_prefix_cache_entry_t* entry = _cw_prefix_cache_entry(cache, key);
     return entry->tag == _cw_prefix_cache_tag(key) &&
            (uint32_t)prefilled_tokens - entry->prefilled_tokens < capacity_tokens;
 }
--- a/chalkway_queue_order.h
+++ b/chalkway_queue_order.h
@@ -47,7 +47,7 @@
     int64_t caller_gone_ms;    /* time at which its caller is assumed to be gone */
     uint32_t target_ms;        /* of the request, to the first byte */
     double shortest_target_ms; /* of the pool; 0: unknown */
-    bool is_delay_tolerant;    /* it is delay-tolerant, so it is refused when late */
+    bool is_delay_tolerant;    /* it is refused when it is late */
 } cw_queue_wait_desc_t;
 
 typedef struct cw_queue_wait_t {
@@ -87,9 +87,10 @@
     int64_t late_from_ms =
         desc->now_ms + (int64_t)(in_time_ms > _CW_QUEUE_IN_TIME_MIN_MS ? in_time_ms : _CW_QUEUE_IN_TIME_MIN_MS);
     /* A request sent with less than its target left would run for a caller that is gone. */
-    int64_t last_ms = desc->caller_gone_ms - desc->target_ms;
+    int64_t latest_send_ms = desc->caller_gone_ms - desc->target_ms;
     return (cw_queue_wait_t){.late_from_ms = late_from_ms,
-                             .until_ms = !desc->is_delay_tolerant && last_ms > late_from_ms ? last_ms : late_from_ms};
+                             .until_ms = !desc->is_delay_tolerant && latest_send_ms > late_from_ms ? latest_send_ms
+                                                                                                   : late_from_ms};
 }
 
 #endif /* CHALKWAY_QUEUE_ORDER_IMPL_INCLUDED */
--- a/chalkway_rendezvous.h
+++ b/chalkway_rendezvous.h
@@ -27,7 +27,7 @@
 /* Id of the pool's shard with this index. */
 uint64_t cw_rendezvous_shard_id(uint64_t pool, uint32_t index);
 /* Id of the upstream's shard. upstreams: the ids of all upstreams of the pool, this one among them. The sizes of shards
-   differ by at most one. An upstream that joins moves at most one other upstream across each border of shards. */
+   differ by at most one. An upstream that joins moves at most one other upstream between two neighbouring shards. */
 uint64_t cw_rendezvous_shard(uint64_t pool, uint64_t upstream, const uint64_t* upstreams, uint32_t count,
                              uint32_t shards);
 /* Owner of the key: the host with the highest score; 0 when there are no hosts. */
@@ -66,12 +66,12 @@
 }
 
 uint32_t cw_rendezvous_rank(uint64_t key, uint64_t host, const uint64_t* hosts, uint32_t count) {
-    uint64_t own = cw_mix(key, host);
+    uint64_t host_score = cw_mix(key, host);
     uint32_t rank = 0;
     bool found = false;
     for (uint32_t i = 0; i < count; i++) {
         found = found || hosts[i] == host;
-        rank += (hosts[i] != host && cw_mix(key, hosts[i]) > own) ? 1 : 0;
+        rank += (hosts[i] != host && cw_mix(key, hosts[i]) > host_score) ? 1 : 0;
     }
     return found ? rank : count;
 }
