--- a/chalkway_suspect.h
+++ b/chalkway_suspect.h
@@ -12,10 +12,10 @@
         answered. After two failures later than that request the server is
         suspected: hosts exclude it for a while, except for about one host at
         a time, which probes it with a request. A response to a request that
-        was sent after the failures ends the suspicion everywhere. A response to an earlier request proves
-        nothing: the server may still finish it while it resets all others.
-        One failure alone raises no suspicion, since healthy servers also
-        lose a response now and then.
+        was sent after the failures ends the suspicion everywhere. A response
+        to an earlier request proves nothing: the server may still finish it
+        while it resets all others. One failure alone raises no suspicion,
+        since healthy servers also lose a response now and then.
 
         If most of a pool is suspected, the fault is assumed to be on the
         observing side, and no server is excluded (chalkway_balance.h).
