--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -2,9 +2,9 @@
 #define CW_TEST_POOL_MODEL_H
 /*
     Simulation of many hosts in front of one pool of engines, on one clock and without a network. Each host decides
-    with its own chalkway_balance.h and receives the others' load reports with a delay as between processes. Engines
-    have slots, prefill prompts one after the other and then generate. A dead engine breaks the connections of new
-    requests and finishes those that it already runs. Requests arrive at random, by seed.
+    with its own chalkway_balance.h and receives the others' load reports after a delay. Engines have slots, prefill
+    prompts one after the other and then generate. A dead engine breaks the connections of new requests and finishes
+    those that it already runs. Requests arrive at random, by seed.
 
     Not simulated: memory of engines, cached prompt parts, preemption (requests beyond the slots are counted instead)
     and processor time.
@@ -22,7 +22,7 @@
 #define MODEL_RUNS_MAX 8192
 #define MODEL_REPORTS_MAX 65536
 #define MODEL_REPEAT_MS 480 /* interval in which load reports are repeated */
-#define MODEL_BREAK_MS 3    /* until a host notices that a connection to a dead engine broke */
+#define MODEL_BREAK_MS 3    /* time until a host notices that a connection to a dead engine broke */
 
 /* A class of requests. */
 typedef struct model_class_t {
@@ -48,9 +48,9 @@
     cw_work_t work;
     int64_t arrived_ms;
     cw_queue_wait_t wait;   /* for a slot */
-    int64_t until_ms;       /* end of the stage; not used while its prompt is prefilled */
-    double prefill_left_ms; /* prefill time left */
-    uint32_t sent;          /* sequence number over all hosts */
+    int64_t until_ms;       /* end of the stage; not used while the request waits or its prompt is prefilled */
+    double prefill_left_ms; /* prefill time left for its prompt */
+    uint32_t sequence;      /* order of sending over all hosts */
     uint32_t generate_ms;
     cw_run_t run;
 } model_run_t;
@@ -163,13 +163,14 @@
     }
 }
 
-static inline void model_deliver_reports(model_t* m, uint32_t which) {
-    model_channel_t* channel = &m->channel[which];
+static inline void model_deliver_reports(model_t* m, uint32_t channel_index) {
+    model_channel_t* channel = &m->channel[channel_index];
     while (channel->count && channel->reports[channel->first].at_ms <= m->now_ms) {
-        const model_report_t* n = &channel->reports[channel->first];
+        const model_report_t* report = &channel->reports[channel->first];
         for (uint32_t i = 0; i < m->hosts; i++) {
-            if (i != n->host && (which || m->is_owner_host[n->engine][i])) {
-                cw_balance_on_peer_load(m->balance[i], m->now_ms, 1 + n->host, m->engine[n->engine].id, &n->load);
+            if (i != report->host && (channel_index || m->is_owner_host[report->engine][i])) {
+                cw_balance_on_peer_load(m->balance[i], m->now_ms, 1 + report->host, m->engine[report->engine].id,
+                                        &report->load);
             }
         }
         channel->first = (channel->first + 1) % MODEL_REPORTS_MAX;
@@ -210,14 +211,14 @@
     e->running++;
     r->stage = MODEL_PREFILLING;
     r->prefill_left_ms = m->prefill_ms_per_token * work->prompt_tokens;
-    r->sent = ++m->sent;
+    r->sequence = ++m->sent;
 }
 
 /* Whether an engine prefills x before y. */
 static inline bool model_prefills_before(const model_t* m, const model_run_t* x, const model_run_t* y) {
     uint32_t urgency_x = m->classes[x->class_index].work.urgency;
     uint32_t urgency_y = m->classes[y->class_index].work.urgency;
-    return urgency_x != urgency_y ? urgency_x < urgency_y : x->sent < y->sent;
+    return urgency_x != urgency_y ? urgency_x < urgency_y : x->sequence < y->sequence;
 }
 
 /* Lets each engine prefill for 1 ms. */
@@ -306,7 +307,7 @@
 static inline void model_step_run(model_t* m, model_run_t* r) {
     model_class_t* request_class = &m->classes[r->class_index];
     cw_balance_t* b = m->balance[r->host];
-    bool due = m->now_ms >= r->until_ms;
+    bool is_due = m->now_ms >= r->until_ms;
     if (r->stage == MODEL_WAITING) {
         r->work.is_late = m->now_ms >= r->wait.late_from_ms;
         if (!model_try_place(m, r) && m->now_ms >= r->wait.until_ms) {
@@ -318,10 +319,10 @@
         r->stage = MODEL_GENERATING;
         r->until_ms = m->now_ms + r->generate_ms;
         model_send_report(m, r->host, r->engine);
-    } else if (r->stage == MODEL_GENERATING && due) {
+    } else if (r->stage == MODEL_GENERATING && is_due) {
         request_class->served++;
         model_end_run(m, r, CW_TRY_SERVED);
-    } else if (r->stage == MODEL_BREAKING && due) {
+    } else if (r->stage == MODEL_BREAKING && is_due) {
         request_class->broken++;
         m->failed_ms[r->engine] = m->failed_ms[r->engine] ? m->failed_ms[r->engine] : m->now_ms;
         model_end_run(m, r, CW_TRY_BROKEN);
@@ -334,7 +335,7 @@
         model_deliver_reports(m, 1);
         model_deliver_reports(m, 0); /* after 1, since direct reports are newer */
         uint32_t waiting[MODEL_HOSTS_MAX][CW_URGENCY_LEVELS] = {{0}};
-        uint32_t all = 0;
+        uint32_t waiting_count = 0;
         model_prefill_step(m);
         for (uint32_t i = 0; i < MODEL_RUNS_MAX; i++) {
             if (m->run[i].stage != MODEL_FREE) {
@@ -342,7 +343,7 @@
             }
             if (m->run[i].stage == MODEL_WAITING) {
                 waiting[m->run[i].host][cw_work_queue_urgency(&m->run[i].work)]++;
-                all++;
+                waiting_count++;
             }
         }
         for (uint32_t i = 0; i < m->hosts; i++) {
@@ -352,7 +353,7 @@
                 cw_balance_set_waiting(m->balance[i], m->now_ms, u, waiting[i][u]);
             }
         }
-        for (uint32_t i = 0; i < m->engines && all; i++) {
+        for (uint32_t i = 0; i < m->engines && waiting_count; i++) {
             m->slot_ms += model_is_dead(m, i) ? 0 : m->slots;
             m->run_ms += m->engine[i].running;
         }
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -20,11 +20,11 @@
 #define RATE_STEP_MS 5
 #define RATE_RESPONSE_MS 20    /* from a request to the head of its response */
 #define RATE_WAIT_MAX_MS 500   /* longest wait of a request */
-#define RATE_REPEAT_MS 500     /* interval in which a host repeats its own observation */
-#define RATE_DETECTION_MS 1500 /* until a killed or partitioned host is detected */
+#define RATE_REPEAT_MS 500     /* interval at which a host repeats its own observation */
+#define RATE_DETECTION_MS 1500 /* time until a killed or partitioned host is detected */
 #define RATE_WINDOW_MS 4000    /* window in which arrivals are counted */
 #define RATE_LEARN_MAX_MS 3000 /* time until all hosts have to know that a rate is advertised */
-#define RATE_INFORMED_MS 500   /* a host's requests count from so long after it received the rate itself */
+#define RATE_INFORMED_MS 500   /* a host's requests count from this long after its first own response with a rate */
 #define RATE_EVENTS_MAX 1000000
 #define RATE_SENDS_MAX 100000
 #define RATE_QUEUE_MAX 64
@@ -53,8 +53,8 @@
     /* results */
     double worst_ratio;      /* most arrivals in a window, as a share of those allowed */
     double utilization;      /* arrivals as a share of the rate, from 2 * RATE_LEARN_MAX_MS after its start */
-    int64_t all_informed_ms; /* from the start of the rate until all hosts know it, -1: never */
-    int64_t all_released_ms; /* from its withdrawal until all hosts know of that, -1: never */
+    int64_t all_informed_ms; /* from the start of the rate until it is active at all hosts, -1: never */
+    int64_t all_released_ms; /* from its withdrawal until it is active at no host, -1: never */
     uint64_t messages;
 } rate_model_t;
 
@@ -64,7 +64,7 @@
     int64_t due_ms;
     uint32_t host;
     bool is_response; /* of the server; otherwise a message of another host */
-    bool has_rate;    /* it advertises a rate */
+    bool has_rate;    /* the response advertises a rate */
     double per_s;
     int64_t sent_ms;
     cw_rate_observation_t observation;
@@ -79,7 +79,7 @@
     uint32_t queued;
     uint64_t ids[RATE_HOSTS_MAX];
     uint32_t live, missing;
-    int64_t informed_ms, repeat_ms; /* informed_ms: first own response that advertised a rate, 0: none */
+    int64_t informed_ms, repeat_ms; /* first own response that advertised a rate, 0: none; last repetition */
 } rate_host_t;
 
 typedef struct rate_send_t {
@@ -107,8 +107,8 @@
 }
 
 static inline double rate_per_s(const rate_model_t* m, int64_t now_ms) {
-    bool other = m->other_per_s > 0 && (now_ms / 1000) % 2;
-    return other ? m->other_per_s : m->per_s;
+    bool is_other = m->other_per_s > 0 && (now_ms / 1000) % 2;
+    return is_other ? m->other_per_s : m->per_s;
 }
 
 static inline bool rate_is_advertised(const rate_model_t* m, int64_t now_ms) {
@@ -219,7 +219,7 @@
     }
 }
 
-/* Tells all other hosts that the host sends a request; only with RATE_BROADCAST. */
+/* Notifies all other hosts that the host sends a request; only with RATE_BROADCAST. */
 static inline void rate_broadcast_send(rate_simulation_t* sim, uint32_t from) {
     for (uint32_t i = 0; i < sim->m->hosts; i++) {
         bool is_separated =
@@ -337,7 +337,7 @@
     m->utilization = mean > 0 ? used / (mean * span_s) : 0;
 }
 
-/* Whether all live hosts know that the server advertises a rate (has_rate), or that it advertises none. */
+/* Whether a rate is active at all live hosts (has_rate), or at none of them. */
 static inline bool rate_all_informed(const rate_simulation_t* sim, bool has_rate) {
     for (uint32_t i = 0; i < sim->m->hosts; i++) {
         if (!rate_is_dead(sim->m, i, sim->now_ms) && cw_rate_is_active(&sim->host[i].rate, sim->now_ms) != has_rate) {
