--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -14,7 +14,7 @@
 #include "../chalkway_sse.h"
 #include "test.h"
 
-/* The same backlog for every tier. */
+/* The same backlog for every urgency. */
 #define BACKLOG(ms)                                                                                                    \
     { ms, ms, ms, ms, ms, ms, ms, ms, ms, ms }
 
@@ -158,9 +158,9 @@
         cw_work_t work = {.prompt_tokens = 500 + 25 * (i % 20), .target_ms = 400};
         cw_run_t run;
         ck_assert_uint_eq(choose_and_begin(b, now_ms, &work, &run), 1);
-        int64_t read_ms = 10 + (int64_t)work.prompt_tokens / 50;
-        cw_balance_on_first_byte(b, now_ms + read_ms + (i % 2 ? 300 : 0), &run);
-        cw_balance_end(b, now_ms + read_ms + 400, &run, CW_TRY_SERVED);
+        int64_t prefill_ms = 10 + (int64_t)work.prompt_tokens / 50;
+        cw_balance_on_first_byte(b, now_ms + prefill_ms + (i % 2 ? 300 : 0), &run);
+        cw_balance_end(b, now_ms + prefill_ms + 400, &run, CW_TRY_SERVED);
         now_ms += 1000;
     }
     ck_assert_double_le(cw_balance_prefill_ms_per_token(b), 0.04);
@@ -188,16 +188,16 @@
 START_TEST(less_urgent_prompts_do_not_delay_urgent_ones) {
     cw_balance_t* b = make_engines(1);
     cw_work_t urgent = {.prompt_tokens = 600, .target_ms = 250};
-    cw_work_t later = {.urgency = 1, .prompt_tokens = 20000, .target_ms = 2000};
+    cw_work_t less_urgent = {.urgency = 1, .prompt_tokens = 20000, .target_ms = 2000};
     cw_run_t runs[2] = {{.server = CW_BALANCE_NONE}, {.server = CW_BALANCE_NONE}};
-    choose_and_begin(b, 0, &later, &runs[0]);
+    choose_and_begin(b, 0, &less_urgent, &runs[0]);
     uint32_t at = runs[0].server;
     cw_load_t before = cw_balance_own_load(b, 0, at);
     ck_assert_uint_eq(before.backlog_ms[0], 0);
     ck_assert_uint_gt(before.backlog_ms[1], 100);
     ck_assert_uint_eq(before.backlog_ms[CW_URGENCY_LEVELS - 1], before.backlog_ms[1]);
     ck_assert_double_eq(cw_balance_choose(b, 0, &urgent, NULL, 0).wait_ms, 0);
-    ck_assert_double_gt(cw_balance_choose(b, 0, &later, NULL, 0).wait_ms, 100);
+    ck_assert_double_gt(cw_balance_choose(b, 0, &less_urgent, NULL, 0).wait_ms, 100);
     ck_assert_double_gt(cw_balance_choose(b, 0, &urgent, NULL, 0).cost_ms, 100);
     cw_balance_on_peer_load(b, 0, 7, 1,
                             &(cw_load_t){.running = 2, .backlog_ms = {30, 90, 90, 90, 90, 90, 90, 90, 90, 90}});
@@ -326,7 +326,8 @@
     ck_assert_uint_ge((uint32_t)__builtin_popcount(used_by_all), 5);
     cw_balance_t* b = make_fetching_engines(1);
     uint32_t engines_used = 0;
-    for (uint32_t i = 0; i < 16; i++) { /* its owners have slots for all, but a cached part is not worth any wait */
+    /* The document's owners have slots for all, but a cached part is not worth a long wait. */
+    for (uint32_t i = 0; i < 16; i++) {
         cw_work_t work = make_document_work(100, 1000 + i);
         cw_run_t run;
         engines_used |= 1U << (choose_and_begin(b, 0, &work, &run) - 1);
@@ -354,16 +355,16 @@
 START_TEST(cached_parts_survive_counter_wraparound) {
     cw_prefix_cache_t* k = cw_prefix_cache_setup(64, NULL);
     ck_assert(!cw_prefix_cache_has(k, 1, 2, 0, 1000)); /* nothing was added yet */
-    uint64_t read = UINT32_MAX - 10;
-    cw_prefix_cache_add(k, 1, 2, read);
-    ck_assert(cw_prefix_cache_has(k, 1, 2, read + 500, 1000));
-    ck_assert(!cw_prefix_cache_has(k, 1, 2, read + 1500, 1000));
-    ck_assert(!cw_prefix_cache_has(k, 2, 2, read, 1000)); /* another server */
+    uint64_t prefilled_tokens = UINT32_MAX - 10;
+    cw_prefix_cache_add(k, 1, 2, prefilled_tokens);
+    ck_assert(cw_prefix_cache_has(k, 1, 2, prefilled_tokens + 500, 1000));
+    ck_assert(!cw_prefix_cache_has(k, 1, 2, prefilled_tokens + 1500, 1000));
+    ck_assert(!cw_prefix_cache_has(k, 2, 2, prefilled_tokens, 1000)); /* another server */
     for (uint64_t part = 100; part < 400; part++) {
-        cw_prefix_cache_add(k, 1, part, read);
-        ck_assert(cw_prefix_cache_has(k, 1, part, read, 1000));
+        cw_prefix_cache_add(k, 1, part, prefilled_tokens);
+        ck_assert(cw_prefix_cache_has(k, 1, part, prefilled_tokens, 1000));
     }
-    ck_assert(!cw_prefix_cache_has(k, 1, 2, read, 1000));
+    ck_assert(!cw_prefix_cache_has(k, 1, 2, prefilled_tokens, 1000));
     cw_prefix_cache_shutdown(k);
 }
 END_TEST
@@ -393,7 +394,7 @@
 }
 END_TEST
 
-/* A server that one daemon found slow gets no streams with a gap target from any daemon. */
+/* A server that one daemon found slow gets no streams with a gap limit from any daemon. */
 START_TEST(the_event_interval_of_a_server_is_reported) {
     cw_balance_t* reporter = make_engines(2);
     cw_balance_t* b = make_engines(2);
@@ -454,8 +455,8 @@
 
 /* Eighty hosts, each with a request now and then, learn at the same time that an engine has a free slot. */
 START_TEST(few_hosts_compete_for_one_free_slot) {
-    uint32_t open_count = 0;
-    uint32_t epochs = 50;
+    uint32_t allowed_count = 0;
+    uint32_t slices = 50;
     for (uint64_t host = 1; host <= 80; host++) {
         cw_contention_t c = {.seed = host};
         cw_contention_use_t one = {.server = 7, .free_slots = 1, .hosts = 80, .delay_ms = 12};
@@ -463,15 +464,15 @@
         for (int64_t now_ms = 0; now_ms < 3000; now_ms += 50) {
             cw_contention_on_request(&c, now_ms, 0); /* 20 per second */
         }
-        for (uint32_t i = 0; i < epochs; i++) {
-            bool open = cw_contention_may_use(&c, 3000 + 12 * i, &one);
-            ck_assert_int_eq(open, cw_contention_may_use(&c, 3000 + 12 * i, &one)); /* until reports can arrive */
-            open_count += open;
+        for (uint32_t i = 0; i < slices; i++) {
+            bool may_use = cw_contention_may_use(&c, 3000 + 12 * i, &one);
+            ck_assert_int_eq(may_use, cw_contention_may_use(&c, 3000 + 12 * i, &one)); /* until reports can arrive */
+            allowed_count += may_use;
         }
         ck_assert(cw_contention_may_use(&c, 3000, &many)); /* more slots than requesting hosts: all may use them */
     }
-    ck_assert_uint_ge(open_count, epochs);      /* the slot is used */
-    ck_assert_uint_le(open_count / epochs, 10); /* of 80 hosts */
+    ck_assert_uint_ge(allowed_count, slices);      /* the slot is used */
+    ck_assert_uint_le(allowed_count / slices, 10); /* of 80 hosts */
 }
 END_TEST
 
@@ -484,12 +485,12 @@
     }
     ck_assert(cw_contention_may_use(&c, 3000, &use));
     cw_contention_set_waiting(&c, 3000, 0, 20); /* but while requests wait at all hosts, the hosts take turns */
-    uint32_t open = 0;
+    uint32_t allowed_count = 0;
     for (use.server = 0; use.server < 100; use.server++) {
-        open += cw_contention_may_use(&c, 4000, &use);
+        allowed_count += cw_contention_may_use(&c, 4000, &use);
     }
-    ck_assert_uint_ge(open, 5);
-    ck_assert_uint_le(open, 20); /* one of nine hosts at a time */
+    ck_assert_uint_ge(allowed_count, 5);
+    ck_assert_uint_le(allowed_count, 20); /* one of nine hosts at a time */
 }
 END_TEST
 
@@ -497,15 +498,15 @@
 START_TEST(delay_tolerant_requests_do_not_compete_with_urgent_ones) {
     cw_contention_t c = {.seed = 3};
     cw_contention_set_waiting(&c, 1000, 5, 20);
-    uint32_t open[2] = {0};
+    uint32_t allowed_counts[2] = {0};
     for (uint64_t server = 0; server < 100; server++) {
         cw_contention_use_t use = {.server = server, .free_slots = 1, .hosts = 80, .delay_ms = 12};
-        open[0] += cw_contention_may_use(&c, 3000, &use);
+        allowed_counts[0] += cw_contention_may_use(&c, 3000, &use);
         use.urgency = 5;
-        open[1] += cw_contention_may_use(&c, 3000, &use);
+        allowed_counts[1] += cw_contention_may_use(&c, 3000, &use);
     }
-    ck_assert_uint_eq(open[0], 100);
-    ck_assert_uint_le(open[1], 10);
+    ck_assert_uint_eq(allowed_counts[0], 100);
+    ck_assert_uint_le(allowed_counts[1], 10);
 }
 END_TEST
 
@@ -701,13 +702,13 @@
         ck_assert_int_eq(cw_load_decode(&in, bytes, cut, NULL), CW_ERR_PROTOCOL);
     }
     for (size_t at = 0; at < size; at++) { /* one changed byte: decoded or refused, with no more entries than fit */
-        uint8_t cached_tokens = bytes[at];
+        uint8_t original = bytes[at];
         for (int v = 0; v < 256; v += 5) {
             bytes[at] = (uint8_t)v;
             cw_load_decode(&in, bytes, size, NULL);
             ck_assert_uint_le(in.count, CW_LOAD_ENTRIES);
         }
-        bytes[at] = cached_tokens;
+        bytes[at] = original;
     }
 }
 END_TEST
@@ -743,7 +744,7 @@
     static const uint64_t ids[] = {11, 12};
     cw_fleet_t fleet = {.ids = ids, .count = 2, .propagation_ms = 5};
     cw_balance_t* host[2];
-    uint32_t closed = 0;
+    uint32_t throttled_count = 0;
     for (uint32_t i = 0; i < 2; i++) {
         host[i] = cw_balance_setup(&(cw_balance_desc_t){.seed = ids[i]});
         cw_balance_set_servers(host[i], 1000, &(cw_server_spec_t){.id = 99, .slots = 4}, 1);
@@ -760,11 +761,11 @@
     cw_balance_on_peer_load(host[1], 1015, 11, 99, &in.entries[0].load);
     ck_assert(cw_balance_rate_per_s(host[1], 1015, 99) == 1.5);
     cw_work_t work = {.target_ms = 100};
-    for (uint32_t i = 0; i < 2; i++) { /* one of the two owns the rate, and has not used it for long */
-        closed += cw_balance_choose(host[i], 5000, &work, NULL, 0).server == CW_BALANCE_NONE;
+    for (uint32_t i = 0; i < 2; i++) { /* one of the two owns the rate, and has had time to fill its bucket */
+        throttled_count += cw_balance_choose(host[i], 5000, &work, NULL, 0).server == CW_BALANCE_NONE;
         cw_balance_shutdown(host[i]);
     }
-    ck_assert_uint_eq(closed, 1);
+    ck_assert_uint_eq(throttled_count, 1);
 }
 END_TEST
 
@@ -887,10 +888,10 @@
                     {"7x", CW_EPOCH_MALFORMED, 6}, {"-9", CW_EPOCH_MALFORMED, 6},
                     {"0", CW_EPOCH_MALFORMED, 6},  {"99999999999999999999", CW_EPOCH_MALFORMED, 6},
                     {NULL, CW_EPOCH_SAME, 6},      {"7", CW_EPOCH_NEWER, 7}};
-    cw_epoch_t life = {0};
+    cw_epoch_t epoch = {0};
     for (size_t i = 0; i < sizeof(received) / sizeof(received[0]); i++) {
-        ck_assert_int_eq(cw_epoch_observe(&life, received[i].text), received[i].verdict);
-        ck_assert_int_eq(life.number, received[i].number);
+        ck_assert_int_eq(cw_epoch_observe(&epoch, received[i].text), received[i].verdict);
+        ck_assert_int_eq(epoch.number, received[i].number);
     }
 }
 END_TEST
--- a/tests/test_queue_order.c
+++ b/tests/test_queue_order.c
@@ -28,7 +28,7 @@
     "Content-Length: 0\r\n\r\n"
 #define OK(body, length) "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nContent-Length: " length "\r\n\r\n" body
 
-/* Sets the number of slots of the only engine that requests of another host use, by a load report. */
+/* Reports that requests of another host use this number of slots of the only engine. */
 static void set_running(rig_t* r, uint32_t running) {
     cw_load_t load = {.running = running};
     cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &load);
@@ -46,7 +46,7 @@
 START_TEST(a_request_waits_for_a_slot_as_long_as_its_caller_waits) {
     rig_t* r = rig_setup(ROUTES, 1);
     rig_script(r, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}}, 2);
-    ck_assert_ptr_nonnull(strstr(rig_call(r, CALL("/urgent/")), "200")); /* the pool learns this target */
+    ck_assert_ptr_nonnull(strstr(rig_call(r, CALL("/urgent/")), "200")); /* the pool learns the shortest target */
     set_running(r, 8);
     rig_write(r, CALL("/short/"));
     while (!exchanges_stats(r->exchanges).waiting) {
--- a/tests/test_rate.c
+++ b/tests/test_rate.c
@@ -1,6 +1,6 @@
 /*
     The rate that a server advertises for all hosts together: one host's state when responses overtake each other, and
-    the sum over many hosts, which keep the rate without communication (tests/rate_model.h).
+    the sum over many hosts, which must stay within the rate (tests/rate_model.h).
 */
 #include "rate_model.h"
 #include "test.h"
@@ -39,13 +39,13 @@
     cw_rate_t r = {0};
     cw_rate_on_advertised(&r, 1000, 1020, 2);
     cw_rate_on_withdrawn(&r, 1100, 1120);
-    cw_rate_observation_t named = {.state = CW_RATE_ADVERTISED, .per_s = 3, .at_ms = 1050};
-    ck_assert(!cw_rate_on_peer(&r, &named, 10));
-    cw_rate_observation_t lifted = {.state = CW_RATE_WITHDRAWN, .at_ms = 1205};
+    cw_rate_observation_t advertised = {.state = CW_RATE_ADVERTISED, .per_s = 3, .at_ms = 1050};
+    ck_assert(!cw_rate_on_peer(&r, &advertised, 10));
+    cw_rate_observation_t withdrawn = {.state = CW_RATE_WITHDRAWN, .at_ms = 1205};
     cw_rate_on_advertised(&r, 1180, 1200, 2);
-    ck_assert(!cw_rate_on_peer(&r, &lifted, 10)); /* it may be older: it was in transit for up to 10 ms */
-    lifted.at_ms = 1211;
-    ck_assert(cw_rate_on_peer(&r, &lifted, 10));
+    ck_assert(!cw_rate_on_peer(&r, &withdrawn, 10)); /* it may be older: it was in transit for up to 10 ms */
+    withdrawn.at_ms = 1211;
+    ck_assert(cw_rate_on_peer(&r, &withdrawn, 10));
 }
 END_TEST
 
@@ -92,21 +92,21 @@
                           .seed = 7 + hosts + loss_percent};
 }
 
-static void expect_rate_kept(const rate_model_t* m) {
+static void expect_rate_respected(const rate_model_t* m) {
     ck_assert_msg(m->worst_ratio <= 1, "%u hosts, rate %.1f, loss %u: %.2f of what is allowed", m->hosts, m->per_s,
                   m->loss_percent, m->worst_ratio);
     ck_assert_msg(m->all_informed_ms >= 0 && m->all_informed_ms <= RATE_LEARN_MAX_MS, "known after %lld ms",
                   (long long)m->all_informed_ms);
 }
 
-/* The rate is kept, and used up when the demand exceeds it. */
+/* The hosts stay within the rate, and use it up when the demand exceeds it. */
 START_TEST(many_hosts_keep_a_rate_and_use_it) {
     static const uint32_t fleets[] = {6, 81, 300};
     for (uint32_t f = 0; f < 3; f++) {
         for (uint32_t r = 0; r < sizeof(rates) / sizeof(*rates); r++) {
             rate_model_t m = make_model(fleets[f], rates[r], 15 * (r % 3));
             rate_simulate(&m);
-            expect_rate_kept(&m);
+            expect_rate_respected(&m);
             ck_assert_msg(rates[r] <= 0 || m.utilization >= 0.8, "%u hosts use %.2f of a rate of %.1f", m.hosts,
                           m.utilization, m.per_s);
         }
@@ -127,7 +127,7 @@
             m.heal_ms = 15000;
             m.other_per_s = fault == 2 ? 2 * rates[r] : 0;
             rate_simulate(&m);
-            expect_rate_kept(&m);
+            expect_rate_respected(&m);
         }
     }
 }
@@ -139,7 +139,7 @@
     m.killed = 6;
     m.kill_ms = 3500;
     rate_simulate(&m);
-    expect_rate_kept(&m);
+    expect_rate_respected(&m);
     ck_assert_double_ge(m.utilization, 0.8);
 }
 END_TEST
