--- a/bench/bench_choose.c
+++ b/bench/bench_choose.c
@@ -46,23 +46,23 @@
         ids[i] = cw_mix(i, 3);
     }
     cw_balance_t* b = make_balance(size, ids, engines);
-    uint32_t records = size->engines * size->slots * 2 / 3;
-    for (uint32_t i = 0; i < records; i++) {
+    uint32_t report_count = size->engines * size->slots * 2 / 3;
+    for (uint32_t i = 0; i < report_count; i++) {
         add_report(b, size, ids, engines, &rng, 1000);
     }
     cw_work_t work = {
         .prompt_tokens = 9000, .target_ms = 2000, .gap_ms = 1000, .part_count = 2, .parts = {{1, 500}, {2, 4800}}};
     cost_t cost = {0};
-    double at = bench_cpu_s();
+    double start_s = bench_cpu_s();
     for (uint32_t i = 0; i < ROUNDS; i++) {
         cw_balance_choose(b, 1000 + i / 1000, &work, NULL, 0);
     }
-    cost.choose_us = (bench_cpu_s() - at) / ROUNDS * 1e6;
-    at = bench_cpu_s();
+    cost.choose_us = (bench_cpu_s() - start_s) / ROUNDS * 1e6;
+    start_s = bench_cpu_s();
     for (uint32_t i = 0; i < ROUNDS; i++) {
         add_report(b, size, ids, engines, &rng, 1000 + i / 1000);
     }
-    cost.report_us = (bench_cpu_s() - at) / ROUNDS * 1e6;
+    cost.report_us = (bench_cpu_s() - start_s) / ROUNDS * 1e6;
     cw_balance_shutdown(b);
     cw_free(NULL, engines);
     return cost;
--- a/bench/bench_fleet.c
+++ b/bench/bench_fleet.c
@@ -1,6 +1,6 @@
 /* Costs of a host in a large fleet: processor time to apply the first list of servers, a changed list and a changed
    fleet, and to choose a server; and traffic between members at the start of a fleet and during a rolling restart. The
-   former is measured on this process's processor clock, the latter on a simulated clock. */
+   processor time is measured on this process's processor clock, the traffic on a simulated clock. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <time.h>
--- a/bench/bench_rate.c
+++ b/bench/bench_rate.c
@@ -2,8 +2,8 @@
     Three strategies to share the rate that a server advertises among many hosts (tests/rate_model.h).
 
     Printed for each fleet, rate, message loss and fault: the most arrivals in a window as a share of those allowed (the
-    rate is violated above 1), the utilization of the rate, the times until all hosts know of the rate and of its
-    withdrawal, and the messages that a host receives per second.
+    rate is violated above 1), the utilization of the rate, the times until the rate is active at all hosts and, after
+    its withdrawal, at none, and the messages that a host receives per second.
 */
 #include <stdio.h>
 
