--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -4,8 +4,8 @@
     chalkway_balance.h -- choice of a server by predicted time to the first byte
 
     WHAT IT IS
-        One daemon's view of the servers of a pool: the requests that it runs
-        there itself, the load that other daemons last reported, and the speed
+        One host's view of the servers of a pool: the requests that it runs
+        there itself, the load that other hosts last reported, and the speed
         and failure rate of each server as learned from its own requests. The
         choice takes the server with the least predicted time to the first
         byte, plus the delay that the new prompt causes to the responses that
@@ -16,7 +16,7 @@
         prompt length is learned from the pool's own streams. Long prompts
         avoid servers whose streams they would delay beyond their gap limit,
         and streams that long prompts would delay are consolidated on few
-        servers, filled in an order that is the same in all daemons.
+        servers, filled in an order that is the same in all hosts.
 
         An engine prefills prompts one after the other, the more urgent ones
         first. A server's backlog for an urgency is therefore the time that it
@@ -38,7 +38,7 @@
 
     WHAT IT DOES NOT DO
         It has no sockets and no queue. See chalkway_load.h for the load
-        reports between daemons.
+        reports between hosts.
 
     LICENCE
         MIT, see LICENSE.
@@ -65,7 +65,7 @@
     uint32_t slots;
     uint32_t memory_tokens;    /* 0: not an engine */
     uint32_t cold_ms;          /* remaining slow start, from now */
-    double cold_per_s;         /* rate limit during slow start, over all daemons, requests per second; 0: no limit */
+    double cold_per_s;         /* rate limit during slow start, over all hosts, requests per second; 0: no limit */
     double fetch_ms_per_token; /* time to fetch one cached token from another server; 0: not supported */
 } cw_server_spec_t;
 
@@ -84,7 +84,7 @@
     cw_prompt_part_t parts[CW_PROMPT_PARTS]; /* the prompt from its start */
 } cw_work_t;
 
-/* Load of one daemon at one server. */
+/* Load of one host at one server. */
 typedef struct cw_load_t {
     uint32_t running;
     uint32_t gap_ms;                        /* strictest gap limit among its streams there; 0: none */
@@ -93,9 +93,9 @@
     uint32_t longest_prompt_tokens;         /* tokens of the longest unanswered prompt */
     uint32_t tokens;                        /* memory that its running requests use or will use */
     uint32_t event_interval_us;             /* learned event interval there while no prompt is prefilled; 0: unknown */
-    uint32_t failed_ago_ms;   /* since one of its connections to the server last failed; 0: not recently */
-    uint32_t answered_ago_ms; /* since it last sent a request there that was answered; 0: not recently */
-    cw_rate_state_t rate;     /* state of the server's advertised rate in the daemon's own recent responses */
+    uint32_t failed_ago_ms;   /* time since one of its connections to the server last failed; 0: not recently */
+    uint32_t answered_ago_ms; /* time since it last sent a request there that was answered; 0: not recently */
+    cw_rate_state_t rate;     /* state of the server's advertised rate in recent responses to this host */
     uint32_t rate_per_ks;     /* that rate, requests per 1,000 s */
     uint32_t rate_ago_ms;     /* age of that observation */
 } cw_load_t;
@@ -150,9 +150,9 @@
     uint64_t id;                /* of the server */
     double cost_ms;             /* cost by which servers are compared */
     double reserved_slots;      /* free slots reserved for requests with priority over this one, over all servers */
-    double wait_ms;             /* backlog of the server for the request's urgency, all daemons */
+    double wait_ms;             /* backlog of the server for the request's urgency, all hosts */
     double prefill_ms;          /* predicted prefill time of this prompt */
-    uint32_t running;           /* at the server, all daemons */
+    uint32_t running;           /* at the server, all hosts */
     uint32_t age_ms;            /* of the oldest load report that was used */
     uint32_t cached_tokens;     /* tokens of the prompt that are assumed to be cached there */
     uint64_t fetch_source;      /* id of the server to fetch more of the prompt from; 0: none */
@@ -169,12 +169,12 @@
     uint64_t hall;                  /* id of the own hall, preferred when all else is equal */
     uint64_t seed;                  /* id of the own host: breaks ties between servers of equal cost */
     uint32_t max_servers;           /* default 256; memory grows with the number in use */
-    uint32_t max_peers;             /* daemons whose load reports are kept for one server, default 128 */
+    uint32_t max_peers;             /* hosts whose load reports are stored for one server, default 128 */
     uint32_t max_parts;             /* capacity of the table of cached prompt parts, default 131072 */
-    uint32_t report_max_age_ms;     /* load reports of other daemons are ignored when older, default 1500 */
+    uint32_t report_max_age_ms;     /* load reports of other hosts are ignored when older, default 1500 */
     uint32_t probe_interval_ms;     /* time until the first probe of an unreachable server, default 250 */
     uint32_t probe_interval_max_ms; /* longest time between two such probes, default 4000 */
-    /* Whether this daemon is the only one that sends to the server during its slow start; NULL: always true. */
+    /* Whether this host is the only one that sends to the server during its slow start; NULL: always true. */
     bool (*owns_server)(void* user_data, uint64_t server);
     void* user_data;
     cw_allocator_t allocator;
@@ -235,7 +235,7 @@
 void cw_balance_on_event(cw_balance_t* b, int64_t now_ms, cw_run_t* run);
 /* Records the end of the request. */
 void cw_balance_end(cw_balance_t* b, int64_t now_ms, cw_run_t* run, cw_try_result_t result);
-/* Sets whether this daemon has an idle connection to the server; without one a request opens a new one. */
+/* Sets whether this host has an idle connection to the server; without one a request opens a new one. */
 void cw_balance_set_idle_connection(cw_balance_t* b, uint64_t id, bool has_idle_connection);
 /* Sets whether the server is unreachable. */
 void cw_balance_set_unreachable(cw_balance_t* b, int64_t now_ms, uint64_t id, bool is_unreachable);
@@ -255,15 +255,15 @@
 cw_throttled_t cw_balance_throttled(const cw_balance_t* b, int64_t now_ms);
 /* Whether this host's own responses showed a state of the server's rate that is to be sent to the peers. */
 bool cw_balance_has_rate_to_send(const cw_balance_t* b, int64_t now_ms, uint64_t id);
-/* Whether the server is suspected to be gone, by the reports of all daemons. */
+/* Whether the server is suspected to be gone, by the reports of all hosts. */
 bool cw_balance_is_suspected(const cw_balance_t* b, int64_t now_ms, uint64_t id);
 /* Returns the id of an unreachable server whose probe is due, and schedules its next one; 0: no probe is due. */
 uint64_t cw_balance_next_probe(cw_balance_t* b, int64_t now_ms);
-/* This daemon's load at the server. */
+/* This host's load at the server. */
 cw_load_t cw_balance_own_load(const cw_balance_t* b, int64_t now_ms, uint32_t server);
-/* Records the load report of another daemon. */
+/* Records the load report of another host. */
 void cw_balance_on_peer_load(cw_balance_t* b, int64_t now_ms, uint64_t peer, uint64_t server, const cw_load_t* load);
-/* Records that another daemon sent a prompt with this part to the server. */
+/* Records that another host sent a prompt with this part to the server. */
 void cw_balance_on_peer_prompt(cw_balance_t* b, uint64_t server, const cw_prompt_part_t* part);
 /* Known share 0..1 of slots in use, over the servers that don't throttle this host; 1 when there are none. */
 double cw_balance_utilization(const cw_balance_t* b, int64_t now_ms);
@@ -292,7 +292,7 @@
 #include "chalkway_stall.h"
 
 /* Slow start. */
-#define _CW_COLD_SHARE 0.8 /* of cold_per_s: two daemons may briefly both consider themselves the server's owner */
+#define _CW_COLD_SHARE 0.8 /* of cold_per_s: two hosts may briefly both consider themselves the server's owner */
 #define _CW_COLD_BURST 2.0 /* requests at once */
 
 /* Speed and failures of servers. */
@@ -366,10 +366,10 @@
 /* Time for which a server is excluded after it refused a request for lack of capacity. */
 #define _CW_FULL_EXCLUSION_MS 100
 
-/* The last load report of another daemon. */
+/* The last load report of another host. */
 typedef struct _cw_load_report_t {
     uint64_t peer;
-    int64_t at_ms;
+    int64_t at_ms; /* time of arrival */
     cw_load_t load;
 } _cw_load_report_t;
 
@@ -377,7 +377,7 @@
     cw_server_spec_t spec;
     bool is_used;      /* the table entry is in use */
     bool is_listed;    /* it may be chosen */
-    uint32_t position; /* in the fill order, which is the same in all daemons */
+    uint32_t position; /* in the fill order, which is the same in all hosts */
     uint32_t running;
     cw_gap_limits_t gap_limits; /* of own streams that have begun */
     uint64_t tokens;
@@ -404,7 +404,7 @@
     int64_t cold_until_ms;
     cw_bucket_t cold;           /* rate limit until then */
     uint64_t prefilled_tokens;  /* all tokens prefilled there, as far as known */
-    _cw_load_report_t* reports; /* of daemons with load there; most servers of a large pool have none */
+    _cw_load_report_t* reports; /* of hosts with load there; most servers of a large pool have none */
     uint32_t report_count, report_capacity;
 } _cw_server_t;
 
@@ -540,7 +540,7 @@
     return (a > b) - (a < b);
 }
 
-/* Computes the fill order: it depends on the servers' ids only, so it is the same in all daemons. */
+/* Computes the fill order: it depends on the servers' ids only, so it is the same in all hosts. */
 static void _cw_balance_sort_servers(cw_balance_t* b) {
     b->listed_count = 0;
     for (uint32_t i = 0; i < b->entry_count; i++) {
@@ -618,7 +618,7 @@
 
 /* -- prediction ----------------------------------------------------------- */
 
-/* Known load of all daemons at a server. */
+/* Known load of all hosts at a server. */
 typedef struct _cw_total_load_t {
     uint32_t running, streaming, gap_ms, longest_prompt_tokens, age_ms; /* age_ms: of the oldest report used */
     double tokens;
@@ -635,7 +635,7 @@
     sum->gap_ms = gap_ms;
 }
 
-/* Time until this daemon's pending prompts at the server, at least as urgent, are prefilled; 0 for plain calls. */
+/* Time until this host's pending prompts at the server, at least as urgent, are prefilled; 0 for plain calls. */
 static double _cw_balance_own_backlog_ms(const _cw_server_t* s, int64_t now_ms, uint32_t urgency) {
     return s->spec.memory_tokens ? cw_backlog_ms(&s->backlog, now_ms, urgency) : 0;
 }
@@ -666,9 +666,9 @@
         sum.tokens += report->load.tokens;
         _cw_balance_add_gap_limit(&sum, report->load.gap_ms, report->load.streaming);
         sum.wait_ms += _cw_balance_remaining_ms(report->load.backlog_ms[urgency], age_ms);
-        double all_ms = _cw_balance_remaining_ms(report->load.backlog_ms[CW_URGENCY_LEVELS - 1], age_ms);
-        if (all_ms > 0) {
-            sum.backlog_ms += all_ms;
+        double all_urgencies_ms = _cw_balance_remaining_ms(report->load.backlog_ms[CW_URGENCY_LEVELS - 1], age_ms);
+        if (all_urgencies_ms > 0) {
+            sum.backlog_ms += all_urgencies_ms;
             sum.longest_prompt_tokens = report->load.longest_prompt_tokens > sum.longest_prompt_tokens
                                             ? report->load.longest_prompt_tokens
                                             : sum.longest_prompt_tokens;
@@ -717,7 +717,7 @@
     _cw_balance_update_fastest(b, s, old_interval_ms);
 }
 
-/* Applies the event interval that another daemon has learned, while this one has few samples of its own. */
+/* Applies the event interval that another host has learned, while this one has few samples of its own. */
 static void _cw_balance_merge_interval(cw_balance_t* b, _cw_server_t* s, uint32_t event_interval_us) {
     if (!event_interval_us || s->interval_samples > _CW_INTERVAL_SAMPLES_MIN) {
         return;
@@ -944,7 +944,7 @@
            _cw_balance_is_late_for_more_urgent(b, s, now_ms, cw_urgency_level(work->urgency), wait_ms);
 }
 
-/* Whether slow start permits a request to the server now: a single daemon sends there, below its rate limit. */
+/* Whether slow start permits a request to the server now: a single host sends there, below its rate limit. */
 static bool _cw_balance_can_send_cold(const cw_balance_t* b, const _cw_server_t* s, int64_t now_ms) {
     if (now_ms >= s->cold_until_ms || s->spec.cold_per_s <= 0) {
         return true;
@@ -1510,7 +1510,7 @@
     return load->running || load->streaming || load->tokens || load->backlog_ms[CW_URGENCY_LEVELS - 1];
 }
 
-/* Merges the failures and responses that another daemon observed. Its report may have been in transit for
+/* Merges the failures and responses that another host observed. Its report may have been in transit for
  * propagation_ms. */
 static void _cw_balance_merge_suspicion(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer,
                                         const cw_load_t* load) {
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -1,7 +1,7 @@
 #ifndef CHALKWAY_LOAD_H
 #define CHALKWAY_LOAD_H
 /*
-    chalkway_load.h -- datagram with a daemon's load reports
+    chalkway_load.h -- datagram with a host's load reports
 
     WHAT IT IS
         Each datagram is one msgpack array: version, cluster, sender, the
@@ -47,7 +47,7 @@
     cw_prompt_part_t parts[CW_LOAD_PARTS];
 } cw_load_entry_t;
 
-/* The configuration and list of servers that a daemon has from the source. The ages count from the time at which they
+/* The configuration and list of servers that a host has from the source. The ages count from the time at which they
    were last confirmed to be current at the source. */
 typedef struct cw_source_state_t {
     uint64_t revision; /* of the active configuration, 0: none */
@@ -68,9 +68,9 @@
 } cw_load_message_t;
 
 /* Adds ms to both ages. A received state was current when it was sent, so its transit time has to be added: otherwise
-   daemons that confirm each other's state would keep its age low forever. */
+   hosts that confirm each other's state would keep its age low forever. */
 void cw_source_state_add_age(cw_source_state_t* source_state, uint32_t ms);
-/* Heartbeat interval of the daemon with this rank among the live ones: the longest time between two of its datagrams.
+/* Heartbeat interval of the host with this rank among the live ones: the longest time between two of its datagrams.
    The first ranks poll the source and send often. The others only repeat the source state, and since every host
    receives every other one's datagrams, their interval grows with the fleet. */
 uint32_t cw_load_heartbeat_interval_ms(uint32_t rank, uint32_t live);
@@ -88,8 +88,8 @@
 #include <msgpack.h>
 #include <string.h>
 
-#define _CW_LOAD_HEARTBEAT_MS 100    /* of the first ranks, and of all daemons in a small fleet */
-#define _CW_LOAD_HEARTBEAT_STEP_MS 8 /* of the others, for each live daemon */
+#define _CW_LOAD_HEARTBEAT_MS 100    /* of the first ranks, and of all hosts in a small fleet */
+#define _CW_LOAD_HEARTBEAT_STEP_MS 8 /* of the others, for each live host */
 #define _CW_LOAD_FIRST_RANKS 3
 #define _CW_LOAD_HEAD_FIELDS 9 /* fields before the entries; the last one is the array of quarantine observations */
 #define _CW_LOAD_OBSERVATION_FIELDS 5 /* numbers of an observation */
