--- a/chalkway_contention.h
+++ b/chalkway_contention.h
@@ -48,7 +48,7 @@
     cw_contention_level_t level[CW_URGENCY_LEVELS];
 } cw_contention_t;
 
-/* A server that this host wants to use, and the hosts that compete for it. */
+/* A server that this host may choose for a request, and the hosts that compete for its slots. */
 typedef struct cw_contention_use_t {
     uint64_t server;
     double free_slots; /* free slots there, as far as known */
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -105,8 +105,9 @@
         first_attempts += w->first_attempts[i];
         retries += w->retries[i];
     }
-    double share = w->slack / (w->daemons ? w->daemons : 1);
-    return retries + 1 <= w->ratio * first_attempts * CW_RETRY_WINDOW_SLICES / (CW_RETRY_WINDOW_SLICES + 1) + share;
+    double slack_share = w->slack / (w->daemons ? w->daemons : 1);
+    return retries + 1 <=
+           w->ratio * first_attempts * CW_RETRY_WINDOW_SLICES / (CW_RETRY_WINDOW_SLICES + 1) + slack_share;
 }
 
 bool cw_retry_window_take(cw_retry_window_t* w, int64_t now_ms) {
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -56,7 +56,7 @@
     uint64_t prefix;  /* hash of the prompt's start, 0: none */
     uint64_t hall;    /* hall to prefer, 0: none */
     uint64_t exclude; /* upstream to avoid, 0: none */
-    uint32_t keep;    /* slots of the shard that must stay free after this request took one */
+    uint32_t keep;    /* slots of the shard that must stay free after this request has taken one */
 } cw_pick_query_t;
 
 typedef struct cw_pick_desc_t {
@@ -154,8 +154,8 @@
 }
 
 void cw_pick_shutdown(cw_pick_t* pick) {
-    cw_allocator_t a = pick->desc.allocator;
-    cw_free(&a, pick);
+    cw_allocator_t allocator = pick->desc.allocator;
+    cw_free(&allocator, pick);
 }
 
 uint32_t cw_pick_find(const cw_pick_t* pick, uint64_t id) {
@@ -226,9 +226,9 @@
     return (double)(up->inflight + _cw_pick_external(pick, now_ms, up)) / slots;
 }
 
-/* Expected time to finish one unit of cost at the upstream. */
-static double _cw_pick_score(const cw_pick_upstream_t* up, const cw_pick_query_t* query, double load, double mean) {
-    double ms = up->ms_per_cost > 0 ? up->ms_per_cost : mean;
+/* Expected time, ms, to finish one unit of cost at the upstream; longer where it is not in the preferred hall. */
+static double _cw_pick_score(const cw_pick_upstream_t* up, const cw_pick_query_t* query, double load, double mean_ms) {
+    double ms = up->ms_per_cost > 0 ? up->ms_per_cost : mean_ms;
     double score = ms * (0.5 + load);
     return (query->hall && query->hall != up->spec.hall) ? score * _CW_PICK_OTHER_HALL_FACTOR : score;
 }
@@ -289,8 +289,8 @@
     double affinity_load = 0;
     double load_sum = 0;
     uint32_t usable_count = 0;
-    double mean = cw_pick_ms_per_cost(pick);
-    mean = mean > 0 ? mean : 1.0;
+    double mean_ms = cw_pick_ms_per_cost(pick);
+    mean_ms = mean_ms > 0 ? mean_ms : 1.0;
     for (uint32_t i = 0; i < pick->count; i++) {
         const cw_pick_upstream_t* up = &pick->ups[i];
         uint32_t slots = _cw_pick_slots(pick, now_ms, up);
@@ -309,7 +309,7 @@
             excluded = i;
             continue;
         }
-        double score = _cw_pick_score(up, query, load, mean);
+        double score = _cw_pick_score(up, query, load, mean_ms);
         if (best == CW_PICK_NONE || score < best_score) {
             best = i;
             best_score = score;
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -80,7 +80,7 @@
     cw_rate_observation_t observation; /* the active one, whichever host observed it */
     cw_rate_observation_t own;         /* the last one from a response to this host */
     int64_t advertised_ms, withdrawn_ms;
-    uint32_t owners;
+    uint32_t owner_count;
     bool is_owner; /* this host is one of the owners */
     cw_bucket_t share_bucket;
 } cw_rate_t;
@@ -196,13 +196,13 @@
     uint32_t count = hosts->count ? hosts->count : 1;
     double owners_needed = ceil(per_s / _CW_RATE_OWNER_PER_S);
     bool was_owner = r->is_owner;
-    r->owners = owners_needed < count ? (uint32_t)owners_needed : count;
-    r->is_owner = !hosts->count || cw_rendezvous_rank(hosts->server, hosts->own, hosts->ids, count) < r->owners;
+    r->owner_count = owners_needed < count ? (uint32_t)owners_needed : count;
+    r->is_owner = !hosts->count || cw_rendezvous_rank(hosts->server, hosts->own, hosts->ids, count) < r->owner_count;
     if (!was_owner) {
         r->share_bucket = (cw_bucket_t){.started = true, .at_ms = now_ms};
     }
-    double share = (double)count / (count + hosts->missing);
-    cw_bucket_set_rate(&r->share_bucket, now_ms, per_s * share / r->owners, _CW_RATE_BURST);
+    double live_share = (double)count / (count + hosts->missing);
+    cw_bucket_set_rate(&r->share_bucket, now_ms, per_s * live_share / r->owner_count, _CW_RATE_BURST);
 }
 
 uint32_t cw_rate_wait_ms(const cw_rate_t* r, int64_t now_ms) {
--- a/chalkway_stall.h
+++ b/chalkway_stall.h
@@ -23,7 +23,7 @@
 */
 #include "chalkway_core.h"
 
-#define CW_STALL_LENGTHS 20 /* number of length classes of prompts, two for each power of two */
+#define CW_STALL_LENGTH_CLASSES 20 /* two for each power of two of the prompt length */
 
 /* Updates an estimate of a quantile of a changing value with a sample: the estimate moves towards a larger sample by
    the share up of the distance, towards a smaller one by the share down. Returns the new estimate. */
@@ -31,8 +31,8 @@
 
 /* All zero: no samples. */
 typedef struct cw_stalls_t {
-    double stall_ms[CW_STALL_LENGTHS]; /* 0: no samples */
-    uint32_t samples[CW_STALL_LENGTHS];
+    double stall_ms[CW_STALL_LENGTH_CLASSES]; /* 0: no samples */
+    uint32_t samples[CW_STALL_LENGTH_CLASSES];
 } cw_stalls_t;
 
 /* Records a gap of stall_ms between events of a stream while a prompt of so many tokens was prefilled. */
@@ -66,7 +66,7 @@
 
 static uint32_t _cw_stalls_length_class(uint32_t tokens) {
     double halves = tokens > _CW_STALL_LENGTH_MIN ? 2 * log2(tokens / _CW_STALL_LENGTH_MIN) : 0;
-    return halves < CW_STALL_LENGTHS - 1 ? (uint32_t)halves : CW_STALL_LENGTHS - 1;
+    return halves < CW_STALL_LENGTH_CLASSES - 1 ? (uint32_t)halves : CW_STALL_LENGTH_CLASSES - 1;
 }
 
 void cw_stalls_learn(cw_stalls_t* s, uint32_t tokens, double stall_ms) {
