--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -285,22 +285,24 @@
         abort();
     }
     model_run_t* r = &m->run[i];
-    model_class_t* k = &m->classes[class_index];
+    model_class_t* request_class = &m->classes[class_index];
     *r = (model_run_t){.stage = MODEL_WAITING,
                        .host = rng_below(&m->rng, m->hosts),
                        .class_index = class_index,
-                       .work = k->work,
+                       .work = request_class->work,
                        .arrived_ms = m->now_ms,
-                       .generate_ms = k->generate_ms / 2 + rng_below(&m->rng, k->generate_ms + 1)};
-    k->arrived++;
+                       .generate_ms =
+                           request_class->generate_ms / 2 + rng_below(&m->rng, request_class->generate_ms + 1)};
+    request_class->arrived++;
     cw_balance_t* b = m->balance[r->host];
-    cw_balance_on_request(b, m->now_ms, &k->work);
-    r->work.is_light = cw_balance_is_light(b, m->now_ms, &k->work);
-    r->wait = cw_queue_wait(&(cw_queue_wait_desc_t){.now_ms = m->now_ms,
-                                                    .caller_gone_ms = m->now_ms + k->caller_timeout_ms,
-                                                    .target_ms = k->work.target_ms,
-                                                    .shortest_target_ms = cw_balance_shortest_target_ms(b),
-                                                    .is_delay_tolerant = cw_balance_is_delay_tolerant(b, &k->work)});
+    cw_balance_on_request(b, m->now_ms, &request_class->work);
+    r->work.is_light = cw_balance_is_light(b, m->now_ms, &request_class->work);
+    r->wait = cw_queue_wait(
+        &(cw_queue_wait_desc_t){.now_ms = m->now_ms,
+                                .caller_gone_ms = m->now_ms + request_class->caller_timeout_ms,
+                                .target_ms = request_class->work.target_ms,
+                                .shortest_target_ms = cw_balance_shortest_target_ms(b),
+                                .is_delay_tolerant = cw_balance_is_delay_tolerant(b, &request_class->work)});
     model_try_place(m, r);
 }
 
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -329,8 +329,8 @@
         for (uint32_t k = i; k != UINT32_MAX && sim->sends[k].at_ms > end_ms - RATE_WINDOW_MS; k--) {
             arrivals += sim->sends[k].is_counted && sim->sends[k].at_ms >= from_ms;
         }
-        double share = arrivals / rate_allowed(m, end_ms + 1);
-        m->worst_ratio = share > m->worst_ratio ? share : m->worst_ratio;
+        double ratio = arrivals / rate_allowed(m, end_ms + 1);
+        m->worst_ratio = ratio > m->worst_ratio ? ratio : m->worst_ratio;
     }
     double span_s = (double)(m->advertised_until_ms - from_ms - RATE_LEARN_MAX_MS) / 1000;
     double mean = m->other_per_s > 0 ? (m->per_s + m->other_per_s) / 2 : m->per_s;
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -150,7 +150,7 @@
 END_TEST
 
 /* An engine that prefills a token in 20 us. Every other prompt also waits, for a slot or behind a prompt of another
-   daemon that was not reported yet: these waits must not raise the learned prefill time. */
+   host that was not reported yet: these waits must not raise the learned prefill time. */
 START_TEST(unreported_waits_do_not_raise_the_prefill_time) {
     cw_balance_t* b = make_engines(1);
     int64_t now_ms = 0;
@@ -377,7 +377,7 @@
     cw_run_t stream;
     uint64_t stream_server = choose_and_begin(b, 0, &chat, &stream);
     cw_balance_on_first_byte(b, 20, &stream);
-    for (int i = 0; i < 20; i++) { /* another daemon's long prompt at the same server, and long gaps */
+    for (int i = 0; i < 20; i++) { /* another host's long prompt at the same server, and long gaps */
         int64_t now_ms = 100 + i * 200;
         cw_balance_on_peer_load(b, now_ms, 7, stream_server,
                                 &(cw_load_t){.running = 1, .backlog_ms = BACKLOG(900), .longest_prompt_tokens = 20000});
@@ -394,7 +394,7 @@
 }
 END_TEST
 
-/* A server that one daemon found slow gets no streams with a gap limit from any daemon. */
+/* A server that one host found slow gets no streams with a gap limit from any host. */
 START_TEST(the_event_interval_of_a_server_is_reported) {
     cw_balance_t* reporter = make_engines(2);
     cw_balance_t* b = make_engines(2);
@@ -485,12 +485,12 @@
     }
     ck_assert(cw_contention_may_use(&c, 3000, &use));
     cw_contention_set_waiting(&c, 3000, 0, 20); /* but while requests wait at all hosts, the hosts take turns */
-    uint32_t allowed_count = 0;
+    uint32_t allowed_servers = 0;
     for (use.server = 0; use.server < 100; use.server++) {
-        allowed_count += cw_contention_may_use(&c, 4000, &use);
+        allowed_servers += cw_contention_may_use(&c, 4000, &use);
     }
-    ck_assert_uint_ge(allowed_count, 5);
-    ck_assert_uint_le(allowed_count, 20); /* one of nine hosts at a time */
+    ck_assert_uint_ge(allowed_servers, 5);
+    ck_assert_uint_le(allowed_servers, 20); /* one of nine hosts at a time */
 }
 END_TEST
 
@@ -498,15 +498,15 @@
 START_TEST(delay_tolerant_requests_do_not_compete_with_urgent_ones) {
     cw_contention_t c = {.seed = 3};
     cw_contention_set_waiting(&c, 1000, 5, 20);
-    uint32_t allowed_counts[2] = {0};
+    uint32_t allowed_servers[2] = {0};
     for (uint64_t server = 0; server < 100; server++) {
         cw_contention_use_t use = {.server = server, .free_slots = 1, .hosts = 80, .delay_ms = 12};
-        allowed_counts[0] += cw_contention_may_use(&c, 3000, &use);
+        allowed_servers[0] += cw_contention_may_use(&c, 3000, &use);
         use.urgency = 5;
-        allowed_counts[1] += cw_contention_may_use(&c, 3000, &use);
+        allowed_servers[1] += cw_contention_may_use(&c, 3000, &use);
     }
-    ck_assert_uint_eq(allowed_counts[0], 100);
-    ck_assert_uint_le(allowed_counts[1], 10);
+    ck_assert_uint_eq(allowed_servers[0], 100);
+    ck_assert_uint_le(allowed_servers[1], 10);
 }
 END_TEST
 
@@ -545,7 +545,7 @@
     return server % 2;
 }
 
-/* Servers 1 and 2 are cold for a second and accept ten requests in it; this daemon owns the first one only. */
+/* Servers 1 and 2 are cold for a second and accept ten requests in it; this host owns the first one only. */
 START_TEST(a_cold_server_gets_a_limited_rate_from_one_daemon) {
     cw_balance_t* b = cw_balance_setup(&(cw_balance_desc_t){.seed = 5, .owns_server = is_odd});
     cw_server_spec_t specs[2] = {{.id = 1, .slots = 200, .memory_tokens = 1000000, .cold_ms = 1000, .cold_per_s = 10},
--- a/tests/test_pool_load.c
+++ b/tests/test_pool_load.c
@@ -87,16 +87,16 @@
 
 /* Nearly four times the usual rate of long prompts, a third more than the engines have slots for, and their responses
    take longer side by side. Demand exceeds the capacity, so no slot may stay free while requests are refused, except
-   those that short classes will need; these few requests still have to find one. With time slices among all 81 hosts
-   and nine tenths of the slots in the plan, the utilization was 0.845; with contenders of any urgency, 57 short
-   requests were refused in three bursts. */
+   those that short classes will need; the few requests of these classes still have to find one. With time slices among
+   all 81 hosts and nine tenths of the slots in the plan, the utilization was 0.845; with contenders of any urgency, 57
+   short requests were refused in three bursts. */
 START_TEST(a_burst_of_long_prompts_fills_the_slots_without_refusing_urgent_requests) {
     model_t* m = run_burst((uint64_t)_i + 1, 220, 560);
     ck_assert_double_ge(model_utilization(m), 0.89);
     ck_assert_uint_le(m->classes[0].refused + m->classes[1].refused, 2);
     ck_assert_uint_gt(m->classes[2].refused, 300); /* the load was a burst */
-    ck_assert_uint_le(m->overcommitted,
-                      count_started(m) / 20); /* one in twenty takes a slot that another one has just taken */
+    /* At most one request in twenty is sent for a slot that another host has just used. */
+    ck_assert_uint_le(m->overcommitted, count_started(m) / 20);
     model_shutdown(m);
 }
 END_TEST
@@ -182,15 +182,15 @@
 END_TEST
 
 START_TEST(about_one_host_at_a_time_probes_a_suspected_server) {
-    uint32_t tries = 0;
+    uint32_t probes = 0;
     for (uint64_t host = 1; host <= 80; host++) {
         cw_suspect_t s = {0};
         for (int64_t now_ms = 200; now_ms <= 20000; now_ms += 200) { /* 100 time slices */
-            tries += cw_suspect_may_probe(&s, now_ms, host, 5, 80);
+            probes += cw_suspect_may_probe(&s, now_ms, host, 5, 80);
         }
     }
-    ck_assert_uint_ge(tries, 50);
-    ck_assert_uint_le(tries, 200);
+    ck_assert_uint_ge(probes, 50);
+    ck_assert_uint_le(probes, 200);
     cw_suspect_t own = {0};
     cw_suspect_on_own_failure(&own, 1, 1000);
     ck_assert(!cw_suspect_may_probe(&own, 1100, 1, 5, 1)); /* its last probe has just failed */
