--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -14,7 +14,7 @@
 #define STARTUP_GRACE_MS 500      /* a process without a configuration for longer takes its source for unavailable */
 #define DETACHED_TIMEOUT_MS 2000  /* time for a detached request, which can't be retried, to complete */
 
-static void run_actions(exchange_t* x, uint32_t todo);
+static void run_actions(exchange_t* x, uint32_t actions);
 
 static uint64_t next_random(exchanges_t* e) {
     return cw_mix(e->desc.seed, ++e->random_count);
@@ -209,24 +209,24 @@
     }
 }
 
-static void run_actions(exchange_t* x, uint32_t todo) {
-    if (todo & CW_DO_ABORT) {
+static void run_actions(exchange_t* x, uint32_t actions) {
+    if (actions & CW_DO_ABORT) {
         abort_attempt(x);
     }
-    pool_t* freed = todo & CW_DO_RELEASE_SLOT ? x->pool : NULL;
+    pool_t* freed = actions & CW_DO_RELEASE_SLOT ? x->pool : NULL;
     exchanges_t* e = x->exchanges;
     if (freed) {
         release_server(x);
     }
-    if (todo & CW_DO_CANCEL_SLOT_REQUEST) {
+    if (actions & CW_DO_CANCEL_SLOT_REQUEST) {
         exchange_dequeue(x);
     }
-    if (todo & CW_DO_RESPOND) {
+    if (actions & CW_DO_RESPOND) {
         send_outcome(x);
     }
     if (x->fsm.state == CW_REQ_ENDED) {
         exchange_free(x);
-    } else if (todo & CW_DO_REQUEST_SLOT) {
+    } else if (actions & CW_DO_REQUEST_SLOT) {
         exchange_assign_server(x);
     } else if (x->fsm.state == CW_REQ_DETACHED) {
         x->deadline_ms = clock_ms() + DETACHED_TIMEOUT_MS;
@@ -239,9 +239,9 @@
 
 void exchange_handle_event(exchange_t* x, cw_request_event_t e) {
     x->fsm.retry_allowed = cw_retry_window_has_room(&x->pool->retries, clock_ms());
-    uint32_t todo = cw_request_event(&x->fsm, e);
-    if (todo || x->fsm.state == CW_REQ_ENDED) {
-        run_actions(x, todo);
+    uint32_t actions = cw_request_event(&x->fsm, e);
+    if (actions || x->fsm.state == CW_REQ_ENDED) {
+        run_actions(x, actions);
     }
 }
 
--- a/gateway/exchange.h
+++ b/gateway/exchange.h
@@ -28,7 +28,7 @@
     upstreams_t* upstreams;
     quarantine_t* quarantine; /* must outlive the exchanges */
     uint64_t seed;
-    uint32_t startup_grace_ms; /* no configuration for longer: its source counts as unavailable; default 500 */
+    uint32_t startup_grace_ms; /* without a configuration for longer, the source counts as unavailable; default 500 */
     /* An attempt at the server began (work set) or ended (work NULL); other hosts need the new load. */
     void (*on_load_changed)(void* user_data, const server_t* server, const cw_work_t* work);
     /* A connection to the server failed, or a server that other hosts suspect has responded; notify them at once. */
--- a/gateway/exchange_assign.c
+++ b/gateway/exchange_assign.c
@@ -63,7 +63,7 @@
 }
 
 void exchange_refuse(exchange_t* x, const char* why) {
-    const cw_occupancy_t* holding = cw_balance_occupancy(x->pool->balance);
+    const cw_occupancy_t* occupancy = cw_balance_occupancy(x->pool->balance);
     const pool_t* pool = x->pool;
     const cw_choice_t* c = &x->choice;
     const server_t* best = c->server == CW_BALANCE_NONE ? NULL : upstreams_server(x->exchanges->desc.upstreams, c->id);
@@ -81,9 +81,9 @@
         c->excluded.tried, c->excluded.unreachable, c->excluded.cold, c->excluded.backing_off, c->excluded.rate_limited,
         c->excluded.suspected, c->excluded.no_slot, c->reserved_slots,
         cw_balance_utilization(pool->balance, clock_ms()), c->age_ms, (long long)(clock_ms() - x->arrived_ms),
-        count_ahead(x), cw_occupancy_running(holding, 0, x->work.urgency),
-        cw_occupancy_running(holding, x->work.urgency + 1, CW_URGENCY_LEVELS - 1),
-        cw_occupancy_hold_ms(holding, x->work.urgency), (long long)x->catalog->revision);
+        count_ahead(x), cw_occupancy_running(occupancy, 0, x->work.urgency),
+        cw_occupancy_running(occupancy, x->work.urgency + 1, CW_URGENCY_LEVELS - 1),
+        cw_occupancy_hold_ms(occupancy, x->work.urgency), (long long)x->catalog->revision);
     exchange_handle_event(x, CW_EV_REFUSED);
 }
 
@@ -143,13 +143,13 @@
 }
 
 /* Whether all untried servers are throttled (backoff or advertised rate) and none accepts a request from this host
-   before x would be refused. opens_ms: time until the first one does, 0: unknown. */
+   before x would be refused. opens_ms: time until the first of them accepts one, 0: unknown. */
 static bool are_all_throttled(const exchange_t* x, uint32_t opens_ms) {
-    const cw_excluded_t* left = &x->choice.excluded;
-    uint32_t throttled = left->backing_off + left->rate_limited;
+    const cw_excluded_t* excluded = &x->choice.excluded;
+    uint32_t throttled = excluded->backing_off + excluded->rate_limited;
     cw_queue_wait_t wait = x->is_queued ? x->wait : slot_wait(x);
     bool is_in_time = opens_ms && clock_ms() + opens_ms < wait.until_ms;
-    return throttled && left->tried + throttled >= x->pool->ready && !is_in_time;
+    return throttled && excluded->tried + throttled >= x->pool->ready && !is_in_time;
 }
 
 /* Reserves a retry when the retry is decided, not when it is sent. Otherwise requests whose connections break together
@@ -200,8 +200,8 @@
     }
     if (x->choice.server != CW_BALANCE_NONE) {
         exchange_dequeue(x);
-        uint32_t todo = cw_request_event(&x->fsm, CW_EV_GRANT);
-        if (todo & CW_DO_CONNECT) {
+        uint32_t actions = cw_request_event(&x->fsm, CW_EV_GRANT);
+        if (actions & CW_DO_CONNECT) {
             exchange_start_attempt(x);
         }
         return;
--- a/gateway/exchange_attempt.c
+++ b/gateway/exchange_attempt.c
@@ -120,8 +120,8 @@
     x->head_framing = head->framing == CW_FRAMING_UNTIL_CLOSE ? CW_FRAMING_CHUNKED : head->framing;
     x->head_length = head->length;
     x->status = head->status;
-    bool events = x->head_framing == CW_FRAMING_CHUNKED && head->status / 100 == 2;
-    x->fsm.resumable = x->route->kind == CW_ROUTE_STREAM && x->route->is_resumable && events;
+    bool is_event_stream = x->head_framing == CW_FRAMING_CHUNKED && head->status / 100 == 2;
+    x->fsm.resumable = x->route->kind == CW_ROUTE_STREAM && x->route->is_resumable && is_event_stream;
     x->is_resumable_stream = x->fsm.resumable;
 }
 
@@ -214,8 +214,8 @@
         return;
     }
     cw_sse_feed(&x->events, data, size);
-    for (cw_bytes_view_t whole = cw_sse_take(&x->events); whole.size; whole = cw_sse_take(&x->events)) {
-        forward_body(x, whole.data, whole.size);
+    for (cw_bytes_view_t events = cw_sse_take(&x->events); events.size; events = cw_sse_take(&x->events)) {
+        forward_body(x, events.data, events.size);
     }
     arm_next_event_timeout(x);
     exchange_set_timer(x);
--- a/gateway/exchange_internal.h
+++ b/gateway/exchange_internal.h
@@ -38,7 +38,7 @@
     int64_t verdict_due_ms; /* the quarantine verdict is undecided until then; 0: decided */
     /* current attempt */
     server_t* server;
-    char server_id[CW_NAME_MAX];            /* of the last attempt, kept for the log */
+    char server_id[CW_NAME_MAX];            /* of the last attempt; logged when the request ends */
     char fetch_from[CW_SERVER_ADDRESS_MAX]; /* address of a server with more of the prompt in its cache; "": none */
     upstream_conn_t* conn;
     cw_run_t run;
@@ -98,7 +98,8 @@
 void exchange_assign_server(exchange_t* x);
 /* Refuses a request that is queued or has just arrived, and logs the inputs of the last choice of a server. */
 void exchange_refuse(exchange_t* x, const char* why);
-/* Asks the quarantine about the request. True: it is quarantined and has been refused, or it waits for a verdict. */
+/* Checks the request against the quarantine. True: it is quarantined and has been refused, or it waits for a verdict.
+ */
 bool exchange_check_quarantine(exchange_t* x);
 void exchange_dequeue(exchange_t* x);
 /* The queued request can hardly meet its target any more: moves it behind those that still can. May free it. */
--- a/gateway/frontend.c
+++ b/gateway/frontend.c
@@ -190,8 +190,8 @@
     return cw_stream_unsent_bytes(&c->stream);
 }
 
-void caller_end_response(caller_t* c, bool whole) {
-    if (!whole) {
+void caller_end_response(caller_t* c, bool is_complete) {
+    if (!is_complete) {
         c->front->stats.active--;
         cw_stream_abort(&c->stream);
         caller_free(c);
--- a/gateway/frontend.h
+++ b/gateway/frontend.h
@@ -61,7 +61,7 @@
 void caller_write(caller_t* c, const void* data, size_t size);
 /* Bytes written but not sent yet. */
 size_t caller_unsent_bytes(const caller_t* c);
-/* Ends a response in pieces. whole = false resets the connection. Ends the use of the handle. */
-void caller_end_response(caller_t* c, bool whole);
+/* Ends a response in pieces. is_complete = false resets the connection. Ends the use of the handle. */
+void caller_end_response(caller_t* c, bool is_complete);
 
 #endif
