--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -37,8 +37,8 @@
     }
     uint32_t index = cw_map_get(&u->by_key, s->key);
     cw_map_remove(&u->by_key, s->key);
-    if (cw_map_get(&u->by_name, s->id_hash) == index) {
-        cw_map_remove(&u->by_name, s->id_hash);
+    if (cw_map_get(&u->by_id, s->id_hash) == index) {
+        cw_map_remove(&u->by_id, s->id_hash);
     }
     u->servers[index] = NULL;
     u->free_indexes[u->free_count++] = index;
@@ -145,10 +145,10 @@
     if (!cw_subset_expand(&pool->subset, now_ms)) {
         return false;
     }
-    uint32_t before = pool->ready;
+    uint32_t previous_ready = pool->ready;
     pool_update_servers(pool, now_ms);
     cw_log(pool->upstreams->desc.log, CW_EVENT_POOL_WIDENED, "pool=%s servers=%u was=%u of=%u", pool->name, pool->ready,
-           before, pool->listed);
+           previous_ready, pool->listed);
     return true;
 }
 
@@ -167,7 +167,7 @@
         u->free_indexes[u->free_count++] = index;
     }
     cw_map_reserve(&u->by_key, capacity);
-    cw_map_reserve(&u->by_name, capacity);
+    cw_map_reserve(&u->by_id, capacity);
     u->capacity = capacity;
 }
 
@@ -209,7 +209,7 @@
     s->published.started_ms = published->started_ms;
     s->is_leaving = s->is_retired = s->is_removed = was_leaving(u, key);
     cw_map_put(&u->by_key, key, index);
-    cw_map_put(&u->by_name, s->id_hash, index);
+    cw_map_put(&u->by_id, s->id_hash, index);
     s->pool = pool_get(u, published->pool);
     s->address = address;
     s->next = s->pool->servers;
@@ -219,7 +219,7 @@
 
 /* The current incarnation of the server. */
 static server_t* find_by_id(const upstreams_t* u, const char* id) {
-    uint32_t index = cw_map_get(&u->by_name, cw_name_id(id));
+    uint32_t index = cw_map_get(&u->by_id, cw_name_id(id));
     return index == CW_MAP_NONE ? NULL : u->servers[index];
 }
 
@@ -264,7 +264,7 @@
         return server_new(u, published);
     }
     known->is_retired = known->is_leaving; /* another writer's entry had retired it; the source lists it as alive */
-    cw_map_put(&u->by_name, known->id_hash, cw_map_get(&u->by_key, known->key));
+    cw_map_put(&u->by_id, known->id_hash, cw_map_get(&u->by_key, known->key));
     return known;
 }
 
@@ -434,20 +434,20 @@
     return u->connects;
 }
 
-void server_log_suspicion(const server_t* server, int64_t now_ms, bool before, uint64_t host) {
+void server_log_suspicion(const server_t* server, int64_t now_ms, bool was_suspected, uint64_t host) {
     bool is_suspected = cw_balance_is_suspected(server->pool->balance, now_ms, server->key);
-    if (is_suspected != before) {
+    if (is_suspected != was_suspected) {
         cw_log(server->pool->upstreams->desc.log, is_suspected ? CW_EVENT_SERVER_SUSPECTED : CW_EVENT_SERVER_TRUSTED,
                "server=%s pool=%s told_by=%016llx", server->published.id, server->pool->name, (unsigned long long)host);
     }
 }
 
-void server_log_rate_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host) {
+void server_log_rate_limit(const server_t* server, int64_t now_ms, double previous_per_s, uint64_t host) {
     double per_s = cw_balance_rate_per_s(server->pool->balance, now_ms, server->key);
-    if (per_s != before_per_s) {
+    if (per_s != previous_per_s) {
         cw_log(server->pool->upstreams->desc.log, CW_EVENT_SERVER_LIMITED,
                "server=%s pool=%s per_s=%.3f was_per_s=%.3f told_by=%016llx", server->published.id, server->pool->name,
-               per_s, before_per_s, (unsigned long long)host);
+               per_s, previous_per_s, (unsigned long long)host);
     }
 }
 
@@ -595,7 +595,7 @@
     u->daemons = 1;
     u->desc.max_servers = desc->max_servers ? desc->max_servers : SERVERS_MAX_DEFAULT;
     u->by_key = cw_map_setup(1, NULL);
-    u->by_name = cw_map_setup(1, NULL);
+    u->by_id = cw_map_setup(1, NULL);
     return u;
 }
 
@@ -614,7 +614,7 @@
     }
     upstream_conn_free_closed(u);
     cw_map_shutdown(&u->by_key);
-    cw_map_shutdown(&u->by_name);
+    cw_map_shutdown(&u->by_id);
     free(u->servers);
     free(u->free_indexes);
     free(u->watched);
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -126,16 +126,16 @@
 pool_t* upstreams_pool(const upstreams_t* u, const char* name);
 pool_t* upstreams_pools(const upstreams_t* u);
 server_t* upstreams_server(const upstreams_t* u, uint64_t key);
-/* Logs the start or end of a suspicion, if it differs from before, an earlier result of cw_balance_is_suspected. host:
-   id of the host whose report changed it, 0: this host. */
-void server_log_suspicion(const server_t* server, int64_t now_ms, bool before, uint64_t host);
-/* Logs the advertised rate of the server if it differs from the earlier one; host as above. */
-void server_log_rate_limit(const server_t* server, int64_t now_ms, double before_per_s, uint64_t host);
+/* Logs the start or end of a suspicion, if it differs from was_suspected, an earlier result of cw_balance_is_suspected.
+   host: id of the host whose report changed it, 0: this host. */
+void server_log_suspicion(const server_t* server, int64_t now_ms, bool was_suspected, uint64_t host);
+/* Logs the advertised rate of the server if it differs from previous_per_s; host as above. */
+void server_log_rate_limit(const server_t* server, int64_t now_ms, double previous_per_s, uint64_t host);
 /* The server has reported its start time. If it belongs to another incarnation, retires this one and returns true. */
 bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
 /* This incarnation has announced that it stops: it gets no new requests, whatever the source lists. */
 void upstreams_mark_leaving(upstreams_t* u, int64_t now_ms, server_t* server);
-/* Takes this incarnation for over until a server list says otherwise. */
+/* Treats this incarnation as ended until a server list says otherwise. */
 void upstreams_mark_retired(upstreams_t* u, int64_t now_ms, server_t* server);
 /* The host resumed from suspend: closes idle connections, which servers may have closed meanwhile without notice. */
 void upstreams_on_resume(upstreams_t* u);
@@ -149,15 +149,16 @@
    used already, or the subset was expanded a moment ago. */
 bool upstreams_expand_subset(pool_t* pool, int64_t now_ms);
 
-/* Returns an idle connection, or a new one that calls on_open later. once: the request must not be sent twice, so no
-   connection is used that has been idle for long. NULL: the limit of connections is reached, or connecting failed. */
+/* Returns an idle connection, or a new one that calls on_open later. at_most_once: the request must not be sent twice,
+   so no connection is used that has been idle for long. NULL: the limit of connections is reached, or connecting
+   failed. */
 upstream_conn_t* upstream_conn_acquire(server_t* server, const upstream_conn_handlers_t* handlers, void* owner,
-                                       bool once);
+                                       bool at_most_once);
 bool upstream_conn_is_open(const upstream_conn_t* conn);
-/* Sends a request. bodiless: its response has no body, whatever its head says. */
+/* Sends a request. is_bodiless: its response has no body, whatever its head says. */
 void upstream_conn_send(upstream_conn_t* conn, const char* request_id, bool is_bodiless, const cw_buffer_t* head,
                         const void* body, size_t size);
-void upstream_conn_pause(upstream_conn_t* conn, bool paused);
+void upstream_conn_pause(upstream_conn_t* conn, bool is_paused);
 /* Ends the owner's use after on_complete. The connection is kept open for reuse where possible. */
 void upstream_conn_release(upstream_conn_t* conn);
 /* Closes the connection without completing the response. */
--- a/gateway/upstream_conn.c
+++ b/gateway/upstream_conn.c
@@ -248,18 +248,19 @@
     return share > CONNS_MIN ? share : CONNS_MIN;
 }
 
-static uint32_t idle_limit_ms(const upstream_conn_t* conn, bool once) {
-    if (once) {
+static uint32_t idle_limit_ms(const upstream_conn_t* conn, bool at_most_once) {
+    if (at_most_once) {
         return (uint32_t)(conn->idle_timeout_ms * ONCE_IDLE_SHARE);
     }
     return conn->idle_timeout_ms > 2 * IDLE_MARGIN_MS ? conn->idle_timeout_ms - IDLE_MARGIN_MS
                                                       : conn->idle_timeout_ms / 2;
 }
 
-upstream_conn_t* upstream_conn_acquire(server_t* s, const upstream_conn_handlers_t* handlers, void* owner, bool once) {
+upstream_conn_t* upstream_conn_acquire(server_t* s, const upstream_conn_handlers_t* handlers, void* owner,
+                                       bool at_most_once) {
     upstreams_t* u = s->pool->upstreams;
     upstream_conn_t* conn = s->idle_conns;
-    if (conn && clock_ms() - conn->idle_since_ms <= idle_limit_ms(conn, once)) {
+    if (conn && clock_ms() - conn->idle_since_ms <= idle_limit_ms(conn, at_most_once)) {
         s->idle_conns = conn->next_conn;
         update_idle(s);
         conn->handlers = handlers;
@@ -292,8 +293,8 @@
     cw_stream_flush(&conn->stream);
 }
 
-void upstream_conn_pause(upstream_conn_t* conn, bool paused) {
-    cw_stream_pause_reading(&conn->stream, paused);
+void upstream_conn_pause(upstream_conn_t* conn, bool is_paused) {
+    cw_stream_pause_reading(&conn->stream, is_paused);
 }
 
 void upstream_conn_release(upstream_conn_t* conn) {
@@ -311,10 +312,10 @@
 
 /* -- idle connections ----------------------------------------------------- */
 
-void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool all) {
+void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool closes_all) {
     for (upstream_conn_t** at = &s->idle_conns; *at;) {
         upstream_conn_t* conn = *at;
-        if (all || now_ms - conn->idle_since_ms > idle_limit_ms(conn, false)) {
+        if (closes_all || now_ms - conn->idle_since_ms > idle_limit_ms(conn, false)) {
             *at = conn->next_conn;
             conn_free(conn);
         } else {
--- a/gateway/upstream_internal.h
+++ b/gateway/upstream_internal.h
@@ -33,7 +33,7 @@
     upstreams_desc_t desc;
     pool_t* pools;
     cw_map_t by_key;    /* server key to index */
-    cw_map_t by_name;   /* hash of the server id to the index of its current incarnation */
+    cw_map_t by_id;     /* hash of the server id to the index of its current incarnation */
     server_t** servers; /* by index, NULL: free; includes removed servers that are still in use */
     uint32_t capacity;  /* allocated indexes */
     uint32_t* free_indexes;
@@ -68,7 +68,7 @@
 /* -- upstream_conn.c --------------------------------------------------------------- */
 
 /* Closes the idle connections to the server: all, or those whose idle timeout has passed. */
-void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool all);
+void upstream_conn_close_idle(server_t* s, int64_t now_ms, bool closes_all);
 /* Frees closed connections. No function further up the stack may use one of them. */
 void upstream_conn_free_closed(upstreams_t* u);
 
