--- a/gateway/sync.c
+++ b/gateway/sync.c
@@ -129,8 +129,8 @@
         cw_servers_free(list);
         return;
     }
-    bool first = s->list_confirmed_ms == NEVER;
-    bool after_outage = !first && (confirmed_ms - s->list_confirmed_ms >= OUTAGE_MS || s->awaits_epoch_list);
+    bool is_first = s->list_confirmed_ms == NEVER;
+    bool after_outage = !is_first && (confirmed_ms - s->list_confirmed_ms >= OUTAGE_MS || s->awaits_epoch_list);
     s->awaits_epoch_list = false;
     if (list->closed.at < s->list.closed.at) {
         list->closed = s->list.closed; /* read later than this list's */
@@ -139,7 +139,7 @@
     cw_servers_refuse_without_start(list);
     log_refused_entries(s, &list->refused);
     cw_servers_sort(list);
-    bool same = !first && cw_servers_equal(&s->list, list);
+    bool is_same = !is_first && cw_servers_equal(&s->list, list);
     cw_changes_record(&s->changes, &s->list, list);
     cw_servers_free(&s->list);
     s->list = *list;
@@ -147,7 +147,7 @@
     s->list_id = cw_servers_hash(&s->list);
     s->list_confirmed_ms = confirmed_ms;
     cw_pull_cancel(&s->servers_pull);
-    if (!same) {
+    if (!is_same) {
         s->desc.on_servers(s->desc.user_data, &s->list, after_outage);
     }
 }
@@ -184,20 +184,21 @@
     sync_stats_t stats = s->stats;
     stats.revision = sync_revision(s);
     stats.servers_age_ms = s->list_confirmed_ms == NEVER ? -1 : clock_ms() - s->list_confirmed_ms;
-    stats.is_source_lost = s->is_unavailable;
+    stats.is_source_unavailable = s->is_unavailable;
     return stats;
 }
 
 void sync_tick(sync_t* s, int64_t now_ms) {
     sync_run_due_pulls(s, now_ms);
-    bool list_offered =
+    bool is_list_offered =
         s->list_confirmed_ms == NEVER && sync_is_offered_by_peer(s, &s->peer_servers, &s->servers_pull, now_ms);
-    bool catalog_offered = !s->active_catalog && sync_is_offered_by_peer(s, &s->peer_catalog, &s->catalog_pull, now_ms);
-    if (!s->servers.call && now_ms >= s->servers.not_before_ms && !list_offered &&
+    bool is_catalog_offered =
+        !s->active_catalog && sync_is_offered_by_peer(s, &s->peer_catalog, &s->catalog_pull, now_ms);
+    if (!s->servers.call && now_ms >= s->servers.not_before_ms && !is_list_offered &&
         cw_poll_is_due(&s->poller, s->list_confirmed_ms, now_ms)) {
         sync_poll_servers(s, now_ms);
     }
-    if (!s->catalog.call && now_ms >= s->catalog.not_before_ms && !catalog_offered &&
+    if (!s->catalog.call && now_ms >= s->catalog.not_before_ms && !is_catalog_offered &&
         cw_poll_is_due(&s->poller, s->catalog_confirmed_ms, now_ms)) {
         sync_poll_catalog(s);
     }
--- a/gateway/sync.h
+++ b/gateway/sync.h
@@ -41,8 +41,8 @@
     bool is_first_start;            /* the whole system starts for the first time, there is no traffic yet */
     /* The configuration changed. */
     void (*on_catalog)(void* user_data, cw_catalog_t* catalog);
-    /* The list of servers changed. after_outage: the list before was not confirmed by the source for long, or is of an
-       earlier epoch of the source. */
+    /* The list of servers changed. after_outage: the source had not confirmed the previous list for long, or that list
+       is of an earlier epoch of the source. */
     void (*on_servers)(void* user_data, const cw_servers_t* list, bool after_outage);
     void* user_data;
 } sync_desc_t;
@@ -51,8 +51,8 @@
     uint64_t source_calls, source_failures, peer_calls;
     uint64_t entries_refused; /* invalid entries in lists of servers */
     int64_t revision;
-    int64_t servers_age_ms; /* since the list was last known to be current, -1: no list yet */
-    bool is_source_lost;    /* the last call to the source failed */
+    int64_t servers_age_ms;     /* since the list was last known to be current, -1: no list yet */
+    bool is_source_unavailable; /* the last call to the source failed */
 } sync_stats_t;
 
 sync_t* sync_setup(const sync_desc_t* desc, cw_error_t* err);
@@ -64,8 +64,8 @@
 /* The source state of this daemon, to be sent to the peers. */
 cw_source_state_t sync_source_state(const sync_t* s);
 /* A peer's source state was received: ages are adjusted, and newer documents will be fetched from peers. share: address
-   at which the peer serves its documents; far: the peer is in another hall. */
-void sync_on_peer_state(sync_t* s, const char* share, bool far, const cw_source_state_t* source_state);
+   at which the peer serves its documents; is_remote: the peer is in another hall. */
+void sync_on_peer_state(sync_t* s, const char* share, bool is_remote, const cw_source_state_t* source_state);
 /* rank: of this daemon among those that are alive, 0 first; daemons: most that were known at once. */
 void sync_set_rank(sync_t* s, uint32_t rank, uint32_t daemons);
 void sync_tick(sync_t* s, int64_t now_ms);
--- a/gateway/sync_internal.h
+++ b/gateway/sync_internal.h
@@ -58,7 +58,7 @@
     int64_t list_confirmed_ms; /* when the active list was last known to be current at the source, NEVER: no list */
     cw_epoch_t epoch;          /* of the source */
     bool awaits_epoch_list;    /* the active list is of an earlier epoch */
-    cw_closed_halls_t previous_closed; /* halls that were closed in the epoch before */
+    cw_closed_halls_t previous_closed; /* halls that were closed in the previous epoch */
     int64_t previous_closed_until_ms;  /* they stay closed until then */
     int64_t epoch_logged_ms;           /* last log line on an invalid epoch */
     cw_pull_t catalog_pull, servers_pull;
@@ -107,8 +107,9 @@
 
 /* Fetches documents that peers offered, when the fetch is due. */
 void sync_run_due_pulls(sync_t* s, int64_t now_ms);
-/* Shortly after the start: a peer offered the missing document, the fetch is pending or running, and none failed. */
-bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* wanted, int64_t now_ms);
+/* Whether, shortly after the start, a peer has offered the missing document: the fetch is pending or running, and none
+   has failed. */
+bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* pull, int64_t now_ms);
 void sync_on_peer_catalog_response(sync_t* s, unsigned status, const char* body, size_t size);
 void sync_on_peer_catalog_failure(sync_t* s, const char* why);
 void sync_on_peer_servers_response(sync_t* s, unsigned status, const char* body, size_t size);
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -55,20 +55,20 @@
 
 /* A newer full list of a peer counts as if it were read here in full, so the next poll asks for changes only. Pages of
    the same list that are being read meanwhile are discarded. */
-static void apply_peer_list(sync_t* s, cw_servers_t* list, cw_changes_t* changes, bool delta) {
+static void apply_peer_list(sync_t* s, cw_servers_t* list, cw_changes_t* changes, bool is_delta) {
     int64_t confirmed_ms = clock_ms() - list->age_ms;
-    bool newer = confirmed_ms >= s->list_confirmed_ms;
+    bool is_newer = confirmed_ms >= s->list_confirmed_ms;
     sync_apply_servers(s, list, confirmed_ms);
-    if (newer && !delta) {
+    if (is_newer && !is_delta) {
         s->has_full_list = true;
     }
-    if (newer && changes->since && changes->since < s->changes.since) { /* the peer's changes reach back further */
+    if (is_newer && changes->since && changes->since < s->changes.since) { /* the peer's changes reach back further */
         cw_changes_free(&s->changes);
         s->changes = *changes;
         *changes = (cw_changes_t){0};
     }
     cw_changes_free(changes);
-    if (newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && confirmed_ms >= s->incoming_started_ms) {
+    if (is_newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && confirmed_ms >= s->incoming_started_ms) {
         sync_cancel_fetch(&s->servers);
         sync_discard_pending(s);
         sync_reset_backoff(&s->servers);
@@ -84,15 +84,15 @@
         return;
     }
     s->needs_full_list = false;
-    bool delta = cw_delta_is_json(body, size);
-    cw_status_t read = delta                             ? read_peer_delta(s, &list, body, size, &err)
+    bool is_delta = cw_delta_is_json(body, size);
+    cw_status_t read = is_delta                          ? read_peer_delta(s, &list, body, size, &err)
                        : cw_packed_has_magic(body, size) ? cw_packed_decode(&list, &changes, body, size, &err)
                                                          : cw_servers_from_json(&list, body, size, &err);
     if (read != CW_OK) {
         sync_log_invalid_response(s, s->peer_servers.address, &err);
         return;
     }
-    apply_peer_list(s, &list, &changes, delta);
+    apply_peer_list(s, &list, &changes, is_delta);
 }
 
 /* Notes that a peer offers a newer document. */
@@ -111,53 +111,52 @@
 }
 
 /* Starts the fetch from a peer when it is due. */
-static void run_pull(sync_t* s, fetch_t* f, cw_pull_t* is_wanted, const char* path, uint32_t timeout_ms,
-                     int64_t now_ms) {
-    const char* peer = cw_pull_due(is_wanted, now_ms);
+static void run_pull(sync_t* s, fetch_t* f, cw_pull_t* pull, const char* path, uint32_t timeout_ms, int64_t now_ms) {
+    const char* peer = cw_pull_due(pull, now_ms);
     if (peer) {
         s->stats.peer_calls++;
         sync_begin_fetch(f, peer, path, timeout_ms);
     }
 }
 
-bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* is_wanted, int64_t now_ms) {
-    return (is_wanted->is_wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
+bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* pull, int64_t now_ms) {
+    return (pull->is_wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
 }
 
 /* Writes the path at which a peer's list is read. Returns whether it asks only for the changes since the active list.
  */
 static bool peer_servers_path(const sync_t* s, char* out, size_t size) {
-    bool changes = s->list_confirmed_ms != NEVER && s->list.at && !s->needs_full_list;
-    if (changes) {
+    bool requests_delta = s->list_confirmed_ms != NEVER && s->list.at && !s->needs_full_list;
+    if (requests_delta) {
         snprintf(out, size, "/servers?packed=1&since=%lld", (long long)s->list.at);
     } else {
         snprintf(out, size, "/servers?packed=1");
     }
-    return changes;
+    return requests_delta;
 }
 
 void sync_run_due_pulls(sync_t* s, int64_t now_ms) {
     char path[64];
-    bool changes = peer_servers_path(s, path, sizeof(path));
+    bool requests_delta = peer_servers_path(s, path, sizeof(path));
     run_pull(s, &s->peer_catalog, &s->catalog_pull, "/catalog", CALL_TIMEOUT_MS, now_ms);
-    run_pull(s, &s->peer_servers, &s->servers_pull, path, changes ? CALL_TIMEOUT_MS : FULL_LIST_CALL_TIMEOUT_MS,
+    run_pull(s, &s->peer_servers, &s->servers_pull, path, requests_delta ? CALL_TIMEOUT_MS : FULL_LIST_CALL_TIMEOUT_MS,
              now_ms);
 }
 
-void sync_on_peer_state(sync_t* s, const char* share, bool is_remote, const cw_source_state_t* k) {
+void sync_on_peer_state(sync_t* s, const char* share, bool is_remote, const cw_source_state_t* peer_state) {
     int64_t now_ms = clock_ms();
-    int64_t catalog_confirmed_ms = now_ms - k->revision_age_ms;
-    int64_t list_confirmed_ms = now_ms - k->servers_age_ms;
-    if ((int64_t)k->revision > sync_revision(s)) {
-        note_offer(s, &s->peer_catalog, &s->catalog_pull, share, is_remote, k->revision);
-    } else if (k->revision && (int64_t)k->revision == sync_revision(s) &&
+    int64_t catalog_confirmed_ms = now_ms - peer_state->revision_age_ms;
+    int64_t list_confirmed_ms = now_ms - peer_state->servers_age_ms;
+    if ((int64_t)peer_state->revision > sync_revision(s)) {
+        note_offer(s, &s->peer_catalog, &s->catalog_pull, share, is_remote, peer_state->revision);
+    } else if (peer_state->revision && (int64_t)peer_state->revision == sync_revision(s) &&
                catalog_confirmed_ms > s->catalog_confirmed_ms) {
         s->catalog_confirmed_ms = catalog_confirmed_ms;
     }
-    if (k->servers && k->servers == s->list_id) {
+    if (peer_state->servers && peer_state->servers == s->list_id) {
         s->list_confirmed_ms = list_confirmed_ms > s->list_confirmed_ms ? list_confirmed_ms : s->list_confirmed_ms;
-    } else if (k->servers && list_confirmed_ms > s->list_confirmed_ms) {
-        note_offer(s, &s->peer_servers, &s->servers_pull, share, is_remote, k->servers);
+    } else if (peer_state->servers && list_confirmed_ms > s->list_confirmed_ms) {
+        note_offer(s, &s->peer_servers, &s->servers_pull, share, is_remote, peer_state->servers);
     }
 }
 
@@ -173,14 +172,14 @@
 
 /* The response to a peer whose list is complete up to the revision since (NULL: it has none): changes, or else the full
    list, packed if the peer reads that. To be freed by free(). */
-static char* encode_servers(sync_t* s, const char* since, bool packed, size_t* size) {
+static char* encode_servers(sync_t* s, const char* since, bool accepts_packed, size_t* size) {
     cw_delta_t delta = {0};
     char* text = NULL;
     s->list.age_ms = sync_age_ms(s->list_confirmed_ms, clock_ms());
     if (since && cw_changes_get_delta(&s->changes, &s->list, strtoll(since, NULL, 10), &delta)) {
         delta.age_ms = s->list.age_ms;
         text = cw_delta_to_json(&delta);
-    } else if (packed) {
+    } else if (accepts_packed) {
         return cw_packed_encode(&s->list, &s->changes, size);
     } else {
         text = cw_servers_to_json(&s->list);
@@ -197,8 +196,8 @@
     const char* path = cw_exchange_path(x);
     if (strcmp(path, "/catalog") == 0 && s->active_text) {
         const char* after = cw_exchange_arg(x, "after");
-        bool newer = !after || strtoll(after, NULL, 10) < sync_revision(s);
-        cw_exchange_reply(x, 200, &json, 1, s->active_text, newer ? strlen(s->active_text) : 0);
+        bool is_newer = !after || strtoll(after, NULL, 10) < sync_revision(s);
+        cw_exchange_reply(x, 200, &json, 1, s->active_text, is_newer ? strlen(s->active_text) : 0);
     } else if (strcmp(path, "/servers") == 0 && s->list_confirmed_ms != NEVER) {
         size_t size = 0;
         char* text = encode_servers(s, cw_exchange_arg(x, "since"), cw_exchange_arg(x, "packed") != NULL, &size);
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -4,12 +4,12 @@
 
 #include "sync_internal.h"
 
-#define DELTA_POLLS_MAX 20 /* after so many polls for changes the full list is read again, whatever they returned */
+#define DELTA_POLLS_MAX 20 /* after this many polls for changes the full list is read again, whatever they returned */
 /* After a failed call a list is resumed at the page that failed, unless its first page is older. */
 #define PARTIAL_LIST_MAX_AGE_MS 3000
 #define STATUS_GONE 410 /* the source no longer has the changes since that revision */
-/* After the source came back from an older copy, halls that were closed stay closed for so long: the operator needs up
-   to 5 s to write again what was lost. */
+/* After the source was restored from an older copy, the halls that were closed before stay closed for this time: the
+   operator needs up to 5 s to write again what was lost. */
 #define RESTORED_CLOSED_HOLD_MS 6000
 #define EPOCH_LOG_INTERVAL_MS 10000 /* least time between two log lines on invalid epochs */
 
@@ -133,7 +133,7 @@
     }
 }
 
-/* The source is back from an older copy. The documents in use stay active. Revisions of the previous epoch must be
+/* The source was restored from an older copy. The documents in use stay active. Revisions of the previous epoch must be
    neither compared nor sent in requests any more, so this daemon reads everything again at the usual poll interval; the
    other daemons get it from peers. */
 static void begin_epoch(sync_t* s, int64_t previous) {
@@ -174,8 +174,8 @@
 
 /* Requests the closed halls if the known ones are too old: the last call of a poll. Returns whether it did. */
 static bool request_closed(sync_t* s) {
-    bool due = s->closed_read_ms == NEVER || clock_ms() - s->closed_read_ms >= (int64_t)s->desc.closed_poll_age_ms;
-    if (!s->desc.closed_poll_age_ms || !s->desc.source->closed_path || !due) {
+    bool is_due = s->closed_read_ms == NEVER || clock_ms() - s->closed_read_ms >= (int64_t)s->desc.closed_poll_age_ms;
+    if (!s->desc.closed_poll_age_ms || !s->desc.source->closed_path || !is_due) {
         return false;
     }
     char path[256];
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -258,7 +258,7 @@
 }
 
 static bool is_source_unavailable(fixture_t* fixture) {
-    return sync_stats(fixture->sync).is_source_lost;
+    return sync_stats(fixture->sync).is_source_unavailable;
 }
 
 static bool is_list_outdated(fixture_t* fixture) {
@@ -371,7 +371,7 @@
     fixture->leaving = true;
     run_until(fixture, is_server_leaving);
     ck_assert_uint_ge(fixture->first_page_calls, 2);
-    ck_assert(!sync_stats(fixture->sync).is_source_lost);
+    ck_assert(!sync_stats(fixture->sync).is_source_unavailable);
     fixture_shutdown(fixture);
 }
 END_TEST
@@ -602,7 +602,7 @@
     fixture_t* fixture = fixture_setup(9);
     fixture->mode = SOURCE_FAILS;
     run_until(fixture, is_source_unavailable);
-    /* sync.h doesn't tell the peer's share address; another source serves the same documents */
+    /* sync.h doesn't expose the peer's share address; another source serves the same documents */
     cw_source_state_t source_state = sync_source_state(peer->sync);
     fixture_t* shared = fixture_setup(9);
     shared->condition = is_ready;
