--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -18,8 +18,8 @@
 #define PROBE_INTERVAL_MS 250
 #define PROBE_TIMEOUT_MS 100
 #define SUSPECT_TIMEOUT_MS 700
-#define CONVERGENCE_MS_PER_HOST 10 /* a starting fleet has converged after so long without a join, for each host */
-#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time: a few gossip rounds */
+#define CONVERGENCE_MS_PER_HOST 10 /* time without a join after which a starting fleet has converged, for each host */
+#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time for all hosts: a few gossip rounds */
 /* Between probes of seeds and dead hosts; short, so that a restarted fleet converges soon. */
 #define RETRY_INTERVAL_MS 250
 
@@ -230,9 +230,9 @@
 static void contact_seeds(mesh_t* m) {
     const gateway_settings_t* s = m->desc.settings;
     char seeds[CW_SETTINGS_TEXT_MAX];
-    char* rest = NULL;
+    char* strtok_state = NULL;
     cw_copy(seeds, sizeof(seeds), s->seeds);
-    for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
+    for (char* seed = strtok_r(seeds, ", ", &strtok_state); seed; seed = strtok_r(NULL, ", ", &strtok_state)) {
         struct sockaddr_in addr;
         char address[CW_ADDR_TEXT_SIZE];
         if (!parse_with_port(seed, s->seed_port ? (uint16_t)s->seed_port : port_of(seed), &addr)) {
--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -19,9 +19,9 @@
     upstreams_t* upstreams;
     /* Returns the source state of this daemon, which goes out with every datagram of load reports. */
     cw_source_state_t (*source_state)(void* user_data);
-    /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
-       another hall. */
-    void (*on_source_state)(void* user_data, const char* share, bool far, const cw_source_state_t* source_state);
+    /* A peer's source state was received. share: address at which the peer serves its documents; is_remote: the peer is
+       in another hall. */
+    void (*on_source_state)(void* user_data, const char* share, bool is_remote, const cw_source_state_t* source_state);
     /* The membership changed. daemons: most daemons that were known at once; rank: of this one among those that are
        alive, 0 first. */
     void (*on_members)(void* user_data, uint32_t daemons, uint32_t rank);
--- a/gateway/reporter.c
+++ b/gateway/reporter.c
@@ -112,7 +112,8 @@
 }
 
 /* Whether a datagram is due even if there is nothing to report: it shows that this host is alive and carries its source
-   state. Relays that batch use the interval of the first rank, since the hosts of their hall hear only from them. */
+   state. Relays that batch use the interval of the first rank, since the hosts of their hall receive datagrams from
+   them only. */
 static bool is_heartbeat_due(const reporter_t* n, int64_t now_ms) {
     bool sends_for_hall = n->plan.batch_ms && n->is_relay;
     return now_ms - n->sent_ms >= cw_load_heartbeat_interval_ms(sends_for_hall ? 0 : n->rank, n->live);
@@ -124,17 +125,17 @@
     reporter_refresh_peers(n);
     ev_timer_stop(n->desc.loop, &n->flush_timer);
     ev_timer_stop(n->desc.loop, &n->direct_timer);
-    bool heartbeat_due = is_heartbeat_due(n, now_ms);
+    bool must_send_heartbeat = is_heartbeat_due(n, now_ms);
     for (uint32_t i = 0; i < n->dirty_count; i++) {
         add_own_entry(n, &message, &n->dirty[i], now_ms);
     }
     n->dirty_count = 0;
     n->flushed_ms = now_ms;
-    if (!n->is_relay && (message.count || heartbeat_due)) {
+    if (!n->is_relay && (message.count || must_send_heartbeat)) {
         reporter_send_to_relay(n, &message);
         n->sent_ms = now_ms;
     }
-    if (n->queue_count || (n->is_relay && heartbeat_due)) {
+    if (n->queue_count || (n->is_relay && must_send_heartbeat)) {
         forward_queue(n);
     }
     reporter_send_observations(n);
@@ -264,7 +265,8 @@
     }
 }
 
-/* Has the whole load of this daemon reported again. */
+/* Marks every server at which this daemon runs requests, or whose advertised rate it sends, so that all of them are
+   reported again. */
 static void mark_all_dirty(reporter_t* n, int64_t now_ms) {
     for (pool_t* pool = upstreams_pools(n->desc.upstreams); pool; pool = pool->next) {
         for (server_t* s = pool->servers; s; s = s->next) {
@@ -288,14 +290,14 @@
         return;
     }
     cw_balance_t* balance = server->pool->balance;
-    bool suspected = cw_balance_is_suspected(balance, now_ms, entry->server);
-    double limit_per_s = cw_balance_rate_per_s(balance, now_ms, entry->server);
+    bool was_suspected = cw_balance_is_suspected(balance, now_ms, entry->server);
+    double previous_per_s = cw_balance_rate_per_s(balance, now_ms, entry->server);
     cw_balance_on_peer_load(balance, now_ms, entry->host, entry->server, &entry->load);
     if (entry->load.rate != CW_RATE_UNKNOWN) {
-        server_log_rate_limit(server, now_ms, limit_per_s, entry->host);
+        server_log_rate_limit(server, now_ms, previous_per_s, entry->host);
     }
     if (entry->load.failed_ago_ms || entry->load.answered_ago_ms) {
-        server_log_suspicion(server, now_ms, suspected, entry->host);
+        server_log_suspicion(server, now_ms, was_suspected, entry->host);
     }
     for (uint32_t i = 0; i < entry->part_count; i++) {
         cw_balance_on_peer_prompt(balance, entry->server, &entry->parts[i]);
@@ -391,8 +393,8 @@
     }
     reporter_repeat_observations(n, now_ms);
     reporter_send_observations(n);
-    bool due = n->dirty_count && now_ms - n->flushed_ms >= END_FLUSH_DELAY_MS;
-    if (due || is_heartbeat_due(n, now_ms)) {
+    bool has_due_reports = n->dirty_count && now_ms - n->flushed_ms >= END_FLUSH_DELAY_MS;
+    if (has_due_reports || is_heartbeat_due(n, now_ms)) {
         flush(n);
     }
 }
--- a/gateway/reporter.h
+++ b/gateway/reporter.h
@@ -20,9 +20,9 @@
     uint64_t host; /* id of this host */
     /* Returns the source state of this daemon, which goes out with every datagram. */
     cw_source_state_t (*source_state)(void* user_data);
-    /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
-       another hall. */
-    void (*on_source_state)(void* user_data, const char* share, bool far, const cw_source_state_t* source_state);
+    /* A peer's source state was received. share: address at which the peer serves its documents; is_remote: the peer is
+       in another hall. */
+    void (*on_source_state)(void* user_data, const char* share, bool is_remote, const cw_source_state_t* source_state);
     /* An observation was received from another daemon; its age_ms is valid now. May be NULL. */
     void (*on_observation)(void* user_data, const cw_quarantine_observation_t* observation);
     /* Writes up to max observations that are to be repeated, from index *at on, and returns their number. Sets *at to
--- a/gateway/reporter_internal.h
+++ b/gateway/reporter_internal.h
@@ -76,7 +76,7 @@
     uint32_t queue_count;
     pending_observation_t pending[OBSERVATION_QUEUE_MAX];
     uint32_t pending_count;
-    uint32_t next_observation;        /* index at which the next repetition goes on */
+    uint32_t next_observation;        /* index at which the next repetition continues */
     int64_t observations_repeated_ms; /* time of the last repetition */
     int64_t flushed_ms, repeated_ms;
     int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -21,7 +21,7 @@
     cw_source_state_t own_state;          /* sent to the others */
     uint32_t min_age_ms;                  /* lowest servers_age_ms received */
     uint32_t observations;                /* observations received */
-    cw_quarantine_observation_t repeated; /* observation that this host repeats, life 0: none */
+    cw_quarantine_observation_t repeated; /* observation that this host repeats, incarnation 0: none */
 } host_t;
 
 typedef struct fleet_t {
@@ -41,8 +41,8 @@
     return ((host_t*)user)->own_state;
 }
 
-static void on_source_state(void* user, const char* share, bool far, const cw_source_state_t* known) {
-    (void)far;
+static void on_source_state(void* user, const char* share, bool is_remote, const cw_source_state_t* known) {
+    (void)is_remote;
     host_t* host = user;
     (void)share;
     host->min_age_ms = known->servers_age_ms < host->min_age_ms ? known->servers_age_ms : host->min_age_ms;
