--- a/gateway/endpoints.c
+++ b/gateway/endpoints.c
@@ -72,14 +72,14 @@
 
 static void write_hist(cw_buffer_t* out, const char* metric, const char* label, const char* name,
                        const cw_hist_t* hist) {
-    uint64_t sum = 0;
+    uint64_t cumulative_count = 0;
     for (uint32_t i = 0; i < CW_HIST_BUCKETS; i++) {
         if (!hist->buckets[i]) {
             continue;
         }
-        sum += hist->buckets[i];
+        cumulative_count += hist->buckets[i];
         cw_message_add_text(out, "chalkway_%s_bucket{%s=\"%s\",le=\"%u\"} %llu\n", metric, label, name,
-                            cw_hist_upper_bound(i), (unsigned long long)sum);
+                            cw_hist_upper_bound(i), (unsigned long long)cumulative_count);
     }
     cw_message_add_text(out, "chalkway_%s_bucket{%s=\"%s\",le=\"+Inf\"} %llu\n", metric, label, name,
                         (unsigned long long)hist->count);
@@ -110,12 +110,12 @@
 }
 
 /* Body of a lookup response in the dialect's names, to be freed by free(). */
-static char* lookup_body(const dialect_t* dialect, const char* const* addresses, uint32_t count, uint32_t keep_ms) {
+static char* lookup_body(const dialect_t* dialect, const char* const* addresses, uint32_t count, uint32_t max_age_ms) {
     json_t* list = json_array();
     for (uint32_t i = 0; i < count; i++) {
         json_array_append_new(list, json_string(addresses[i]));
     }
-    json_t* body = json_pack("{s:o,s:f}", dialect->lookup_hosts, list, dialect->lookup_max_age, keep_ms / MS_PER_S);
+    json_t* body = json_pack("{s:o,s:f}", dialect->lookup_hosts, list, dialect->lookup_max_age, max_age_ms / MS_PER_S);
     char* text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
     return text;
@@ -135,7 +135,7 @@
         cw_exchange_reply(x, 503, NULL, 0, "", 0);
         return;
     }
-    char* body = lookup_body(d->desc.dialect, addresses, count, d->desc.keep_ms);
+    char* body = lookup_body(d->desc.dialect, addresses, count, d->desc.max_age_ms);
     cw_exchange_reply(x, 200, &json, 1, body, strlen(body));
     free(body);
 }
@@ -218,6 +218,6 @@
     free(d);
 }
 
-void endpoints_set_max_age(endpoints_t* d, uint32_t keep_ms) {
-    d->desc.keep_ms = keep_ms;
+void endpoints_set_max_age(endpoints_t* d, uint32_t max_age_ms) {
+    d->desc.max_age_ms = max_age_ms;
 }
--- a/gateway/endpoints.h
+++ b/gateway/endpoints.h
@@ -15,7 +15,7 @@
     const char* ready; /* listen addresses */
     const char* lookup;
     const char* metrics; /* "": no such endpoint */
-    uint32_t keep_ms;    /* time for which a caller may cache a lookup response */
+    uint32_t max_age_ms; /* time for which a caller may cache a lookup response */
     bool (*is_ready)(void* user_data);
     uint32_t (*addresses)(void* user_data, const char* hall, const char** out, uint32_t max);
     void (*write_metrics)(void* user_data, cw_buffer_t* out);
@@ -27,7 +27,7 @@
 
 endpoints_t* endpoints_setup(const endpoints_desc_t* desc, cw_error_t* err);
 void endpoints_shutdown(endpoints_t* d);
-void endpoints_set_max_age(endpoints_t* d, uint32_t keep_ms);
+void endpoints_set_max_age(endpoints_t* d, uint32_t max_age_ms);
 /* Counts a completed request in the histograms by route and by workspace, and by outcome. Routes and workspaces beyond
    a fixed number are counted together as "other". */
 void endpoints_count_request(endpoints_t* d, const char* route, const char* workspace, uint32_t outcome,
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -1,6 +1,6 @@
 /* The composition root: sets up the modules, connects them by callbacks and shuts them down in order. Dependencies
-   point one way: front, upstream, sync and mesh don't depend on each other, exchange depends on front and upstream, and
-   this file on all of them. */
+   point one way: frontend, upstream, sync and mesh don't depend on each other, exchange depends on frontend and
+   upstream, and this file on all of them. */
 #include "gateway.h"
 
 #include <signal.h>
@@ -26,11 +26,13 @@
 #include "upstream.h"
 
 #define TICK_S 0.025
-#define LOG_BUFFER_BYTES 262144     /* log lines that a slow reader of standard output has not taken yet */
-#define DESCRIPTORS_RESERVED 64     /* for all but connections of callers and to servers */
-#define BODY_MEMORY_DIVISOR 4       /* a quarter of the memory may hold request bodies */
-#define STOP_MAX_ACCEPT_SHARE 0.375 /* of the grace period: requests are accepted until then while others run */
-#define STOP_MIN_ACCEPT_SHARE 0.25  /* and until then in any case, since callers keep using the address */
+#define LOG_BUFFER_BYTES 262144 /* log lines that a slow reader of standard output has not taken yet */
+#define DESCRIPTORS_RESERVED 64 /* for all but connections of callers and to servers */
+#define BODY_MEMORY_DIVISOR 4   /* a quarter of the memory may hold request bodies */
+#define STOP_MAX_ACCEPT_SHARE                                                                                          \
+    0.375                          /* of the grace period: longest time that requests are accepted while others run    \
+                                    */
+#define STOP_MIN_ACCEPT_SHARE 0.25 /* shortest time that they are accepted, since callers keep using the address */
 #define STOP_MARGIN_MS 500 /* the process exits this long before the grace period ends, or at half of a short one */
 #define SETTINGS_CHECK_INTERVAL_MS 1000 /* of the settings file, which may change without a signal */
 #define CLOSED_POLLS 5                  /* polls within the time in which a closed hall must become known */
@@ -52,7 +54,7 @@
     sync_t* sync;
     mesh_t* mesh;
     inventory_t* inventory;
-    endpoints_t* directory;
+    endpoints_t* endpoints;
     cw_catalog_t* catalog; /* active one, NULL: none yet */
     ev_timer tick;
     suspend_detector_t suspend_detector;
@@ -110,12 +112,12 @@
     quarantine_on_server_alive(((gateway_t*)user)->quarantine, server);
 }
 
-static void on_local_observation(void* user, const cw_quarantine_observation_t* mark) {
-    mesh_on_observation(((gateway_t*)user)->mesh, mark);
+static void on_local_observation(void* user, const cw_quarantine_observation_t* observation) {
+    mesh_on_observation(((gateway_t*)user)->mesh, observation);
 }
 
-static void on_observation(void* user, const cw_quarantine_observation_t* mark) {
-    quarantine_on_observation(((gateway_t*)user)->quarantine, mark);
+static void on_observation(void* user, const cw_quarantine_observation_t* observation) {
+    quarantine_on_observation(((gateway_t*)user)->quarantine, observation);
 }
 
 static uint32_t observations(void* user, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max) {
@@ -128,7 +130,7 @@
 
 static void on_done(void* user, const char* route, const char* workspace, exchange_outcome_t outcome, uint32_t first_ms,
                     uint32_t took_ms) {
-    endpoints_count_request(((gateway_t*)user)->directory, route, workspace, (uint32_t)outcome, first_ms, took_ms);
+    endpoints_count_request(((gateway_t*)user)->endpoints, route, workspace, (uint32_t)outcome, first_ms, took_ms);
 }
 
 static void announce(gateway_t* g) {
@@ -150,9 +152,9 @@
 
 static void on_catalog(void* user, cw_catalog_t* catalog) {
     gateway_t* g = user;
-    cw_catalog_t* before = g->catalog;
+    cw_catalog_t* previous = g->catalog;
     g->catalog = cw_catalog_retain(catalog);
-    cw_catalog_release(before);
+    cw_catalog_release(previous);
     upstreams_set_catalog(g->upstreams, catalog);
     const cw_servers_t* list = g->sync ? sync_servers(g->sync) : NULL;
     if (list) {
@@ -167,8 +169,8 @@
     return g->sync ? sync_source_state(g->sync) : (cw_source_state_t){0};
 }
 
-static void on_source_state(void* user, const char* share, bool far, const cw_source_state_t* known) {
-    sync_on_peer_state(((gateway_t*)user)->sync, share, far, known);
+static void on_source_state(void* user, const char* share, bool is_remote, const cw_source_state_t* peer_state) {
+    sync_on_peer_state(((gateway_t*)user)->sync, share, is_remote, peer_state);
 }
 
 static void on_members(void* user, uint32_t daemons, uint32_t rank) {
@@ -181,7 +183,7 @@
     return mesh_owns_key(((gateway_t*)user)->mesh, server);
 }
 
-static bool is_settled(void* user) {
+static bool is_converged(void* user) {
     return mesh_is_converged(((gateway_t*)user)->mesh, clock_ms());
 }
 
@@ -239,11 +241,12 @@
                         (unsigned long long)q.observations_sent, (unsigned long long)q.observations_received);
     cw_message_add_text(out, "chalkway_log_lines_lost_total %lu\n", g->lines.dropped_total);
     for (pool_t* pool = upstreams_pools(g->upstreams); pool; pool = pool->next) {
-        cw_throttled_t held = cw_balance_throttled(pool->balance, clock_ms());
+        cw_throttled_t throttled = cw_balance_throttled(pool->balance, clock_ms());
         cw_message_add_text(out,
                             "chalkway_pool_resting{pool=\"%s\"} %u\nchalkway_pool_limited{pool=\"%s\"} %u\n"
                             "chalkway_pool_limits_owned{pool=\"%s\"} %u\n",
-                            pool->name, held.backing_off, pool->name, held.rate_limited, pool->name, held.owned_rates);
+                            pool->name, throttled.backing_off, pool->name, throttled.rate_limited, pool->name,
+                            throttled.owned_rates);
         cw_message_add_text(out, "chalkway_pool_ready{pool=\"%s\"} %u\nchalkway_pool_listed{pool=\"%s\"} %u\n",
                             pool->name, pool->ready, pool->name, pool->listed);
         cw_message_add_text(out, "chalkway_pool_fullness{pool=\"%s\"} %.3f\n", pool->name,
@@ -314,7 +317,7 @@
 }
 
 /* Reads the settings again and applies those that may change while the process runs: the level and format of the log,
-   and how long callers may keep a lookup response. */
+   and how long callers may cache a lookup response. */
 static void reload(gateway_t* g) {
     gateway_settings_t reloaded;
     cw_settings_errors_t errors = {0};
@@ -328,7 +331,7 @@
     g->log.level = cw_log_level(reloaded.log_level);
     g->log.json = strcmp(reloaded.log_format, "json") == 0;
     g->settings.lookup_keep_ms = reloaded.lookup_keep_ms;
-    endpoints_set_max_age(g->directory, reloaded.lookup_keep_ms);
+    endpoints_set_max_age(g->endpoints, reloaded.lookup_keep_ms);
     cw_log(&g->log, CW_EVENT_RELOADED, "path=%s", g->settings_path);
 }
 
@@ -448,16 +451,16 @@
                                                        .dialect = g->dialect,
                                                        .upstreams = g->upstreams,
                                                        .owns_server = owns_server,
-                                                       .is_settled = is_settled,
+                                                       .is_converged = is_converged,
                                                        .on_cached_parts = on_cached_parts,
                                                        .user_data = g});
-    g->directory = !g->sync ? NULL
+    g->endpoints = !g->sync ? NULL
                             : endpoints_setup(&(endpoints_desc_t){.loop = g->loop,
                                                                   .dialect = g->dialect,
                                                                   .ready = s->ready,
                                                                   .lookup = s->lookup,
                                                                   .metrics = s->metrics,
-                                                                  .keep_ms = s->lookup_keep_ms,
+                                                                  .max_age_ms = s->lookup_keep_ms,
                                                                   .is_ready = is_ready,
                                                                   .addresses = lookup,
                                                                   .write_metrics = metrics,
@@ -465,7 +468,7 @@
                                                                   .release = release,
                                                                   .user_data = g},
                                               err);
-    g->front = !g->directory
+    g->front = !g->endpoints
                    ? NULL
                    : frontend_setup(&(frontend_desc_t){.loop = g->loop,
                                                        .address = s->callers,
@@ -487,8 +490,8 @@
     ev_signal_start(g->loop, w);
 }
 
-/* Comes before the setup of the modules: a signal during the setup is handled once the loop runs, and doesn't end the
-   process. */
+/* Called before the modules are set up, so that a signal during the setup is handled once the loop runs and doesn't end
+   the process. */
 static void watch_signals(gateway_t* g) {
     signal(SIGPIPE, SIG_IGN);
     watch_signal(g, &g->on_term, SIGTERM, on_stop);
@@ -512,7 +515,7 @@
     exchanges_shutdown(g->exchanges);
     quarantine_shutdown(g->quarantine);
     frontend_shutdown(g->front);
-    endpoints_shutdown(g->directory);
+    endpoints_shutdown(g->endpoints);
     inventory_shutdown(g->inventory);
     sync_shutdown(g->sync);
     mesh_shutdown(g->mesh);
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -12,7 +12,7 @@
 #define CALL_TIMEOUT_MS 1000   /* longest time for one engine's list */
 #define CONNECT_TIMEOUT_MS 300 /* longest time to connect to an engine */
 #define LIST_MAX_BYTES (1 << 20) /* a longer list is not read */
-#define IDLE_CLIENTS 1           /* idle connections kept, few since each engine is queried once */
+#define IDLE_CLIENTS 1           /* idle connections that stay open, few since each engine is queried once */
 
 typedef struct call_t {
     inventory_t* inventory;
@@ -146,8 +146,8 @@
             v->pending[v->pending_count++] = s->key;
         }
     }
-    uint32_t part = INVENTORY_PARTS_TOTAL / (engines ? engines : 1);
-    v->max_parts = part < 1 ? 1 : part > INVENTORY_PARTS_PER_ENGINE ? INVENTORY_PARTS_PER_ENGINE : part;
+    uint32_t share = INVENTORY_PARTS_TOTAL / (engines ? engines : 1);
+    v->max_parts = share < 1 ? 1 : share > INVENTORY_PARTS_PER_ENGINE ? INVENTORY_PARTS_PER_ENGINE : share;
 }
 
 /* Starts queries while calls are free; returns how many are in progress. Ownership is checked again, because engines
@@ -174,8 +174,8 @@
         v->engines_known_ms = has_engines(v) ? now_ms : 0;
         return;
     }
-    bool has_settled = !v->desc.is_settled || v->desc.is_settled(v->desc.user_data);
-    if (now_ms - v->engines_known_ms < v->desc.settle_delay_ms || !has_settled) {
+    bool has_converged = !v->desc.is_converged || v->desc.is_converged(v->desc.user_data);
+    if (now_ms - v->engines_known_ms < v->desc.settle_delay_ms || !has_converged) {
         return;
     }
     if (!v->is_listed) {
--- a/tests/test_inventory.c
+++ b/tests/test_inventory.c
@@ -27,8 +27,8 @@
 typedef struct fixture_t {
     uint64_t owned_server;     /* key of the only server that this host owns; 0: all */
     uint32_t ownership_checks; /* calls of owns_server */
-    uint32_t owned_for_checks; /* this host is the owner for so many of these calls; 0: for all */
-    bool is_unsettled;         /* not all peers are known */
+    uint32_t owned_for_checks; /* this host is the owner for this many of these calls; 0: for all */
+    bool is_unconverged;       /* not all peers are known */
     uint32_t servers, parts;
     cw_prompt_part_t last;
     char server[CW_NAME_MAX];
@@ -41,8 +41,8 @@
     return is_owner && (!fixture->owned_server || fixture->owned_server == server);
 }
 
-static bool is_settled(void* user) {
-    return !((fixture_t*)user)->is_unsettled;
+static bool is_converged(void* user) {
+    return !((fixture_t*)user)->is_unconverged;
 }
 
 static void on_cached_parts(void* user, server_t* server, const cw_prompt_part_t* parts, uint32_t count) {
@@ -63,7 +63,7 @@
                                                .upstreams = r->upstreams,
                                                .settle_delay_ms = 1,
                                                .owns_server = owns_server,
-                                               .is_settled = is_settled,
+                                               .is_converged = is_converged,
                                                .on_cached_parts = on_cached_parts,
                                                .user_data = fixture});
 }
@@ -142,7 +142,7 @@
    times, each time on a new connection. */
 START_TEST(no_engine_is_queried_before_peers_are_known) {
     rig_t* r = rig_setup(ROUTES, 2);
-    fixture_t fixture = {.is_unsettled = true};
+    fixture_t fixture = {.is_unconverged = true};
     rig_script(r,
                (rig_step_t[]){{RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")},
                               {RIG_RESPOND_CLOSE, engine_response("[\"\",\"a1\",4000,\"m\"]")}},
@@ -153,7 +153,7 @@
         inventory_tick(v, now_ms + ms);
     }
     ck_assert_uint_eq(inventory_stats(v).queried, 0);
-    fixture.is_unsettled = false;
+    fixture.is_unconverged = false;
     for (int i = 0; i < 2000 && !inventory_stats(v).done; i++) {
         inventory_tick(v, now_ms + 20000 + i);
         ev_run(r->loop, EVRUN_NOWAIT);
