--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -80,11 +80,12 @@
        older copy of itself, after which revisions go back and are assigned again. NULL or not present: such restores
        can't be detected. */
     const char* epoch_field;
-    /* mark: from the last read, 0: none. The source may leave out what has not changed since. */
+    /* version: of the last read, 0: none. The source may leave out what has not changed since that version. */
     void (*catalog_path)(char* out, size_t size, int64_t version);
     void (*servers_path)(char* out, size_t size, const char* after);
-    cw_status_t (*read_catalog)(const char* body, size_t size, int64_t version, source_update_t* news, cw_error_t* err);
-    cw_status_t (*read_servers)(const char* body, size_t size, cw_servers_t* list, source_update_t* news,
+    cw_status_t (*read_catalog)(const char* body, size_t size, int64_t version, source_update_t* update,
+                                cw_error_t* err);
+    cw_status_t (*read_servers)(const char* body, size_t size, cw_servers_t* list, source_update_t* update,
                                 cw_error_t* err);
     /* Path of the changes since revision at. NULL: the source serves only full lists. A status other than 200 means
        that it no longer has these changes. */
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -315,7 +315,7 @@
 }
 END_TEST
 
-/* A host is told to stop while a request runs, with the source available or not. */
+/* A host gets the stop signal while a request runs, with the source available or not. */
 static void stop_during_a_request(bool is_source_available) {
     fleet_t* f = fleet_setup();
     start_host(f, 0);
