--- a/gateway/dialect.h
+++ b/gateway/dialect.h
@@ -69,7 +69,7 @@
 typedef struct source_update_t {
     char* catalog;               /* native document (chalkway_catalog.h), to be freed by free(); NULL: unchanged */
     int64_t version;             /* identifies the version that was read; passed to the next read */
-    bool more;                   /* servers: there is another page */
+    bool has_more;               /* servers: there is another page */
     char after[CW_NAME_MAX * 2]; /* servers: start of the next page */
 } source_update_t;
 
--- a/gateway/endpoints.c
+++ b/gateway/endpoints.c
@@ -152,9 +152,9 @@
     const char* fingerprint = cw_exchange_arg(x, "fingerprint");
     const char* workspace = cw_exchange_arg(x, "workspace");
     bool is_post = strcmp(cw_exchange_method(x), "POST") == 0;
-    bool released =
+    bool is_released =
         is_post && fingerprint && d->desc.release(d->desc.user_data, fingerprint, workspace ? workspace : "0");
-    cw_exchange_reply(x, released ? 200 : is_post ? 404 : 405, NULL, 0, "", 0);
+    cw_exchange_reply(x, is_released ? 200 : is_post ? 404 : 405, NULL, 0, "", 0);
 }
 
 static void handle_metrics(cw_exchange_t* x, void* user) {
--- a/gateway/exchange_assign.c
+++ b/gateway/exchange_assign.c
@@ -206,8 +206,8 @@
         }
         return;
     }
-    bool all_tried = x->tried_count >= x->pool->ready || x->choice.excluded.tried >= x->pool->ready;
-    if (e->is_refusing || !x->pool->ready || all_tried) {
+    bool are_all_tried = x->tried_count >= x->pool->ready || x->choice.excluded.tried >= x->pool->ready;
+    if (e->is_refusing || !x->pool->ready || are_all_tried) {
         exchange_refuse(x, e->is_refusing ? "this host is stopping" : "no server is left to try");
         return;
     }
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -133,7 +133,7 @@
     endpoints_count_request(((gateway_t*)user)->endpoints, route, workspace, (uint32_t)outcome, first_ms, took_ms);
 }
 
-static void announce(gateway_t* g) {
+static void announce_revision(gateway_t* g) {
     mesh_announce(g->mesh, sync_revision(g->sync), 0);
 }
 
@@ -161,7 +161,7 @@
         on_servers(g, list, false); /* pools were added or removed */
     }
     exchanges_set_catalog(g->exchanges, catalog);
-    announce(g);
+    announce_revision(g);
 }
 
 static cw_source_state_t source_state(void* user) {
@@ -199,12 +199,12 @@
     return sync_is_ready(g->sync) && g->stop.phase == CW_STOP_NONE;
 }
 
-static uint32_t lookup(void* user, const char* hall, const char** out, uint32_t max) {
+static uint32_t lookup_addresses(void* user, const char* hall, const char** out, uint32_t max) {
     gateway_t* g = user;
     return mesh_caller_addresses(g->mesh, hall, is_ready(g), out, max);
 }
 
-static void metrics(void* user, cw_buffer_t* out) {
+static void write_all_metrics(void* user, cw_buffer_t* out) {
     gateway_t* g = user;
     exchanges_stats_t x = exchanges_stats(g->exchanges);
     frontend_stats_t f = frontend_stats(g->front);
@@ -260,7 +260,7 @@
     quarantine_write_json(((gateway_t*)user)->quarantine, out);
 }
 
-static bool release(void* user, const char* fingerprint, const char* workspace) {
+static bool release_request(void* user, const char* fingerprint, const char* workspace) {
     return quarantine_release(((gateway_t*)user)->quarantine, fingerprint, workspace);
 }
 
@@ -363,7 +363,7 @@
     int64_t now_ms = clock_ms();
     log_stall(g, now_ms);
     check_settings_file(g, now_ms);
-    announce(g);
+    announce_revision(g);
     mesh_tick(g->mesh, now_ms);
     sync_tick(g->sync, now_ms);
     upstreams_tick(g->upstreams, now_ms);
@@ -462,10 +462,10 @@
                                                                   .metrics = s->metrics,
                                                                   .max_age_ms = s->lookup_keep_ms,
                                                                   .is_ready = is_ready,
-                                                                  .addresses = lookup,
-                                                                  .write_metrics = metrics,
+                                                                  .addresses = lookup_addresses,
+                                                                  .write_metrics = write_all_metrics,
                                                                   .write_quarantine = write_quarantine,
-                                                                  .release = release,
+                                                                  .release = release_request,
                                                                   .user_data = g},
                                               err);
     g->front = !g->endpoints
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -167,7 +167,7 @@
 }
 
 void inventory_tick(inventory_t* v, int64_t now_ms) {
-    if (v->stats.done || !v->desc.dialect->inventory_path) {
+    if (v->stats.is_done || !v->desc.dialect->inventory_path) {
         return;
     }
     if (!v->engines_known_ms) {
@@ -181,7 +181,7 @@
     if (!v->is_listed) {
         list_owned_engines(v);
     }
-    v->stats.done = !start_pending_calls(v) && !v->pending_count;
+    v->stats.is_done = !start_pending_calls(v) && !v->pending_count;
 }
 
 /* -- setup ---------------------------------------------------------------- */
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -38,7 +38,7 @@
 
 typedef struct inventory_stats_t {
     uint32_t queried, failed, parts;
-    bool done;
+    bool is_done;
 } inventory_stats_t;
 
 inventory_t* inventory_setup(const inventory_desc_t* desc);
--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -170,10 +170,10 @@
 }
 
 bool mesh_owns_key(const mesh_t* m, uint64_t key) {
-    uint64_t own = cw_mix(m->host, key);
+    uint64_t own_weight = cw_mix(m->host, key);
     for (uint32_t i = 0; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        if (is_alive(member) && !member->info.leaving && cw_mix(member->info.id, key) > own) {
+        if (is_alive(member) && !member->info.leaving && cw_mix(member->info.id, key) > own_weight) {
             return false;
         }
     }
@@ -201,12 +201,13 @@
     reporter_tick(m->reporter, now_ms);
 }
 
-static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
+static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out,
+                                  uint32_t max) {
     uint32_t count = 0;
     for (uint32_t i = 0; i < cw_members_count(m->members) && count < max; i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        bool self = member->info.id == m->host;
-        if ((self && !with_self) || !is_alive(member) || member->info.leaving ||
+        bool is_self = member->info.id == m->host;
+        if ((is_self && !includes_self) || !is_alive(member) || member->info.leaving ||
             (hall && strcmp(hall, member->info.hall) != 0)) {
             continue;
         }
@@ -215,9 +216,9 @@
     return count;
 }
 
-uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
-    uint32_t count = hall ? collect_addresses(m, hall, with_self, out, max) : 0;
-    return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, with_self, out, max);
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out, uint32_t max) {
+    uint32_t count = hall ? collect_addresses(m, hall, includes_self, out, max) : 0;
+    return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, includes_self, out, max);
 }
 
 mesh_stats_t mesh_stats(const mesh_t* m) {
--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -58,7 +58,7 @@
 void mesh_tick(mesh_t* m, int64_t now_ms);
 /* Writes the addresses for callers of the hosts that are alive: only those of the hall if it has enough, else those of
    all halls. hall NULL: all halls. Returns their number. */
-uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max);
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out, uint32_t max);
 mesh_stats_t mesh_stats(const mesh_t* m);
 
 #endif
--- a/gateway/reporter.c
+++ b/gateway/reporter.c
@@ -22,7 +22,7 @@
    sent as one message without entries. Returns whether anything was sent. */
 static bool send_queue(reporter_t* n, bool to_other_halls, void (*send)(reporter_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
-    bool sent = false;
+    bool is_sent = false;
     for (uint32_t i = 0; i < n->queue_count; i++) {
         if (to_other_halls && !n->queue[i].to_other_halls) {
             continue;
@@ -31,14 +31,14 @@
         if (message.count == CW_LOAD_ENTRIES) {
             send(n, &message);
             message.count = 0;
-            sent = true;
+            is_sent = true;
         }
     }
     if (message.count || !n->queue_count) {
         send(n, &message);
-        sent = true;
+        is_sent = true;
     }
-    return sent;
+    return is_sent;
 }
 
 static void forward_queue(reporter_t* n) {
@@ -179,7 +179,7 @@
     dirty_t dirty = {.server = server};
     cw_load_message_t message = {.count = 1};
     for (uint32_t i = 0; i < n->peer_count; i++) {
-        if (!n->peers[i].leaving) {
+        if (!n->peers[i].is_leaving) {
             ids[hosts] = n->peers[i].id;
             staying[hosts++] = &n->peers[i];
         }
@@ -375,7 +375,7 @@
 
 void reporter_set_members(reporter_t* n, const cw_members_t* members, uint32_t live, uint32_t rank) {
     n->members = members;
-    n->members_changed = true;
+    n->has_membership_changed = true;
     n->live = live;
     n->rank = rank;
 }
--- a/gateway/reporter_internal.h
+++ b/gateway/reporter_internal.h
@@ -40,7 +40,7 @@
 typedef struct peer_t {
     const cw_member_info_t* info; /* valid only while reporter_refresh_peers runs */
     uint64_t id;
-    bool leaving;
+    bool is_leaving;
     struct sockaddr_in load; /* its load address */
 } peer_t;
 
@@ -56,7 +56,7 @@
     int fd;
     uint16_t load_port, share_port;
     const cw_members_t* members; /* NULL: not known yet */
-    bool members_changed;
+    bool has_membership_changed;
     uint32_t live, rank;
     cw_relay_plan_t plan;
     peer_t peers[HOSTS_MAX]; /* without this host; sorted by hall, then by rank as a relay */
--- a/gateway/reporter_peers.c
+++ b/gateway/reporter_peers.c
@@ -34,7 +34,7 @@
     peer->load.sin_port = htons(n->load_port);
     peer->info = info;
     peer->id = info->id;
-    peer->leaving = info->leaving;
+    peer->is_leaving = info->leaving;
     n->peer_count++;
 }
 
@@ -88,11 +88,11 @@
 }
 
 void reporter_refresh_peers(reporter_t* n) {
-    if (!n->members || !n->members_changed) {
+    if (!n->members || !n->has_membership_changed) {
         return;
     }
     const cw_member_info_t* self = &cw_members_at(n->members, 0)->info;
-    n->members_changed = false;
+    n->has_membership_changed = false;
     n->peer_count = 0;
     for (uint32_t i = 1; i < cw_members_count(n->members) && n->peer_count < HOSTS_MAX; i++) {
         const cw_member_info_t* info = &cw_members_at(n->members, i)->info;
--- a/gateway/sync_internal.h
+++ b/gateway/sync_internal.h
@@ -95,7 +95,7 @@
 /* Requests the first page of the full list. */
 void sync_poll_full_list(sync_t* s);
 /* Discards the list that is being read. */
-void sync_discard_pending(sync_t* s);
+void sync_discard_incoming(sync_t* s);
 /* Checks the epoch that a response of the source names, and switches to it if it is newer. */
 cw_epoch_verdict_t sync_check_epoch(sync_t* s, const char* epoch);
 void sync_on_catalog_response(sync_t* s, unsigned status, const char* body, size_t size);
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -70,7 +70,7 @@
     cw_changes_free(changes);
     if (is_newer && s->incoming_started_ms != NEVER && !s->asks_for_changes && confirmed_ms >= s->incoming_started_ms) {
         sync_cancel_fetch(&s->servers);
-        sync_discard_pending(s);
+        sync_discard_incoming(s);
         sync_reset_backoff(&s->servers);
     }
 }
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -74,7 +74,7 @@
 
 /* -- the source: servers -------------------------------------------------- */
 
-void sync_discard_pending(sync_t* s) {
+void sync_discard_incoming(sync_t* s) {
     cw_servers_free(&s->incoming);
     s->page_after[0] = 0;
     s->page_count = 0;
@@ -87,7 +87,7 @@
    list. */
 static void keep_complete_pages(sync_t* s) {
     if (s->asks_for_changes || !s->page_after[0]) {
-        sync_discard_pending(s);
+        sync_discard_incoming(s);
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 void sync_poll_full_list(sync_t* s) {
-    sync_discard_pending(s);
+    sync_discard_incoming(s);
     s->incoming_started_ms = clock_ms();
     request_page(s);
 }
@@ -126,7 +126,7 @@
         return;
     }
     if (can_poll_changes && s->has_full_list && s->delta_poll_count < DELTA_POLLS_MAX) {
-        sync_discard_pending(s);
+        sync_discard_incoming(s);
         request_changes(s);
     } else {
         sync_poll_full_list(s);
@@ -148,7 +148,7 @@
     s->previous_closed_until_ms = clock_ms() + RESTORED_CLOSED_HOLD_MS;
     s->list.closed.at = 0;
     sync_cancel_fetch(&s->servers);
-    sync_discard_pending(s);
+    sync_discard_incoming(s);
 }
 
 cw_epoch_verdict_t sync_check_epoch(sync_t* s, const char* epoch) {
@@ -169,7 +169,7 @@
 static void apply_incoming(sync_t* s) {
     sync_reset_backoff(&s->servers);
     sync_apply_servers(s, &s->incoming, s->incoming_started_ms);
-    sync_discard_pending(s);
+    sync_discard_incoming(s);
 }
 
 /* Requests the closed halls if the known ones are too old: the last call of a poll. Returns whether it did. */
@@ -189,7 +189,7 @@
 /* The servers are applied without the closed halls, which stay as they are. */
 static void on_closed_failure(sync_t* s, const char* why) {
     sync_apply_servers(s, &s->incoming, s->incoming_started_ms);
-    sync_discard_pending(s);
+    sync_discard_incoming(s);
     on_source_failure(s, &s->servers, why);
 }
 
@@ -239,7 +239,7 @@
                                            : s->desc.source->read_servers(body, size, &s->incoming, &update, &err);
     if (read != CW_OK) {
         sync_log_invalid_response(s, s->desc.address, &err);
-        sync_discard_pending(s);
+        sync_discard_incoming(s);
         s->has_full_list = false;
         schedule_retry(&s->servers);
         return;
@@ -250,7 +250,7 @@
         return;
     }
     s->page_count++;
-    if (update.more && update.after[0]) {
+    if (update.has_more && update.after[0]) {
         cw_copy(s->page_after, sizeof(s->page_after), update.after);
         request_page(s);
         return;
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -238,7 +238,7 @@
     return published->started_ms > s->published.started_ms;
 }
 
-/* Logs that this incarnation is over. Requests that run there are left to end by themselves. */
+/* Logs that this incarnation has ended. Requests that run there are left to end by themselves. */
 static void log_restart(upstreams_t* u, const server_t* s, int64_t started_ms, int64_t at) {
     cw_log(u->desc.log, CW_EVENT_SERVER_RESTARTED, "server=%s pool=%s peer=%s was_ms=%lld started_ms=%lld at=%lld",
            s->published.id, s->pool->name, s->published.address, (long long)s->published.started_ms,
@@ -431,7 +431,7 @@
 }
 
 uint64_t upstreams_connections_opened(const upstreams_t* u) {
-    return u->connects;
+    return u->conns_opened;
 }
 
 void server_log_suspicion(const server_t* server, int64_t now_ms, bool was_suspected, uint64_t host) {
@@ -552,10 +552,10 @@
 
 /* Closes idle connections. True: the server was missing from the list for too long and is removed now. */
 static bool server_tick(server_t* s, int64_t now_ms) {
-    bool expired = !s->is_removed && !s->is_listed && now_ms >= s->expires_at_ms;
-    s->is_removed = s->is_removed || expired;
+    bool has_expired = !s->is_removed && !s->is_listed && now_ms >= s->expires_at_ms;
+    s->is_removed = s->is_removed || has_expired;
     upstream_conn_close_idle(s, now_ms, s->is_removed);
-    return expired;
+    return has_expired;
 }
 
 void upstreams_tick(upstreams_t* u, int64_t now_ms) {
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -36,7 +36,7 @@
     int64_t listed_revision; /* source revision of the last list that named it; 0: unknown */
     struct sockaddr_in address;
     pool_t* pool;
-    bool is_retired; /* this incarnation is over, or it is leaving */
+    bool is_retired; /* this incarnation has ended, or it is leaving */
     bool is_leaving; /* this incarnation announced, in the list or in a response, that it drains and stops; never reset
                       */
     bool is_removed; /* retired, or no longer listed: gets no new requests */
--- a/gateway/upstream_conn.c
+++ b/gateway/upstream_conn.c
@@ -234,7 +234,7 @@
     ev_timer_start(u->desc.loop, &conn->connect_timer);
     s->conn_count++;
     u->conn_total++;
-    u->connects++;
+    u->conns_opened++;
     return conn;
 }
 
--- a/gateway/upstream_internal.h
+++ b/gateway/upstream_internal.h
@@ -49,7 +49,7 @@
     uint32_t daemons;
     cw_fleet_t fleet; /* live daemons */
     uint32_t conn_total;
-    uint64_t connects;
+    uint64_t conns_opened;
     bool is_configured; /* a configuration has been set, so the declared pools are known */
 };
 
--- a/tests/test_inventory.c
+++ b/tests/test_inventory.c
@@ -73,7 +73,7 @@
     int64_t now_ms = clock_ms();
     inventory_tick(v, now_ms);
     ck_assert_uint_eq(inventory_stats(v).queried, 0); /* the peers are not known yet */
-    for (int i = 0; i < 2000 && !inventory_stats(v).done; i++) {
+    for (int i = 0; i < 2000 && !inventory_stats(v).is_done; i++) {
         inventory_tick(v, now_ms + 2);
         ev_run(r->loop, EVRUN_ONCE);
     }
@@ -88,7 +88,7 @@
                               {RIG_RESPOND_CLOSE, "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n{\"held\":[]}"}},
                2);
     inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
-    ck_assert(inventory_stats(v).done);
+    ck_assert(inventory_stats(v).is_done);
     ck_assert_uint_eq(inventory_stats(v).queried, 2);
     ck_assert_uint_eq(inventory_stats(v).failed, 0);
     ck_assert_uint_eq(fixture.servers, 1); /* the other engine has nothing cached */
@@ -130,7 +130,7 @@
     fixture_t fixture = {.owned_for_checks = 3};
     rig_script(r, (rig_step_t[]){{RIG_NO_RESPONSE, ""}, {RIG_NO_RESPONSE, ""}, {RIG_NO_RESPONSE, ""}}, 3);
     inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
-    ck_assert(inventory_stats(v).done);
+    ck_assert(inventory_stats(v).is_done);
     ck_assert_uint_eq(inventory_stats(v).queried, 0);
     inventory_shutdown(v);
     rig_shutdown(r);
@@ -154,7 +154,7 @@
     }
     ck_assert_uint_eq(inventory_stats(v).queried, 0);
     fixture.is_unconverged = false;
-    for (int i = 0; i < 2000 && !inventory_stats(v).done; i++) {
+    for (int i = 0; i < 2000 && !inventory_stats(v).is_done; i++) {
         inventory_tick(v, now_ms + 20000 + i);
         ev_run(r->loop, EVRUN_NOWAIT);
     }
@@ -173,7 +173,7 @@
         fixture_t fixture = {0};
         rig_script(r, (rig_step_t[]){{RIG_RESPOND_CLOSE, responses[i]}}, 1);
         inventory_t* v = run_inventory(r, &platform_dialect, &fixture);
-        ck_assert(inventory_stats(v).done);
+        ck_assert(inventory_stats(v).is_done);
         ck_assert_uint_eq(inventory_stats(v).failed, 1);
         ck_assert_uint_eq(fixture.servers, 0);
         inventory_shutdown(v);
@@ -219,7 +219,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, each_engine_is_queried_once_and_its_parts_are_recorded);
     tcase_add_test(t, only_engines_owned_by_this_host_are_queried);
     tcase_add_test(t, engines_that_pass_to_another_owner_are_not_queried);
@@ -230,5 +230,5 @@
 }
 
 int main(void) {
-    return run_suite("inventory", add, 30);
+    return run_suite("inventory", add_tests, 30);
 }
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -112,7 +112,7 @@
     ck_assert_str_eq(list.items[0].id, "i-0");
     ck_assert_uint_eq(list.items[0].cold_ms, 40);
     ck_assert(!list.items[0].leaving && list.items[1].leaving);
-    ck_assert(update.more);
+    ck_assert(update.has_more);
     ck_assert_str_eq(update.after, "servers/i-3");
     cw_servers_free(&list);
     cw_error_t err = {0};
@@ -192,7 +192,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, a_published_configuration_becomes_a_catalog);
     tcase_add_test(t, an_invalid_configuration_is_rejected_with_its_reason);
     tcase_add_test(t, responses_with_the_configuration_are_parsed_and_invalid_ones_rejected);
@@ -203,5 +203,5 @@
 }
 
 int main(void) {
-    return run_suite("platform", add, 30);
+    return run_suite("platform", add_tests, 30);
 }
--- a/tests/test_restart.c
+++ b/tests/test_restart.c
@@ -241,7 +241,7 @@
                                                              .user_data = &learned});
         int64_t now_ms = clock_ms();
         inventory_tick(v, now_ms);
-        for (int n = 0; n < 2000 && !inventory_stats(v).done; n++) {
+        for (int n = 0; n < 2000 && !inventory_stats(v).is_done; n++) {
             inventory_tick(v, now_ms + 2);
             ev_run(r->loop, EVRUN_ONCE);
         }
@@ -315,7 +315,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, a_restarted_server_is_a_new_incarnation);
     tcase_add_test(t, two_restarts_between_two_polls_are_one_change);
     tcase_add_test(t, an_older_list_with_an_earlier_start_changes_nothing);
@@ -330,5 +330,5 @@
 }
 
 int main(void) {
-    return run_suite("restart", add, 30);
+    return run_suite("restart", add_tests, 30);
 }
