--- a/tests/rig.h
+++ b/tests/rig.h
@@ -38,7 +38,7 @@
     uint32_t server;
     cw_stream_t stream;
     cw_buffer_t in;
-    bool open;
+    bool is_open;
 } rig_conn_t;
 
 struct rig_t {
@@ -66,7 +66,7 @@
     uint32_t closed_by_gateway; /* connections with a request that the gateway closed */
     cw_stream_t caller;
     cw_buffer_t response;
-    bool caller_open;
+    bool is_caller_open;
     bool stop_on_response; /* leave the event loop when the response is complete */
     ev_timer timeout_timer, tick;
 };
@@ -99,10 +99,10 @@
     }
     cw_stream_flush(&c->stream);
     if (step->action == RIG_RESPOND_CLOSE) {
-        c->open = false;
+        c->is_open = false;
         cw_stream_close(&c->stream);
     } else if (step->action == RIG_RESPOND_RESET) {
-        c->open = false;
+        c->is_open = false;
         cw_stream_abort(&c->stream);
     }
 }
@@ -140,7 +140,7 @@
 static inline void rig_server_end(void* owner, cw_stream_end_reason_t end) {
     rig_conn_t* c = owner;
     (void)end;
-    c->open = false;
+    c->is_open = false;
     c->rig->closed_by_gateway++;
     if (!c->rig->stop_on_response) {
         ev_break(c->rig->loop, EVBREAK_ALL);
@@ -157,7 +157,7 @@
         return;
     }
     rig_conn_t* c = &r->conns[r->conn_count++];
-    *c = (rig_conn_t){.rig = r, .server = (uint32_t)(w - r->accept_ios), .open = true};
+    *c = (rig_conn_t){.rig = r, .server = (uint32_t)(w - r->accept_ios), .is_open = true};
     cw_stream_accept(&c->stream, loop, fd, &rig_server_handlers, c);
 }
 
@@ -364,7 +364,7 @@
 static inline void rig_caller_end(void* owner, cw_stream_end_reason_t end) {
     (void)end;
     rig_t* r = owner;
-    r->caller_open = false;
+    r->is_caller_open = false;
     ev_break(r->loop, EVBREAK_ALL);
 }
 
@@ -379,11 +379,11 @@
 }
 
 static inline void rig_write(rig_t* r, const char* text) {
-    if (!r->caller_open) {
+    if (!r->is_caller_open) {
         struct sockaddr_in address;
         cw_addr_parse(frontend_address(r->front), &address, NULL);
         ck_assert_int_eq(cw_stream_connect(&r->caller, r->loop, &address, &rig_caller_handlers, r), CW_OK);
-        r->caller_open = true;
+        r->is_caller_open = true;
     }
     cw_buffer_free(&r->response);
     cw_stream_write(&r->caller, text, strlen(text));
@@ -421,7 +421,7 @@
 
 static inline void rig_disconnect(rig_t* r) {
     cw_stream_close(&r->caller);
-    r->caller_open = false;
+    r->is_caller_open = false;
 }
 
 static inline void rig_shutdown(rig_t* r) {
@@ -433,7 +433,7 @@
     cw_stream_close(&r->caller);
     cw_buffer_free(&r->response);
     for (uint32_t i = 0; i < r->conn_count; i++) {
-        if (r->conns[i].open) {
+        if (r->conns[i].is_open) {
             cw_stream_close(&r->conns[i].stream);
         }
         cw_buffer_free(&r->conns[i].in);
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -69,12 +69,12 @@
 }
 END_TEST
 
-static void add(TCase* tests) {
-    tcase_add_test(tests, routes_of_equal_priority_differ_in_urgency);
-    tcase_add_test(tests, route_tier_precedes_workspace_priority);
-    tcase_add_test(tests, urgency_never_exceeds_priority_max);
+static void add_tests(TCase* t) {
+    tcase_add_test(t, routes_of_equal_priority_differ_in_urgency);
+    tcase_add_test(t, route_tier_precedes_workspace_priority);
+    tcase_add_test(t, urgency_never_exceeds_priority_max);
 }
 
 int main(void) {
-    return run_suite("admission", add, 30);
+    return run_suite("admission", add_tests, 30);
 }
--- a/tests/test_edge.c
+++ b/tests/test_edge.c
@@ -152,7 +152,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, reserved_fields_of_a_caller_are_not_forwarded);
     tcase_add_test(t, unreadable_fields_are_rejected_by_name);
     tcase_add_test(t, unusual_but_valid_fields_are_forwarded_unchanged);
@@ -161,5 +161,5 @@
 }
 
 int main(void) {
-    return run_suite("edge", add, 30);
+    return run_suite("edge", add_tests, 30);
 }
--- a/tests/test_entries.c
+++ b/tests/test_entries.c
@@ -199,7 +199,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, a_missing_field_or_one_of_another_type_makes_an_entry_invalid);
     tcase_add_test(t, values_out_of_range_make_an_entry_invalid);
     tcase_add_test(t, unreadable_bytes_make_an_entry_invalid);
@@ -208,5 +208,5 @@
 }
 
 int main(void) {
-    return run_suite("entries", add, 60);
+    return run_suite("entries", add_tests, 60);
 }
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -131,10 +131,11 @@
         "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: a\r\nContent-Length: 9\r\n\r\n",
         "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: a\r\nTransfer-Encoding: chunked\r\n\r\n",
         "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: a\r\n\r\n"};
-    const char* whole = "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: b\r\nContent-Length: 5\r\n\r\nagain";
+    const char* complete_response =
+        "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nX-From: b\r\nContent-Length: 5\r\n\r\nagain";
     for (size_t i = 0; i < sizeof(heads) / sizeof(heads[0]); i++) {
         rig_t* r = rig_setup(ROUTES, 2);
-        set_script(r, 2, (rig_step_t[]){{RIG_RESPOND_RESET, heads[i]}, {RIG_RESPOND, whole}});
+        set_script(r, 2, (rig_step_t[]){{RIG_RESPOND_RESET, heads[i]}, {RIG_RESPOND, complete_response}});
         const char* response = rig_call(r, "GET /again/ HTTP/1.1\r\n" HEAD "\r\n");
         ck_assert_uint_eq(r->arrival_count, 2);
         ck_assert_msg(strstr(response, "X-From: b\r\n") && !strstr(response, "X-From: a"), "%s", response);
@@ -155,8 +156,8 @@
 }
 END_TEST
 
-/* A retry at another server prefills the prompt again, so a stream stays at its server for as long as it could still
-   meet its target, and as long again. */
+/* A retry at another server prefills the prompt again, so a stream without a first event stays at its server for twice
+   its target. */
 START_TEST(stalled_stream_is_retried_after_two_targets) {
     static const char document[] =
         "{\"revision\":1,\"pools\":[{\"name\":\"p\"}],\"routes\":[{\"name\":\"s\",\"host\":\"h.example\","
@@ -212,7 +213,7 @@
     rig_t* r = rig_setup(ROUTES, 2);
     set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, EVENTS_HEAD "10\r\nid: 1\ndata: a\n\n\n\r\n"}});
     const char* response = rig_call(r, "POST /stream/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    ck_assert(!r->caller_open);
+    ck_assert(!r->is_caller_open);
     ck_assert(!strstr(response, "\r\n0\r\n\r\n"));
     ck_assert_uint_eq(r->arrival_count, 1);
     rig_shutdown(r);
@@ -233,7 +234,7 @@
     rig_t* r = rig_setup(ROUTES, 1);
     set_script(r, 1, (rig_step_t[]){{RIG_RESPOND_CLOSE, OK("part", "10")}});
     const char* response = rig_call(r, "POST /once/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n");
-    ck_assert(!r->caller_open);
+    ck_assert(!r->is_caller_open);
     ck_assert(!rig_is_response_complete(response));
     rig_shutdown(r);
 }
@@ -613,10 +614,10 @@
             (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}, {RIG_RESPOND, OK("c", "1")}});
         expect_status(tier_call(r, "/patient/", "20000"), "200"); /* the pool gets such prompts */
         set_backlog(r, 0, backlog_ms);
-        bool urgent_refused = strstr(tier_call(r, "/urgent/", "8000"), "503") != NULL;
+        bool is_urgent_refused = strstr(tier_call(r, "/urgent/", "8000"), "503") != NULL;
         set_backlog(r, 0, backlog_ms);
-        bool patient_begins = strstr(tier_call(r, "/patient/", "20000"), "200") != NULL;
-        ck_assert_msg(!(urgent_refused && patient_begins), "backlog %u ms", backlog_ms);
+        bool is_patient_served = strstr(tier_call(r, "/patient/", "20000"), "200") != NULL;
+        ck_assert_msg(!(is_urgent_refused && is_patient_served), "backlog %u ms", backlog_ms);
         rig_shutdown(r);
     }
 }
@@ -749,7 +750,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, long_prompt_behind_a_long_backlog_is_refused_and_a_short_one_is_not);
     tcase_add_test(t, idle_engine_accepts_a_prompt_of_any_length);
     tcase_add_test(t, urgent_request_precedes_a_delay_tolerant_one_of_a_high_priority_workspace);
@@ -794,5 +795,5 @@
 }
 
 int main(void) {
-    return run_suite("exchange", add, 30);
+    return run_suite("exchange", add_tests, 30);
 }
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -31,7 +31,7 @@
     char dir[64];
     /* the test's current call */
     unsigned status;
-    bool done;
+    bool is_done;
     char body[4096];
 } fleet_t;
 
@@ -142,7 +142,7 @@
 static void on_done(void* user, const cw_call_result_t* result) {
     fleet_t* f = user;
     f->status = result->whole ? result->status : 0;
-    f->done = true;
+    f->is_done = true;
     ev_break(f->loop, EVBREAK_ALL);
 }
 
@@ -150,7 +150,7 @@
     static const cw_header_t header = {"Host", "h.example"};
     char url[128];
     snprintf(url, sizeof(url), "http://%s.%d:%d%s", f->base, host + 1, port, path);
-    f->done = false;
+    f->is_done = false;
     f->status = 0;
     f->body[0] = 0;
     cw_client_call(f->client, &(cw_call_desc_t){.url = url,
@@ -166,7 +166,7 @@
 
 static unsigned call(fleet_t* f, int host, int port, const char* path) {
     begin_call(f, host, port, path);
-    while (!f->done) {
+    while (!f->is_done) {
         ev_run(f->loop, 0);
     }
     return f->status;
@@ -328,9 +328,9 @@
     }
     kill(f->pids[0], SIGTERM);
     pause_for(f, 0.3);
-    ck_assert(!f->done);
+    ck_assert(!f->is_done);
     respond(f->held_exchange);
-    while (!f->done) {
+    while (!f->is_done) {
         ev_run(f->loop, 0);
     }
     ck_assert_uint_eq(f->status, 200);
@@ -373,7 +373,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, hosts_discover_each_other_and_drop_a_killed_one_from_lookups);
     tcase_add_test(t, a_host_without_source_uses_its_peer);
     tcase_add_test(t, changed_settings_are_applied);
@@ -384,5 +384,5 @@
 }
 
 int main(void) {
-    return run_suite("gateway-site", add, 60);
+    return run_suite("gateway-site", add_tests, 60);
 }
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -54,8 +54,8 @@
     (void)rank;
 }
 
-static void on_observation(void* user, const cw_quarantine_observation_t* mark) {
-    ((host_t*)user)->observations += mark->request.content_hash == 7 && mark->incarnation == 101;
+static void on_observation(void* user, const cw_quarantine_observation_t* observation) {
+    ((host_t*)user)->observations += observation->request.content_hash == 7 && observation->incarnation == 101;
 }
 
 static uint32_t observations(void* user, uint32_t* at, cw_quarantine_observation_t* out, uint32_t max) {
@@ -268,9 +268,9 @@
     for (uint64_t key = 1; key <= 200; key++) {
         uint32_t hosts = 0;
         for (int i = 0; i < HOSTS; i++) {
-            bool owned = mesh_owns_key(fleet->hosts[i].mesh, cw_mix(key, 7));
-            hosts += owned;
-            keys[i] += owned;
+            bool is_owned = mesh_owns_key(fleet->hosts[i].mesh, cw_mix(key, 7));
+            hosts += is_owned;
+            keys[i] += is_owned;
         }
         ck_assert_uint_eq(hosts, 1);
     }
@@ -293,16 +293,16 @@
 /* A server crashed while it ran a request. Every host of every hall gets the observation from the host that made it,
    or, if those datagrams were lost, from the hosts that repeat all observations. */
 START_TEST(an_observation_reaches_every_host_of_every_hall) {
-    static const cw_quarantine_observation_t mark = {
+    static const cw_quarantine_observation_t observation = {
         .kind = CW_OBSERVED_CRASH, .request = {.content_hash = 7}, .incarnation = 101};
     for (int is_repetition = 0; is_repetition < 2; is_repetition++) {
         fleet_t* fleet = fleet_setup();
         run_until(fleet, all_are_alive);
         for (int i = 0; i < HOSTS && is_repetition; i++) {
-            fleet->hosts[i].repeated = mark;
+            fleet->hosts[i].repeated = observation;
         }
         if (!is_repetition) {
-            mesh_on_observation(fleet->hosts[HOSTS - 1].mesh, &mark);
+            mesh_on_observation(fleet->hosts[HOSTS - 1].mesh, &observation);
         }
         run_until(fleet, all_received_the_observation);
         fleet_shutdown(fleet);
@@ -310,7 +310,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, an_observation_reaches_every_host_of_every_hall);
     tcase_add_test(t, cached_parts_are_reported_to_every_host);
     tcase_add_test(t, each_key_has_one_owner);
@@ -319,5 +319,5 @@
 }
 
 int main(void) {
-    return run_suite("mesh", add, 60);
+    return run_suite("mesh", add_tests, 60);
 }
--- a/tests/test_news.c
+++ b/tests/test_news.c
@@ -250,7 +250,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, at_the_first_start_daemons_wait_for_each_other);
     tcase_add_test(t, a_large_fleet_makes_few_calls_during_an_outage);
     tcase_add_test(t, the_first_rank_polls_and_the_next_ones_when_it_fails);
@@ -264,5 +264,5 @@
 }
 
 int main(void) {
-    return run_suite("news", add, 30);
+    return run_suite("news", add_tests, 30);
 }
--- a/tests/test_query_of_death.c
+++ b/tests/test_query_of_death.c
@@ -199,7 +199,7 @@
     pool_t* pool = upstreams_pool(r->upstreams, "p");
     pool->retries = (cw_retry_window_t){.ratio = 0, .slack = 1, .window_ms = 60000, .daemons = 1};
     for (uint32_t i = 0; i < 2; i++) {
-        r->conns[i].open = false;
+        r->conns[i].is_open = false;
         cw_stream_close(&r->conns[i].stream);
     }
     while (exchanges_stats(r->exchanges).sends < 3 || exchanges_stats(r->exchanges).outcomes[EXCHANGE_FAILED] < 1) {
--- a/tests/test_rate_limited.c
+++ b/tests/test_rate_limited.c
@@ -33,10 +33,10 @@
     uint32_t served = 0;
     for (uint32_t i = 0; i < CALLS; i++) {
         const char* response = rig_call(r, REQUEST);
-        bool ok = strncmp(response, "HTTP/1.1 200", 12) == 0;
-        ck_assert_msg(ok || (strncmp(response, "HTTP/1.1 503", 12) == 0 && strstr(response, "Retry-After: ")), "%s",
-                      response);
-        served += ok;
+        bool is_served = strncmp(response, "HTTP/1.1 200", 12) == 0;
+        ck_assert_msg(is_served || (strncmp(response, "HTTP/1.1 503", 12) == 0 && strstr(response, "Retry-After: ")),
+                      "%s", response);
+        served += is_served;
     }
     return served;
 }
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -721,7 +721,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, changes_are_applied_to_the_list);
     tcase_add_test(t, a_list_is_resumed_at_the_failed_page);
     tcase_add_test(t, a_host_that_is_offered_a_list_polls_no_page);
@@ -747,5 +747,5 @@
 }
 
 int main(void) {
-    return run_suite("sync", add, 30);
+    return run_suite("sync", add_tests, 30);
 }
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -155,7 +155,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, each_change_of_a_long_list_is_counted_once);
     tcase_add_test(t, no_server_of_a_large_fleet_is_dropped);
     tcase_add_test(t, servers_beyond_max_servers_are_rejected);
@@ -164,5 +164,5 @@
 }
 
 int main(void) {
-    return run_suite("upstream", add, 30);
+    return run_suite("upstream", add_tests, 30);
 }
