--- a/gateway/upstream_conn.c
+++ b/gateway/upstream_conn.c
@@ -117,13 +117,13 @@
 static const cw_message_handlers_t response_handlers = {.on_head = on_head, .on_body = on_body};
 
 /* Handles the end of a response. True: another response is to be read. */
-static bool handle_response_end(upstream_conn_t* conn, size_t left) {
+static bool handle_response_end(upstream_conn_t* conn, size_t unread_bytes) {
     if (conn->is_skipping) {
         conn->is_skipping = false;
         cw_message_reset(&conn->response);
         return true;
     }
-    conn->must_close = conn->must_close || left > 0 || cw_stream_unsent_bytes(&conn->stream) > 0;
+    conn->must_close = conn->must_close || unread_bytes > 0 || cw_stream_unsent_bytes(&conn->stream) > 0;
     conn->handlers->on_complete(conn->owner);
     return false;
 }
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -187,12 +187,13 @@
     ev_timer_stop(f->loop, &timer);
 }
 
-/* Repeats a call until the response has the status and, where given, contains the one text and not the other. */
-static void poll_until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* with,
-                       const char* without) {
+/* Repeats a call until the response has the status and contains expected_text but not unexpected_text, each unless it
+   is NULL. */
+static void poll_until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* expected_text,
+                       const char* unexpected_text) {
     ev_tstamp end = ev_time() + TIMEOUT_S;
-    while (call(f, host, port, path) != status || (with && !strstr(f->body, with)) ||
-           (without && strstr(f->body, without))) {
+    while (call(f, host, port, path) != status || (expected_text && !strstr(f->body, expected_text)) ||
+           (unexpected_text && strstr(f->body, unexpected_text))) {
         ck_assert_msg(ev_time() < end, "host %d %s: status %u, %s", host, path, f->status, f->body);
         pause_for(f, POLL_S);
     }
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -41,11 +41,11 @@
     return ((host_t*)user)->own_state;
 }
 
-static void on_source_state(void* user, const char* share, bool is_remote, const cw_source_state_t* known) {
+static void on_source_state(void* user, const char* share, bool is_remote, const cw_source_state_t* peer_state) {
     (void)is_remote;
     host_t* host = user;
     (void)share;
-    host->min_age_ms = known->servers_age_ms < host->min_age_ms ? known->servers_age_ms : host->min_age_ms;
+    host->min_age_ms = peer_state->servers_age_ms < host->min_age_ms ? peer_state->servers_age_ms : host->min_age_ms;
 }
 
 static void on_members(void* user, uint32_t daemons, uint32_t rank) {
--- a/tests/test_pushback.c
+++ b/tests/test_pushback.c
@@ -43,7 +43,7 @@
 }
 
 /* Makes this many calls one after the other and checks the status of each. Returns how many reached the server. */
-static uint32_t call(rig_t* r, uint32_t calls, const char* status, uint32_t server) {
+static uint32_t make_calls(rig_t* r, uint32_t calls, const char* status, uint32_t server) {
     rig_step_t steps[CALLS];
     for (uint32_t i = 0; i < CALLS; i++) {
         steps[i] = (rig_step_t)OK_RESPONSE;
@@ -71,20 +71,21 @@
 START_TEST(server_that_announces_leaving_gets_no_more_requests) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t leaving = call_first(r, (rig_step_t)LEAVING_RESPONSE, "200");
-    ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", leaving), 0);
     rig_shutdown(r);
 }
 END_TEST
 
-/* Neither a list read before, nor one that lacks the server for a moment, nor the end of an outage brings it back. */
+/* Neither a list that was read before the announcement, nor one that lacks the server for a moment, nor the end of an
+   outage brings the leaving server back. */
 START_TEST(no_server_list_brings_a_leaving_server_back) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t leaving = call_first(r, (rig_step_t)LEAVING_RESPONSE, "200");
     rig_set_servers(r, 2, 0);
-    ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", leaving), 0);
     rig_set_servers(r, 0, 0);
     rig_set_servers_at(r, clock_ms(), 2, 0, true);
-    ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", leaving), 0);
     rig_shutdown(r);
 }
 END_TEST
@@ -94,7 +95,7 @@
 START_TEST(request_not_sent_yet_goes_to_another_server) {
     rig_t* r = rig_setup(ROUTES, 2);
     r->leaving_count = 1;
-    call(r, 1, "200", 0);
+    make_calls(r, 1, "200", 0);
     ck_assert_uint_eq(r->arrival_count, 1);
     r->leaving_count = 1;
     expect_status(rig_call(r, REQUEST), "503");
@@ -110,7 +111,7 @@
                                                             "Chalkway-Not-Run: 1\r\nChalkway-Server-Leaving: 1\r\n"
                                                             "Content-Length: 0\r\n\r\n"},
                                   "503");
-    ck_assert_uint_eq(call(r, CALLS, "200", leaving), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", leaving), 0);
     rig_shutdown(r);
 }
 END_TEST
@@ -122,7 +123,7 @@
                             "HTTP/1.1 200 OK\r\nChalkway-Request-Id: @ID@\r\nChalkway-Server-Leaving: 0\r\n"
                             "Content-Length: 4\r\n\r\nfine"},
                "200");
-    ck_assert_uint_eq(call(r, CALLS, "200", 0), CALLS);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", 0), CALLS);
     rig_shutdown(r);
 }
 END_TEST
@@ -133,12 +134,12 @@
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t backoff_server = call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
     cw_clock_simulate_suspend(IN_FLIGHT_MS);
-    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", backoff_server), 0);
     cw_clock_simulate_suspend(BACKOFF_MS / 2);
-    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), 0);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", backoff_server), 0);
     cw_clock_simulate_suspend(BACKOFF_MS);
     rig_set_servers(r, 2, 2 - backoff_server); /* the other server leaves */
-    ck_assert_uint_eq(call(r, CALLS, "200", backoff_server), CALLS);
+    ck_assert_uint_eq(make_calls(r, CALLS, "200", backoff_server), CALLS);
     rig_shutdown(r);
 }
 END_TEST
@@ -148,7 +149,7 @@
     rig_t* r = rig_setup(ROUTES, 1);
     call_first(r, (rig_step_t)BACKOFF_RESPONSE("30"), "503");
     cw_clock_simulate_suspend(IN_FLIGHT_MS);
-    ck_assert_uint_eq(call(r, 3, "503", 0), 0);
+    ck_assert_uint_eq(make_calls(r, 3, "503", 0), 0);
     const char* field = strstr(cw_buffer_text(&r->response), "Retry-After: ");
     ck_assert_msg(field && atof(field + strlen("Retry-After: ")) > 20, "%s", cw_buffer_text(&r->response));
     rig_shutdown(r);
@@ -162,7 +163,7 @@
     server_t* s = upstreams_pool(r->upstreams, "p")->servers;
     cw_balance_back_off(s->pool->balance, clock_ms(), s->key, 1);
     cw_clock_simulate_suspend(IN_FLIGHT_MS);
-    ck_assert_uint_eq(call(r, 3, "503", 0), 0);
+    ck_assert_uint_eq(make_calls(r, 3, "503", 0), 0);
     rig_shutdown(r);
 }
 END_TEST
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -46,10 +46,10 @@
     int64_t revisions[16]; /* applied, in this order */
     uint32_t revision_count;
     uint32_t list_count; /* lists applied */
-    bool list_leaving;
-    bool list_closed;   /* hall "a" is closed in the list */
-    bool closes_hall_a; /* the source has it closed */
-    bool after_outage;  /* of the list applied last */
+    bool is_server_listed_leaving;
+    bool is_hall_listed_closed; /* hall "a" is closed in the list */
+    bool closes_hall_a;         /* the source has it closed */
+    bool after_outage;          /* of the list applied last */
     char log_text[8192];
     ev_timer tick, timeout;
     bool (*condition)(struct fixture_t* fixture);
@@ -152,8 +152,8 @@
     fixture_t* fixture = user;
     fixture->list_count++;
     fixture->after_outage = after_outage;
-    fixture->list_leaving = list->items[0].leaving;
-    fixture->list_closed = cw_closed_halls_contains(&list->closed, "a");
+    fixture->is_server_listed_leaving = list->items[0].leaving;
+    fixture->is_hall_listed_closed = cw_closed_halls_contains(&list->closed, "a");
 }
 
 static void write_line(const char* line, void* user) {
@@ -250,11 +250,11 @@
 }
 
 static bool is_server_leaving(fixture_t* fixture) {
-    return fixture->list_leaving;
+    return fixture->is_server_listed_leaving;
 }
 
 static bool is_server_staying(fixture_t* fixture) {
-    return !fixture->list_leaving;
+    return !fixture->is_server_listed_leaving;
 }
 
 static bool is_source_unavailable(fixture_t* fixture) {
@@ -266,11 +266,11 @@
 }
 
 static bool is_hall_closed(fixture_t* fixture) {
-    return fixture->list_closed;
+    return fixture->is_hall_listed_closed;
 }
 
 static bool is_hall_open(fixture_t* fixture) {
-    return !fixture->list_closed;
+    return !fixture->is_hall_listed_closed;
 }
 
 static bool polled_changes_4_times(fixture_t* fixture) {
@@ -278,7 +278,7 @@
 }
 
 static bool polled_changes_or_leaving(fixture_t* fixture) {
-    return fixture->change_calls >= fixture->change_calls_until || fixture->list_leaving;
+    return fixture->change_calls >= fixture->change_calls_until || fixture->is_server_listed_leaving;
 }
 
 static bool next_tick(fixture_t* fixture) {
@@ -454,7 +454,7 @@
     offer_delta(fixture, delta, sizeof(delta), true);
     run_until(fixture, fetched_delta);
     run_until(fixture, called_6_times);
-    ck_assert(!fixture->list_leaving && strstr(fixture->log_text, "changes of another list"));
+    ck_assert(!fixture->is_server_listed_leaving && strstr(fixture->log_text, "changes of another list"));
     cw_source_state_t offered_state = {.revision = 5, .servers = 99};
     fixture->leaving = true;
     sync_on_peer_state(fixture->sync, cw_httpd_address(fixture->source), false, &offered_state);
@@ -560,13 +560,13 @@
     custom_source.read_closed = platform_source.read_closed;
     fixture_t* fixture = fixture_setup_source(5, &custom_source);
     run_until(fixture, is_ready);
-    ck_assert(!fixture->list_closed);
+    ck_assert(!fixture->is_hall_listed_closed);
     fixture->closes_hall_a = true;
     run_until(fixture, is_hall_closed);
     uint64_t closed_id = sync_source_state(fixture->sync).servers;
     fixture->mode = SOURCE_FAILS;
     run_until(fixture, is_source_unavailable);
-    ck_assert(fixture->list_closed);
+    ck_assert(fixture->is_hall_listed_closed);
     fixture->closes_hall_a = false;
     fixture->mode = SOURCE_RESPONDS;
     run_until(fixture, is_hall_open);
@@ -633,7 +633,7 @@
     fixture->change_calls_until =
         fixture->change_calls + 4; /* its revisions go on rising, as if nothing had been lost */
     run_until(fixture, polled_changes_or_leaving);
-    ck_assert(fixture->list_leaving);
+    ck_assert(fixture->is_server_listed_leaving);
     ck_assert_uint_eq(fixture->first_page_calls, 2);
     ck_assert(fixture->after_outage); /* entries that are missing from the copy get time to reappear */
     fixture_shutdown(fixture);
@@ -655,7 +655,7 @@
         run_until(fixture, next_tick);
     }
     ck_assert_int_eq(sync_revision(fixture->sync), 5);
-    ck_assert(!fixture->list_leaving);
+    ck_assert(!fixture->is_server_listed_leaving);
     fixture->epoch = 3;
     run_until(fixture, has_revision_9);
     fixture_shutdown(fixture);
@@ -678,7 +678,7 @@
     uint32_t calls = fixture->calls;
     while (fixture->calls < calls + 8) {
         run_until(fixture, next_tick);
-        ck_assert(fixture->list_closed);
+        ck_assert(fixture->is_hall_listed_closed);
     }
     cw_clock_simulate_suspend(6000);
     run_until(fixture, is_hall_open);
