--- a/gateway/admission.c
+++ b/gateway/admission.c
@@ -28,9 +28,9 @@
 }
 
 /* The urgency that is sent to servers, up to the dialect's priority_max: by the route's tier first, then by the
-   workspace's priority. A full engine preempts the newest of its least urgent requests. That must never be one that
-   can't wait while others that can wait run on, whichever workspace sent them, so the workspace's priority decides only
-   within a tier. */
+   workspace's priority. A full engine preempts the newest of its least urgent requests. A request that
+   can't wait must never be preempted while requests that can wait keep running, whichever workspace sent them, so the
+   workspace's priority decides only within a tier. */
 static uint32_t urgency(const dialect_t* dialect, uint32_t priority, uint32_t tier) {
     uint32_t clamped = priority < PRIORITIES_PER_TIER ? priority : PRIORITIES_PER_TIER - 1;
     uint32_t urgency_value = tier * PRIORITIES_PER_TIER + clamped;
--- a/gateway/admission.h
+++ b/gateway/admission.h
@@ -16,7 +16,7 @@
     uint32_t priority;                       /* 0 is the highest */
     uint32_t urgency;       /* as sent to servers, 0 is the highest; by the route's tier, then by priority */
     uint32_t time_limit_ms; /* longest time until the response is complete */
-    bool repeatable;        /* it may run again after any failure */
+    bool repeatable;        /* the request may be retried after any failure */
 } admission_t;
 
 /* Checks a request. status and why are always set, the other fields only if it is admitted. */
--- a/gateway/endpoints.h
+++ b/gateway/endpoints.h
@@ -19,8 +19,9 @@
     bool (*is_ready)(void* user_data);
     uint32_t (*addresses)(void* user_data, const char* hall, const char** out, uint32_t max);
     void (*write_metrics)(void* user_data, cw_buffer_t* out);
-    /* Writes the requests under suspicion as JSON, and releases one of them; false: it is unknown. */
+    /* Writes the requests under suspicion as JSON. */
     void (*write_quarantine)(void* user_data, cw_buffer_t* out);
+    /* Releases a request from suspicion; false: it is unknown. */
     bool (*release)(void* user_data, const char* fingerprint, const char* workspace);
     void* user_data;
 } endpoints_desc_t;
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -11,7 +11,7 @@
 
 #define RETRY_AFTER_MIN_MS 300    /* shortest Retry-After of a refusal */
 #define RETRY_AFTER_SPREAD_MS 500 /* random part, so that refused callers do not return at the same time */
-#define STARTUP_GRACE_MS 500      /* a process without a configuration for longer takes its source for unavailable */
+#define STARTUP_GRACE_MS 500      /* a process without a configuration for longer treats its source as unavailable */
 #define DETACHED_TIMEOUT_MS 2000  /* time for a detached request, which can't be retried, to complete */
 
 static void run_actions(exchange_t* x, uint32_t actions);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -41,7 +41,7 @@
 typedef struct gateway_t {
     struct ev_loop* loop;
     const char* settings_path;
-    struct stat settings_file; /* when it was last read */
+    struct stat settings_file; /* status of the file when it was last read */
     int64_t settings_checked_ms;
     gateway_settings_t settings;
     const dialect_t* dialect;
