--- a/gateway/exchange_internal.h
+++ b/gateway/exchange_internal.h
@@ -98,8 +98,7 @@
 void exchange_assign_server(exchange_t* x);
 /* Refuses a request that is queued or has just arrived, and logs the inputs of the last choice of a server. */
 void exchange_refuse(exchange_t* x, const char* why);
-/* Checks the request against the quarantine. True: it is quarantined and has been refused, or it waits for a verdict.
- */
+/* Checks the request against the quarantine. True: it is quarantined and was refused, or it waits for a verdict. */
 bool exchange_check_quarantine(exchange_t* x);
 void exchange_dequeue(exchange_t* x);
 /* The queued request can hardly meet its target any more: moves it behind those that still can. May free it. */
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -26,9 +26,7 @@
     const dialect_t* dialect; /* without an inventory_path nothing is queried */
     upstreams_t* upstreams;
     uint32_t settle_delay_ms; /* delay from the first known engine to the queries, default 300 */
-    /* Whether this daemon's membership has converged. Until then it would take the engines of other daemons for its
-     * own.
-     */
+    /* Whether this daemon's membership has converged. Until then it takes engines of other daemons for its own. */
     bool (*is_converged)(void* user_data); /* NULL: it has no peers */
     /* Whether this daemon is the one that queries the server. */
     bool (*owns_server)(void* user_data, uint64_t server);
