--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -97,8 +97,7 @@
     }
 }
 
-/* Formats the crashes for which the request is quarantined, for the log: "INCARNATION:AGE_MS" each, with "?" after a
- * trial. */
+/* Formats the crashes of a quarantined request for the log: "INCARNATION:AGE_MS" each, with "?" after a trial. */
 static void format_crashes(const cw_quarantine_entry_t* quarantined, char* out, size_t size) {
     size_t n = 0;
     out[0] = 0;
--- a/tests/test_restart.c
+++ b/tests/test_restart.c
@@ -294,8 +294,7 @@
 }
 END_TEST
 
-/* A list that hosts pass on to each other retains the start times, and a changed start time changes the id of the list.
- */
+/* A list retains the start times when hosts pass it on, and a changed start time changes the id of the list. */
 START_TEST(a_start_is_part_of_the_list_id) {
     cw_servers_t list = {.at = 3};
     cw_servers_t back = {0};
