--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -30,8 +30,7 @@
 #define DESCRIPTORS_RESERVED 64     /* for all but connections of callers and to servers */
 #define BODY_MEMORY_DIVISOR 4       /* a quarter of the memory may hold request bodies */
 #define STOP_MAX_ACCEPT_SHARE 0.375 /* of the grace period: longest time to accept requests while others run */
-#define STOP_MIN_ACCEPT_SHARE                                                                                          \
-    0.25                   /* shortest time to accept requests in any case, since callers keep using the address */
+#define STOP_MIN_ACCEPT_SHARE 0.25  /* shortest time to accept requests, since callers keep using the address */
 #define STOP_MARGIN_MS 500 /* the process exits this long before the grace period ends, or at half of a short one */
 #define SETTINGS_CHECK_INTERVAL_MS 1000 /* of the settings file, which may change without a signal */
 #define CLOSED_POLLS 5                  /* polls within the time in which a closed hall must become known */
