--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -18,8 +18,8 @@
 #define PROBE_INTERVAL_MS 250
 #define PROBE_TIMEOUT_MS 100
 #define SUSPECT_TIMEOUT_MS 700
-#define CONVERGENCE_MS_PER_HOST 10 /* a starting fleet has converged after so long without a join, for each host */
-#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time: a few gossip rounds */
+#define CONVERGENCE_MS_PER_HOST 10 /* time without a join after which a starting fleet has converged, for each host */
+#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time for all hosts: a few gossip rounds */
 /* Between probes of seeds and dead hosts; short, so that a restarted fleet converges soon. */
 #define RETRY_INTERVAL_MS 250
 
@@ -170,10 +170,10 @@
 }
 
 bool mesh_owns_key(const mesh_t* m, uint64_t key) {
-    uint64_t own = cw_mix(m->host, key);
+    uint64_t own_weight = cw_mix(m->host, key);
     for (uint32_t i = 0; i < cw_members_count(m->members); i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        if (is_alive(member) && !member->info.leaving && cw_mix(member->info.id, key) > own) {
+        if (is_alive(member) && !member->info.leaving && cw_mix(member->info.id, key) > own_weight) {
             return false;
         }
     }
@@ -201,12 +201,13 @@
     reporter_tick(m->reporter, now_ms);
 }
 
-static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
+static uint32_t collect_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out,
+                                  uint32_t max) {
     uint32_t count = 0;
     for (uint32_t i = 0; i < cw_members_count(m->members) && count < max; i++) {
         const cw_member_t* member = cw_members_at(m->members, i);
-        bool self = member->info.id == m->host;
-        if ((self && !with_self) || !is_alive(member) || member->info.leaving ||
+        bool is_self = member->info.id == m->host;
+        if ((is_self && !includes_self) || !is_alive(member) || member->info.leaving ||
             (hall && strcmp(hall, member->info.hall) != 0)) {
             continue;
         }
@@ -215,9 +216,9 @@
     return count;
 }
 
-uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max) {
-    uint32_t count = hall ? collect_addresses(m, hall, with_self, out, max) : 0;
-    return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, with_self, out, max);
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out, uint32_t max) {
+    uint32_t count = hall ? collect_addresses(m, hall, includes_self, out, max) : 0;
+    return count >= HALL_ADDRESSES_MIN ? count : collect_addresses(m, NULL, includes_self, out, max);
 }
 
 mesh_stats_t mesh_stats(const mesh_t* m) {
@@ -230,9 +231,9 @@
 static void contact_seeds(mesh_t* m) {
     const gateway_settings_t* s = m->desc.settings;
     char seeds[CW_SETTINGS_TEXT_MAX];
-    char* rest = NULL;
+    char* strtok_state = NULL;
     cw_copy(seeds, sizeof(seeds), s->seeds);
-    for (char* seed = strtok_r(seeds, ", ", &rest); seed; seed = strtok_r(NULL, ", ", &rest)) {
+    for (char* seed = strtok_r(seeds, ", ", &strtok_state); seed; seed = strtok_r(NULL, ", ", &strtok_state)) {
         struct sockaddr_in addr;
         char address[CW_ADDR_TEXT_SIZE];
         if (!parse_with_port(seed, s->seed_port ? (uint16_t)s->seed_port : port_of(seed), &addr)) {
--- a/gateway/mesh.h
+++ b/gateway/mesh.h
@@ -19,9 +19,9 @@
     upstreams_t* upstreams;
     /* Returns the source state of this daemon, which goes out with every datagram of load reports. */
     cw_source_state_t (*source_state)(void* user_data);
-    /* A peer's source state was received. share: address at which the peer serves its documents; far: the peer is in
-       another hall. */
-    void (*on_source_state)(void* user_data, const char* share, bool far, const cw_source_state_t* source_state);
+    /* A peer's source state was received. share: address at which the peer serves its documents; is_remote: the peer is
+       in another hall. */
+    void (*on_source_state)(void* user_data, const char* share, bool is_remote, const cw_source_state_t* source_state);
     /* The membership changed. daemons: most daemons that were known at once; rank: of this one among those that are
        alive, 0 first. */
     void (*on_members)(void* user_data, uint32_t daemons, uint32_t rank);
@@ -58,7 +58,7 @@
 void mesh_tick(mesh_t* m, int64_t now_ms);
 /* Writes the addresses for callers of the hosts that are alive: only those of the hall if it has enough, else those of
    all halls. hall NULL: all halls. Returns their number. */
-uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool with_self, const char** out, uint32_t max);
+uint32_t mesh_caller_addresses(const mesh_t* m, const char* hall, bool includes_self, const char** out, uint32_t max);
 mesh_stats_t mesh_stats(const mesh_t* m);
 
 #endif
--- a/gateway/reporter_internal.h
+++ b/gateway/reporter_internal.h
@@ -40,7 +40,7 @@
 typedef struct peer_t {
     const cw_member_info_t* info; /* valid only while reporter_refresh_peers runs */
     uint64_t id;
-    bool leaving;
+    bool is_leaving;
     struct sockaddr_in load; /* its load address */
 } peer_t;
 
@@ -56,7 +56,7 @@
     int fd;
     uint16_t load_port, share_port;
     const cw_members_t* members; /* NULL: not known yet */
-    bool members_changed;
+    bool has_membership_changed;
     uint32_t live, rank;
     cw_relay_plan_t plan;
     peer_t peers[HOSTS_MAX]; /* without this host; sorted by hall, then by rank as a relay */
@@ -76,7 +76,7 @@
     uint32_t queue_count;
     pending_observation_t pending[OBSERVATION_QUEUE_MAX];
     uint32_t pending_count;
-    uint32_t next_observation;        /* index at which the next repetition goes on */
+    uint32_t next_observation;        /* index at which the next repetition continues */
     int64_t observations_repeated_ms; /* time of the last repetition */
     int64_t flushed_ms, repeated_ms;
     int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -31,7 +31,7 @@
     char dir[64];
     /* the test's current call */
     unsigned status;
-    bool done;
+    bool is_done;
     char body[4096];
 } fleet_t;
 
@@ -142,7 +142,7 @@
 static void on_done(void* user, const cw_call_result_t* result) {
     fleet_t* f = user;
     f->status = result->whole ? result->status : 0;
-    f->done = true;
+    f->is_done = true;
     ev_break(f->loop, EVBREAK_ALL);
 }
 
@@ -150,7 +150,7 @@
     static const cw_header_t header = {"Host", "h.example"};
     char url[128];
     snprintf(url, sizeof(url), "http://%s.%d:%d%s", f->base, host + 1, port, path);
-    f->done = false;
+    f->is_done = false;
     f->status = 0;
     f->body[0] = 0;
     cw_client_call(f->client, &(cw_call_desc_t){.url = url,
@@ -166,7 +166,7 @@
 
 static unsigned call(fleet_t* f, int host, int port, const char* path) {
     begin_call(f, host, port, path);
-    while (!f->done) {
+    while (!f->is_done) {
         ev_run(f->loop, 0);
     }
     return f->status;
@@ -187,12 +187,13 @@
     ev_timer_stop(f->loop, &timer);
 }
 
-/* Repeats a call until the response has the status and, where given, contains the one text and not the other. */
-static void poll_until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* with,
-                       const char* without) {
+/* Repeats a call until the response has the status and contains expected_text but not unexpected_text, each unless it
+   is NULL. */
+static void poll_until(fleet_t* f, int host, int port, const char* path, unsigned status, const char* expected_text,
+                       const char* unexpected_text) {
     ev_tstamp end = ev_time() + TIMEOUT_S;
-    while (call(f, host, port, path) != status || (with && !strstr(f->body, with)) ||
-           (without && strstr(f->body, without))) {
+    while (call(f, host, port, path) != status || (expected_text && !strstr(f->body, expected_text)) ||
+           (unexpected_text && strstr(f->body, unexpected_text))) {
         ck_assert_msg(ev_time() < end, "host %d %s: status %u, %s", host, path, f->status, f->body);
         pause_for(f, POLL_S);
     }
@@ -315,7 +316,7 @@
 }
 END_TEST
 
-/* A host is told to stop while a request runs, with the source available or not. */
+/* A host gets the stop signal while a request runs, with the source available or not. */
 static void stop_during_a_request(bool is_source_available) {
     fleet_t* f = fleet_setup();
     start_host(f, 0);
@@ -328,9 +329,9 @@
     }
     kill(f->pids[0], SIGTERM);
     pause_for(f, 0.3);
-    ck_assert(!f->done);
+    ck_assert(!f->is_done);
     respond(f->held_exchange);
-    while (!f->done) {
+    while (!f->is_done) {
         ev_run(f->loop, 0);
     }
     ck_assert_uint_eq(f->status, 200);
@@ -373,7 +374,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, hosts_discover_each_other_and_drop_a_killed_one_from_lookups);
     tcase_add_test(t, a_host_without_source_uses_its_peer);
     tcase_add_test(t, changed_settings_are_applied);
@@ -384,5 +385,5 @@
 }
 
 int main(void) {
-    return run_suite("gateway-site", add, 60);
+    return run_suite("gateway-site", add_tests, 60);
 }
--- a/tests/test_query_of_death.c
+++ b/tests/test_query_of_death.c
@@ -4,8 +4,8 @@
     Guards against unlimited retries of such a request. With nine engines that restarted within seconds, one body that
     came about twice a second, under new ids and at any host, crashed 39 servers in 15 seconds, and the requests that
     ran beside it broke with them. The gateway sent the request to another server after each crash, and its caller
-    sent it again under another id. Attempts, retry budget and suspicions are kept by id, pool and server, so nothing
-    identified the body. The crashes ended when the body stopped.
+    sent it again under another id. Attempts, retry budget and suspicions are recorded by id, pool and server, so
+   nothing identified the body. The crashes ended when the body stopped.
 
     The test sends the same request three times, each under its own id, to three servers that close without a
     response. Three servers is what such a request may crash in all.
@@ -199,7 +199,7 @@
     pool_t* pool = upstreams_pool(r->upstreams, "p");
     pool->retries = (cw_retry_window_t){.ratio = 0, .slack = 1, .window_ms = 60000, .daemons = 1};
     for (uint32_t i = 0; i < 2; i++) {
-        r->conns[i].open = false;
+        r->conns[i].is_open = false;
         cw_stream_close(&r->conns[i].stream);
     }
     while (exchanges_stats(r->exchanges).sends < 3 || exchanges_stats(r->exchanges).outcomes[EXCHANGE_FAILED] < 1) {
