--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -112,8 +112,8 @@
 /* -- messages of one request ---------------------------------------------- */
 
 typedef struct message_cost_t {
-    double slot_request, grant, queued, done, digest; /* bytes of a frame */
-    double codec_us;                                  /* CPU time to encode and decode each of them once */
+    double slot_request, grant, queued, grant_release, digest; /* bytes of a frame */
+    double codec_us;                                           /* CPU time to encode and decode each of them once */
 } message_cost_t;
 
 static double frame_size(cw_wire_t* wire, const cw_msg_t* msg) {
@@ -144,13 +144,13 @@
         .kind = CW_SHARD_GRANT, .seq = 1000000, .grant = id, .upstream = id, .queued_ms = 300, .ttl_ms = 500};
     m[2].action = (cw_shard_action_t){.kind = CW_SHARD_QUEUED, .seq = 1000000};
     m[3].type = CW_MSG_GRANT_RELEASE;
-    m[3].done = (cw_grant_release_t){.grant = id, .took_ms = 20000, .cost = 400};
+    m[3].grant_release = (cw_grant_release_t){.grant = id, .took_ms = 20000, .cost = 400};
     m[4].type = CW_MSG_GRANT_DIGEST;
     m[4].digest = (cw_grant_digest_t){.last = id, .ids_xor = id, .count = 200};
     message_cost_t c = {.slot_request = frame_size(wire, &m[0]),
                         .grant = frame_size(wire, &m[1]),
                         .queued = frame_size(wire, &m[2]),
-                        .done = frame_size(wire, &m[3]),
+                        .grant_release = frame_size(wire, &m[3]),
                         .digest = frame_size(wire, &m[4])};
     const int rounds = 20000;
     double cpu = bench_cpu_s();
@@ -166,7 +166,7 @@
     cw_wire_shutdown(wire);
     printf("\nmessages: slot request %.0f, grant %.0f, queued %.0f, release %.0f, digest %.0f bytes; codec %.2f us for "
            "all five\n",
-           c.slot_request, c.grant, c.queued, c.done, c.digest, c.codec_us);
+           c.slot_request, c.grant, c.queued, c.grant_release, c.digest, c.codec_us);
     return c;
 }
 
@@ -459,7 +459,7 @@
     double entry_requests_per_s = REQUESTS_PER_S / TARGET_HOSTS;
     double shard_requests_per_s = REQUESTS_PER_S / shards;
     const message_cost_t* m = &k->messages;
-    double request_bytes = m->slot_request + m->grant + m->done + 3 * PACKET_BYTES;
+    double request_bytes = m->slot_request + m->grant + m->grant_release + 3 * PACKET_BYTES;
     double changes_per_s = CHANGES_PER_DAY / SECONDS_PER_DAY;
     printf("\nat 330 hosts, shards of %.0f servers (%.0f shards): one host that owns one shard\n", shard_size, shards);
     printf("  %-34s %8s %10s %10s\n", "role", "cpu %", "bytes/s", "memory MB");
@@ -513,8 +513,8 @@
     json_t* small = print_sum(&k, 8);
     json_t* smallest = print_sum(&k, 4);
     json_t* messages = json_pack("{s:f,s:f,s:f,s:f,s:f,s:f}", "want", k.messages.slot_request, "grant",
-                                 k.messages.grant, "queued", k.messages.queued, "done", k.messages.done, "digest",
-                                 k.messages.digest, "codec_us", k.messages.codec_us);
+                                 k.messages.grant, "queued", k.messages.queued, "done", k.messages.grant_release,
+                                 "digest", k.messages.digest, "codec_us", k.messages.codec_us);
     return bench_write(build, "capacity",
                        json_pack("{s:s,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o,s:o}", "scenario", "capacity", "member",
                                  member, "spread", spread, "messages", messages, "allocator", allocator, "config",
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -13,8 +13,8 @@
             if (cw_bucket_take(&bucket, now_ms, 1)) { ... }
 
             cw_retry_budget_t budget = {.share = 0.1, .burst = 10};
-            cw_retry_on_first_attempt(&budget);                // on each first attempt
-            if (cw_retry_take(&budget)) { ... }
+            cw_retry_budget_on_first_attempt(&budget);                // on each first attempt
+            if (cw_retry_budget_take(&budget)) { ... }
 
     WHAT IT DOES NOT DO
         It does not sleep; cw_bucket_wait_ms says how long to wait.
@@ -66,8 +66,8 @@
 void cw_bucket_set_rate(cw_bucket_t* bucket, int64_t now_ms, double rate, double burst);
 /* Time until the bucket has n tokens, 0: now. */
 uint32_t cw_bucket_wait_ms(const cw_bucket_t* bucket, int64_t now_ms, double n);
-void cw_retry_on_first_attempt(cw_retry_budget_t* budget);
-bool cw_retry_take(cw_retry_budget_t* budget);
+void cw_retry_budget_on_first_attempt(cw_retry_budget_t* budget);
+bool cw_retry_budget_take(cw_retry_budget_t* budget);
 
 #endif /* CHALKWAY_LIMIT_H */
 
@@ -159,14 +159,14 @@
     return missing > 0 ? (uint32_t)(missing / bucket->rate * 1000.0) + 1 : 0;
 }
 
-void cw_retry_on_first_attempt(cw_retry_budget_t* budget) {
+void cw_retry_budget_on_first_attempt(cw_retry_budget_t* budget) {
     budget->tokens += budget->share;
     if (budget->tokens > budget->burst) {
         budget->tokens = budget->burst;
     }
 }
 
-bool cw_retry_take(cw_retry_budget_t* budget) {
+bool cw_retry_budget_take(cw_retry_budget_t* budget) {
     if (budget->tokens < 1.0) {
         return false;
     }
--- a/chalkway_member.h
+++ b/chalkway_member.h
@@ -67,12 +67,12 @@
 
 typedef struct cw_member_t {
     cw_member_info_t info;
-    int64_t info_changed_ms;  /* time of the latest change of info */
-    int64_t last_received_ms; /* time of the latest message received from it directly, 0: never */
-    int64_t revision;         /* its configuration revision, from that message */
-    uint32_t free_capacity;   /* its free capacity in percent, from that message */
-    bool connection_refused;  /* a connection was refused: its process is down, not unreachable */
-    uint32_t transmits_left;  /* transmissions left for its update */
+    int64_t info_changed_ms;     /* time of the latest change of info */
+    int64_t last_received_ms;    /* time of the latest message received from it directly, 0: never */
+    int64_t revision;            /* its configuration revision, from that message */
+    uint32_t free_capacity;      /* its free capacity in percent, from that message */
+    bool has_refused_connection; /* a connection was refused: its process is down, not unreachable */
+    uint32_t transmits_left;     /* transmissions left for its update */
 } cw_member_t;
 
 typedef enum cw_gossip_kind_t {
@@ -483,7 +483,7 @@
         bool was_leaving = m->members[i].info.leaving && m->members[i].info.incarnation == update->incarnation;
         m->members[i].info = *update;
         m->members[i].info.leaving = update->leaving || was_leaving;
-        m->members[i].connection_refused = m->members[i].connection_refused && update->state != CW_MEMBER_ALIVE;
+        m->members[i].has_refused_connection = m->members[i].has_refused_connection && update->state != CW_MEMBER_ALIVE;
     }
     m->members[i].info_changed_ms = now_ms;
     m->members[i].transmits_left = _cw_members_transmit_count(m);
@@ -543,7 +543,7 @@
     uint32_t i = cw_map_get(&m->by_id, id);
     if (i != CW_MAP_NONE && i != 0 && m->members[i].info.state == CW_MEMBER_ALIVE) {
         _cw_members_set_state(m, now_ms, i, CW_MEMBER_SUSPECT);
-        m->members[i].connection_refused = true;
+        m->members[i].has_refused_connection = true;
         _cw_members_forward_updates(m);
     }
 }
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -16,7 +16,7 @@
 
     HOW TO USE IT
             cw_pick_t* pick = cw_pick_setup(&(cw_pick_desc_t){0});
-            cw_pick_set(pick, specs, count);
+            cw_pick_set_upstreams(pick, specs, count);
             uint32_t up = cw_pick_choose(pick, now_ms, &(cw_pick_query_t){.prefix = hash});
             if (up != CW_PICK_NONE) {
                 cw_pick_begin(pick, up);
@@ -65,8 +65,8 @@
     uint32_t eject_max_ms;      /* longest ejection, default 60000 */
     uint32_t slow_start_ms;     /* slow start after an ejection: time until the full limit is restored, default 10000 */
     uint32_t report_max_age_ms; /* load reports are ignored when older, default 10000 */
-    bool by_report;             /* upstreams are shared with others: reported requests count against the limit */
-    bool rotate;                /* plain round robin over the upstreams, without limit */
+    bool counts_reported;       /* upstreams are shared with others: reported requests count against the limit */
+    bool is_round_robin;        /* plain round robin over the upstreams, without limit */
     double prefix_bound;        /* load above the mean that prefix affinity may cause, default 0.25 */
     cw_allocator_t allocator;
 } cw_pick_desc_t;
@@ -89,7 +89,7 @@
 void cw_pick_shutdown(cw_pick_t* pick);
 /* Replaces the list (at most CW_PICK_MAX); upstreams that stay in it keep their state. Returns CW_ERR_FULL when the
    list is too long. Indexes change: call cw_pick_find again. */
-cw_status_t cw_pick_set(cw_pick_t* pick, const cw_pick_spec_t* specs, uint32_t count);
+cw_status_t cw_pick_set_upstreams(cw_pick_t* pick, const cw_pick_spec_t* specs, uint32_t count);
 uint32_t cw_pick_count(const cw_pick_t* pick);
 cw_pick_upstream_t cw_pick_at(const cw_pick_t* pick, uint32_t index);
 uint32_t cw_pick_find(const cw_pick_t* pick, uint64_t id);
@@ -102,7 +102,7 @@
 void cw_pick_end(cw_pick_t* pick, int64_t now_ms, uint32_t index, cw_pick_result_t result, uint32_t took_ms,
                  uint32_t cost);
 /* Records a load report of the upstream itself. */
-void cw_pick_report(cw_pick_t* pick, int64_t now_ms, uint64_t id, uint32_t running, bool draining);
+void cw_pick_on_report(cw_pick_t* pick, int64_t now_ms, uint64_t id, uint32_t running, bool draining);
 /* Slots that this table may use now, in use or not. */
 uint32_t cw_pick_limit(const cw_pick_t* pick, int64_t now_ms);
 /* Slots that can serve now, regardless of the share that this table may use. */
@@ -167,7 +167,7 @@
     return CW_PICK_NONE;
 }
 
-cw_status_t cw_pick_set(cw_pick_t* pick, const cw_pick_spec_t* specs, uint32_t count) {
+cw_status_t cw_pick_set_upstreams(cw_pick_t* pick, const cw_pick_spec_t* specs, uint32_t count) {
     if (count > CW_PICK_MAX) {
         return CW_ERR_FULL;
     }
@@ -277,7 +277,7 @@
 }
 
 uint32_t cw_pick_choose(const cw_pick_t* pick, int64_t now_ms, const cw_pick_query_t* query) {
-    if (pick->desc.rotate) {
+    if (pick->desc.is_round_robin) {
         return _cw_pick_rotate(pick, now_ms);
     }
     uint32_t best = CW_PICK_NONE;
@@ -300,7 +300,7 @@
         double load = _cw_pick_load(pick, now_ms, up, slots);
         usable_count++;
         load_sum += load;
-        uint32_t used = up->inflight + (pick->desc.by_report ? _cw_pick_external(pick, now_ms, up) : 0);
+        uint32_t used = up->inflight + (pick->desc.counts_reported ? _cw_pick_external(pick, now_ms, up) : 0);
         if (used >= slots) {
             continue;
         }
@@ -370,7 +370,7 @@
     }
 }
 
-void cw_pick_report(cw_pick_t* pick, int64_t now_ms, uint64_t id, uint32_t running, bool draining) {
+void cw_pick_on_report(cw_pick_t* pick, int64_t now_ms, uint64_t id, uint32_t running, bool draining) {
     uint32_t index = cw_pick_find(pick, id);
     if (index != CW_PICK_NONE) {
         pick->ups[index].reported = running;
--- a/chalkway_pull.h
+++ b/chalkway_pull.h
@@ -42,7 +42,7 @@
 } cw_pull_offer_t;
 
 typedef struct cw_pull_t {
-    bool is_wanted; /* a fetch is pending */
+    bool is_pending; /* a fetch is pending */
     uint64_t version;
     uint32_t offer_count;        /* offers of this version among which the peer was chosen */
     int64_t due_ms;              /* when the fetch is to start */
@@ -74,8 +74,8 @@
 
 void cw_pull_add_offer(cw_pull_t* pull, const cw_pull_offer_t* offer) {
     assert(offer->peer);
-    if (!pull->is_wanted) {
-        pull->is_wanted = true;
+    if (!pull->is_pending) {
+        pull->is_pending = true;
         pull->due_ms = offer->now_ms + _cw_pull_delay_ms(offer);
         pull->offer_count = 0;
     }
@@ -95,15 +95,15 @@
 }
 
 const char* cw_pull_due(cw_pull_t* pull, int64_t now_ms) {
-    if (!pull->is_wanted || now_ms < pull->due_ms) {
+    if (!pull->is_pending || now_ms < pull->due_ms) {
         return NULL;
     }
-    pull->is_wanted = false;
+    pull->is_pending = false;
     return pull->peer;
 }
 
 void cw_pull_cancel(cw_pull_t* pull) {
-    pull->is_wanted = false;
+    pull->is_pending = false;
 }
 
 #endif /* CHALKWAY_PULL_IMPL_INCLUDED */
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -36,7 +36,7 @@
           still be in transit, the verdict is pending.
 
         So such a request crashes three servers, or six when it cannot be
-        distinguished from others. A crash is forgotten after keep_ms, so that
+        distinguished from others. A crash is forgotten after retention_ms, so that
         a wrong verdict is corrected.
 
     HOW TO USE IT
@@ -89,8 +89,8 @@
 } cw_verdict_t;
 
 typedef struct cw_quarantine_desc_t {
-    uint32_t entries; /* most requests tracked, default 4096; one workspace may use a quarter of them */
-    uint32_t keep_ms; /* time for which a crash counts, default 30 minutes */
+    uint32_t entries;      /* most requests tracked, default 4096; one workspace may use a quarter of them */
+    uint32_t retention_ms; /* time for which a crash counts, default 30 minutes */
     cw_allocator_t allocator;
 } cw_quarantine_desc_t;
 
@@ -103,8 +103,9 @@
 } cw_quarantine_entry_t;
 
 typedef struct cw_quarantine_stats_t {
-    uint32_t entries, held; /* held: quarantined requests that cw_quarantine_next_newly_quarantined has returned */
-    uint64_t evicted;       /* entries evicted in favour of others */
+    uint32_t entries,
+        quarantined;  /* held: quarantined requests that cw_quarantine_next_newly_quarantined has returned */
+    uint64_t evicted; /* entries evicted in favour of others */
 } cw_quarantine_stats_t;
 
 typedef struct cw_quarantine_t cw_quarantine_t;
@@ -204,7 +205,7 @@
 static cw_quarantine_desc_t _cw_quarantine_desc_defaults(const cw_quarantine_desc_t* desc) {
     cw_quarantine_desc_t d = *desc;
     d.entries = d.entries ? d.entries : _CW_QUARANTINE_DEFAULT_ENTRIES;
-    d.keep_ms = d.keep_ms ? d.keep_ms : _CW_QUARANTINE_RETENTION_MS;
+    d.retention_ms = d.retention_ms ? d.retention_ms : _CW_QUARANTINE_RETENTION_MS;
     return d;
 }
 
@@ -289,7 +290,8 @@
     uint32_t kept_count = 0;
     for (uint32_t i = 0; i < entry->count; i++) {
         const _cw_crash_t* crash = &entry->crashes[i];
-        bool is_expired = crash->at_ms <= entry->cleared_at_ms || now_ms - crash->at_ms >= (int64_t)q->desc.keep_ms;
+        bool is_expired =
+            crash->at_ms <= entry->cleared_at_ms || now_ms - crash->at_ms >= (int64_t)q->desc.retention_ms;
         if (!is_expired && (crash->is_trial || !_cw_quarantine_was_alive_after(q, crash->incarnation, crash->at_ms))) {
             entry->crashes[kept_count++] = *crash;
         }
@@ -452,7 +454,7 @@
             break;
         }
         from_ms = oldest->at_ms;
-        until_ms = oldest->at_ms + q->desc.keep_ms;
+        until_ms = oldest->at_ms + q->desc.retention_ms;
         for (uint32_t i = 0; i < entry->count; i++) {
             const _cw_crash_t* crash = &entry->crashes[i];
             weight -= crash->at_ms == from_ms ? _cw_quarantine_crash_weight(q, entry, crash) : 0;
@@ -518,7 +520,7 @@
 static bool _cw_quarantine_add_crash(cw_quarantine_t* q, const cw_quarantine_observation_t* observation, int64_t at_ms,
                                      int64_t now_ms) {
     bool is_trial = observation->kind == CW_OBSERVED_TRIAL;
-    if (now_ms - at_ms >= (int64_t)q->desc.keep_ms ||
+    if (now_ms - at_ms >= (int64_t)q->desc.retention_ms ||
         (!is_trial && _cw_quarantine_was_alive_after(q, observation->incarnation, at_ms))) {
         return false;
     }
@@ -677,7 +679,7 @@
             _cw_quarantine_prune(q, entry, now_ms);
         }
         stats.entries += entry->is_used && entry->count;
-        stats.held += entry->is_used && entry->is_announced;
+        stats.quarantined += entry->is_used && entry->is_announced;
     }
     return stats;
 }
--- a/chalkway_request.h
+++ b/chalkway_request.h
@@ -25,7 +25,7 @@
             if (actions & CW_DO_REQUEST_SLOT) { ... }
 
     WHAT IT DOES NOT DO
-        No timers, sockets or bodies. The owner sets retry_allowed before
+        No timers, sockets or bodies. The owner sets is_retry_allowed before
         each event, from its retry budget.
 
     LICENCE
@@ -96,7 +96,7 @@
     bool resumable;
     bool cancel_on_caller_close;
     bool counts_sent_only;
-    bool retry_allowed;      /* set by the owner: the retry budget permits another attempt */
+    bool is_retry_allowed;   /* set by the owner: the retry budget permits another attempt */
     bool has_sent_bytes;     /* bytes were sent to an upstream, in an attempt that it did not reject */
     bool had_sent_bytes;     /* value of has_sent_bytes when the current attempt began to send */
     bool has_response_head;  /* a response head arrived, in any attempt */
@@ -131,7 +131,7 @@
                           .cancel_on_caller_close = desc->cancel_on_caller_close,
                           .counts_sent_only = desc->counts_sent_only,
                           .max_attempts = desc->max_attempts ? desc->max_attempts : 3,
-                          .retry_allowed = true};
+                          .is_retry_allowed = true};
 }
 
 const char* cw_request_state_name(cw_request_state_t state) {
@@ -166,7 +166,7 @@
    has received nothing, or whose response can be resumed where it broke. */
 static bool _cw_request_may_retry(const cw_request_t* r) {
     bool is_safe = !r->has_sent_bytes || (r->repeatable && (!r->has_forwarded_body || r->resumable));
-    return is_safe && r->retry_allowed && r->attempts < r->max_attempts;
+    return is_safe && r->is_retry_allowed && r->attempts < r->max_attempts;
 }
 
 static bool _cw_request_holds_slot(const cw_request_t* r) {
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -67,7 +67,7 @@
     const char* state_leaving; /* value of state */
     const char* unused_text;   /* a text that is required but not used */
     const char* unused_count;  /* an integer that is required but not used */
-    bool strict;               /* leaving or state, and cold_ms, are required */
+    bool is_strict;            /* leaving or state, and cold_ms, are required */
 } cw_server_field_names_t;
 
 /* Why an entry is invalid. */
@@ -442,9 +442,9 @@
         {names->address, _CW_FIELD_ADDRESS, true, 0, 0, server->address, sizeof(server->address)},
         {names->hall, _CW_FIELD_NAME, true, 0, 0, server->hall, sizeof(server->hall)},
         {names->slots, _CW_FIELD_COUNT, true, 1, _CW_SLOTS_MAX, &server->slots, 0},
-        {names->leaving, _CW_FIELD_BOOL, names->strict, 0, 0, &server->leaving, 0},
-        {names->state, _CW_FIELD_STATE, names->strict, 0, 0, &server->leaving, 0},
-        {names->cold_ms, _CW_FIELD_DURATION_MS, names->strict, 0, UINT32_MAX, &server->cold_ms, 0},
+        {names->leaving, _CW_FIELD_BOOL, names->is_strict, 0, 0, &server->leaving, 0},
+        {names->state, _CW_FIELD_STATE, names->is_strict, 0, 0, &server->leaving, 0},
+        {names->cold_ms, _CW_FIELD_DURATION_MS, names->is_strict, 0, UINT32_MAX, &server->cold_ms, 0},
         {names->started_ms, _CW_FIELD_TIMESTAMP_MS, false, 1, INT64_MAX, &server->started_ms, 0},
         {names->unused_text, _CW_FIELD_NAME, true, 0, 0, NULL, SIZE_MAX},
         {names->unused_count, _CW_FIELD_COUNT, true, 0, INT64_MAX, NULL, 0},
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -39,27 +39,27 @@
     /* [platform] */
     char platform[CW_SETTINGS_TEXT_MAX]; /* URL */
     uint32_t watch_timeout_ms;           /* duration of a long poll */
-    uint32_t readers;                    /* hosts per hall that poll the platform */
+    uint32_t poller_count;               /* hosts per hall that poll the platform */
     uint32_t hosts_ms;                   /* interval between polls of the list of hosts */
     double platform_calls_per_s;         /* limit of this host's calls per second */
     /* [entry] */
-    uint32_t max_requests;           /* concurrent requests */
-    uint32_t max_body_bytes;         /* bytes of a request body */
-    uint32_t max_connections;        /* connections of callers */
-    uint32_t lookup_ttl_ms;          /* how long callers may cache a lookup response */
-    uint32_t ticket_ms;              /* lifetime of a ticket */
-    uint32_t silent_ms;              /* timeout for an allocator's response; then the entry uses direct mode */
-    uint32_t silent_protected_ms;    /* the same for requests of protected classes */
+    uint32_t max_requests;                  /* concurrent requests */
+    uint32_t max_body_bytes;                /* bytes of a request body */
+    uint32_t max_connections;               /* connections of callers */
+    uint32_t lookup_ttl_ms;                 /* how long callers may cache a lookup response */
+    uint32_t ticket_ms;                     /* lifetime of a ticket */
+    uint32_t allocator_response_timeout_ms; /* timeout for an allocator's response; then the entry uses direct mode */
+    uint32_t protected_allocator_response_timeout_ms; /* the same for requests of protected classes */
     uint32_t first_token_timeout_ms; /* timeout for a resumable stream's first token; then another upstream is tried */
     uint32_t stall_ms;               /* the same for each further token */
-    uint32_t max_answer;             /* bytes of a response that is buffered as a whole */
+    uint32_t max_response_bytes;     /* bytes of a response that is buffered as a whole */
     double retry_ratio;              /* retries allowed per first attempt */
     /* [allocator] */
-    char policy[CW_NAME_MAX]; /* shared, solo, lease or round-robin */
-    uint32_t grant_ms;        /* time within which a grant must be used */
-    uint32_t lease_ms;        /* time after which the grants of an entry that sends nothing are reclaimed */
-    uint32_t max_waiting;     /* slot requests queued at one shard */
-    uint32_t report_ms;       /* interval between polls of an upstream's load */
+    char policy[CW_NAME_MAX];       /* shared, solo, lease or round-robin */
+    uint32_t grant_ms;              /* time within which a grant must be used */
+    uint32_t lease_ms;              /* time after which the grants of an entry that sends nothing are reclaimed */
+    uint32_t max_waiting;           /* slot requests queued at one shard */
+    uint32_t load_poll_interval_ms; /* interval between polls of an upstream's load */
     /* [member] */
     uint32_t probe_ms;         /* interval between probes */
     uint32_t probe_timeout_ms; /* for the response to a direct probe */
@@ -143,7 +143,7 @@
      "base URL of the configuration service"},
     {"platform", "watch", CW_SETTING_MS, _CW_SETTINGS_OFFSET(watch_timeout_ms), "20s", 100, 300000,
      "duration of one long poll"},
-    {"platform", "readers", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(readers), "1", 1, 100,
+    {"platform", "readers", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(poller_count), "1", 1, 100,
      "hosts per hall that poll the platform"},
     {"platform", "hosts", CW_SETTING_MS, _CW_SETTINGS_OFFSET(hosts_ms), "15s", 100, 600000,
      "interval between polls of the list of hosts"},
@@ -159,15 +159,15 @@
      "how long callers may cache a lookup response"},
     {"entry", "ticket_keep", CW_SETTING_MS, _CW_SETTINGS_OFFSET(ticket_ms), "60s", 1000, 3600000,
      "lifetime of a ticket"},
-    {"entry", "silent", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_ms), "150ms", 5, 10000,
+    {"entry", "silent", CW_SETTING_MS, _CW_SETTINGS_OFFSET(allocator_response_timeout_ms), "150ms", 5, 10000,
      "timeout for an allocator's response; then the entry uses direct mode"},
-    {"entry", "silent_protected", CW_SETTING_MS, _CW_SETTINGS_OFFSET(silent_protected_ms), "40ms", 5, 10000,
-     "the same for requests of protected classes"},
+    {"entry", "silent_protected", CW_SETTING_MS, _CW_SETTINGS_OFFSET(protected_allocator_response_timeout_ms), "40ms",
+     5, 10000, "the same for requests of protected classes"},
     {"entry", "first_token", CW_SETTING_MS, _CW_SETTINGS_OFFSET(first_token_timeout_ms), "3s", 50, 600000,
      "timeout for a resumable stream's first token; then another upstream is tried"},
     {"entry", "stall", CW_SETTING_MS, _CW_SETTINGS_OFFSET(stall_ms), "1500ms", 20, 600000,
      "the same for each further token"},
-    {"entry", "max_answer", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_answer), "4m", 1024, 67108864,
+    {"entry", "max_answer", CW_SETTING_BYTES, _CW_SETTINGS_OFFSET(max_response_bytes), "4m", 1024, 67108864,
      "largest response that is buffered as a whole"},
     {"entry", "retry_share", CW_SETTING_NUMBER, _CW_SETTINGS_OFFSET(retry_ratio), "0.1", 0, 1,
      "retries allowed per first attempt"},
@@ -179,7 +179,7 @@
      "time after which the grants of an entry that sends nothing are reclaimed"},
     {"allocator", "max_waiting", CW_SETTING_INTEGER, _CW_SETTINGS_OFFSET(max_waiting), "4096", 16, 200000,
      "slot requests queued at one shard"},
-    {"allocator", "report", CW_SETTING_MS, _CW_SETTINGS_OFFSET(report_ms), "1s", 100, 60000,
+    {"allocator", "report", CW_SETTING_MS, _CW_SETTINGS_OFFSET(load_poll_interval_ms), "1s", 100, 60000,
      "interval between polls of an upstream's load"},
     {"member", "probe", CW_SETTING_MS, _CW_SETTINGS_OFFSET(probe_ms), "1s", 50, 60000, "interval between probes"},
     {"member", "probe_timeout", CW_SETTING_MS, _CW_SETTINGS_OFFSET(probe_timeout_ms), "300ms", 10, 30000,
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -1030,11 +1030,11 @@
 }
 
 void cw_shard_report_load(cw_shard_t* s, int64_t now_ms, uint64_t upstream, uint32_t running, bool draining) {
-    cw_pick_report(s->pick, now_ms, upstream, running, draining);
+    cw_pick_on_report(s->pick, now_ms, upstream, running, draining);
 }
 
 cw_status_t cw_shard_set_upstreams(cw_shard_t* s, const cw_pick_spec_t* specs, uint32_t count) {
-    return cw_pick_set(s->pick, specs, count);
+    return cw_pick_set_upstreams(s->pick, specs, count);
 }
 
 cw_shard_stats_t cw_shard_stats(const cw_shard_t* s, int64_t now_ms) {
--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -78,7 +78,7 @@
             cw_shard_action_t action;
             uint32_t wait_ms; /* estimated wait at the shard, by which entries choose one */
         };
-        cw_grant_release_t done;
+        cw_grant_release_t grant_release;
         struct {
             cw_grant_digest_t digest;
             uint32_t held_count;   /* grant list */
@@ -386,7 +386,7 @@
             _cw_io_u32(io, &msg->wait_ms);
             break;
         case CW_MSG_GRANT_RELEASE:
-            _cw_fields_grant_release(io, &msg->done);
+            _cw_fields_grant_release(io, &msg->grant_release);
             break;
         case CW_MSG_GRANT_DIGEST:
             _cw_fields_grant_digest(io, &msg->digest);
--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -88,7 +88,7 @@
         }
         const cw_member_t* m = cw_members_find(node->members, h->id);
         router_count++;
-        visible_count += m && (m->info.state != CW_MEMBER_DEAD || m->connection_refused);
+        visible_count += m && (m->info.state != CW_MEMBER_DEAD || m->has_refused_connection);
     }
     cw_shard_set_visible_entries(owned->shard, visible_count, router_count);
 }
@@ -117,13 +117,13 @@
         owned = &a->owned_shards[a->count++];
         int64_t now_ms = node_now_ms();
         uint64_t hosts[NODE_MAX_HOSTS];
-        cw_shard_desc_t desc = {
-            .epoch = randombytes_random() | 1,
-            .max_waiting = node->settings.max_waiting,
-            .ttl_ms = node->settings.grant_ms,
-            .lease_ms = node->settings.lease_ms,
-            .reserve = pool->reserve,
-            .pick = {.by_report = node->policy == POLICY_SOLO, .rotate = node->policy == POLICY_ROUND_ROBIN}};
+        cw_shard_desc_t desc = {.epoch = randombytes_random() | 1,
+                                .max_waiting = node->settings.max_waiting,
+                                .ttl_ms = node->settings.grant_ms,
+                                .lease_ms = node->settings.lease_ms,
+                                .reserve = pool->reserve,
+                                .pick = {.counts_reported = node->policy == POLICY_SOLO,
+                                         .is_round_robin = node->policy == POLICY_ROUND_ROBIN}};
         for (uint32_t t = 0; t < CW_TIERS; t++) {
             desc.floor[t] = pool->floor[t];
         }
@@ -261,7 +261,7 @@
             cw_shard_cancel_request(owned->shard, from, msg->cancel_seq);
             break;
         case CW_MSG_GRANT_RELEASE:
-            cw_shard_release_grant(owned->shard, now_ms, &msg->done);
+            cw_shard_release_grant(owned->shard, now_ms, &msg->grant_release);
             break;
         case CW_MSG_GRANT_DIGEST:
             digest = msg->digest;
@@ -314,7 +314,7 @@
 static void on_load_done(void* user, const cw_call_result_t* result) {
     load_call_t* load_call = user;
     owned_shard_t* owned = find_owned_shard(load_call->node->allocator, load_call->shard);
-    json_t* root = (owned && result->whole) ? json_loadb(load_call->body, load_call->size, 0, NULL) : NULL;
+    json_t* root = (owned && result->is_complete) ? json_loadb(load_call->body, load_call->size, 0, NULL) : NULL;
     if (root) {
         bool is_draining = json_is_true(json_object_get(root, "draining"));
         json_int_t running = json_integer_value(json_object_get(root, "running"));
@@ -360,7 +360,7 @@
    traffic of load reports stays within its budget of bytes per second. */
 static int64_t load_report_period_ms(const allocator_t* a, const owned_shard_t* owned) {
     int64_t period_ms = (int64_t)cw_shard_upstream_count(owned->shard) * LOAD_CALL_INTERVAL_MS;
-    return period_ms > a->node->settings.report_ms ? period_ms : a->node->settings.report_ms;
+    return period_ms > a->node->settings.load_poll_interval_ms ? period_ms : a->node->settings.load_poll_interval_ms;
 }
 
 void allocator_tick(allocator_t* a, int64_t now_ms) {
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -63,7 +63,7 @@
                 e->shards[i].is_current = true;
                 cw_pick_spec_t specs[CW_PICK_MAX];
                 uint32_t count = node_shard_specs(e->node, snapshot, &layout, id, true, specs);
-                cw_pick_set(e->shards[i].direct_pick, specs, count);
+                cw_pick_set_upstreams(e->shards[i].direct_pick, specs, count);
             }
         }
     }
@@ -254,7 +254,7 @@
 static void send_grant_release(entry_t* e, uint64_t shard, uint64_t to, const cw_grant_release_t* release) {
     e->out.type = CW_MSG_GRANT_RELEASE;
     e->out.shard = shard;
-    e->out.done = *release;
+    e->out.grant_release = *release;
     node_send(e->node, to, &e->out);
 }
 
@@ -387,7 +387,7 @@
     entry_shard_t* s = &e->shards[r->shard];
     uint32_t took_ms = r->sent_ms ? (uint32_t)(now_ms - r->sent_ms) : 0;
     bool served = result == CW_PICK_SERVED;
-    const cw_grant_release_t done = {
+    const cw_grant_release_t grant_release = {
         .grant = r->grant, .result = result, .took_ms = took_ms, .cost = served ? r->cost : r->stream.tokens};
     if (r->is_direct) {
         uint32_t up = cw_pick_find(s->direct_pick, r->upstream);
@@ -395,7 +395,7 @@
             cw_pick_end(s->direct_pick, now_ms, up, result, took_ms, r->cost);
         }
     }
-    send_grant_release(e, s->id, s->owner, &done);
+    send_grant_release(e, s->id, s->owner, &grant_release);
     r->grant = 0;
     r->is_direct = false;
     clear_seq(r);
@@ -434,15 +434,16 @@
     }
 }
 
-/* Appends to the buffered response. If it becomes longer than max_answer, fails the request and returns false. */
+/* Appends to the buffered response. If it becomes longer than max_response_bytes, fails the request and returns false.
+ */
 static bool buffer_response(request_t* r, const char* data, size_t size) {
-    if (r->response.body.size + size <= r->entry->node->settings.max_answer) {
+    if (r->response.body.size + size <= r->entry->node->settings.max_response_bytes) {
         cw_buffer_add(&r->response.body, data, size);
         return true;
     }
     request_set_error(r, HTTP_BAD_GATEWAY, "answer-too-long", "answer", r->response.peer,
                       "the upstream's answer is longer than max_answer", 0);
-    r->machine.retry_allowed = false;
+    r->machine.is_retry_allowed = false;
     request_event(r, CW_EV_UPSTREAM_FAILED);
     return false;
 }
@@ -525,8 +526,8 @@
     cw_log(&r->entry->node->log, CW_EVENT_UPSTREAM_FAILED, "id=%s step=%s peer=%s reason=\"%s\"", r->id, step,
            u ? u->address : "-", result->message);
     r->excluded_upstream = r->upstream;
-    r->machine.retry_allowed = cw_retry_take(&r->entry->retries);
-    r->entry->stats.retries += r->machine.retry_allowed;
+    r->machine.is_retry_allowed = cw_retry_budget_take(&r->entry->retries);
+    r->entry->stats.retries += r->machine.is_retry_allowed;
     request_event(r, result->sent ? CW_EV_UPSTREAM_FAILED : CW_EV_CONNECT_FAILED);
 }
 
@@ -534,7 +535,7 @@
     request_t* r = user;
     r->call = NULL;
     r->upstream_status = result->status ? result->status : r->upstream_status;
-    bool is_response_complete = result->whole && (!r->is_streaming || r->stream.ended);
+    bool is_response_complete = result->is_complete && (!r->is_streaming || r->stream.ended);
     bool is_busy = is_response_complete && result->status == HTTP_UNAVAILABLE && r->class->repeatable;
     if (result->is_vetoed) {
         request_event(r, CW_EV_GRANT_EXPIRED);
@@ -643,7 +644,7 @@
 
 static uint32_t allocator_timeout_ms(const request_t* r) {
     const cw_settings_t* s = &r->entry->node->settings;
-    return r->class->is_protected ? s->silent_protected_ms : s->silent_ms;
+    return r->class->is_protected ? s->protected_allocator_response_timeout_ms : s->allocator_response_timeout_ms;
 }
 
 /* Time at which the attempt counts as stalled, INT64_MAX: never. Without this timeout, a frozen upstream would not be
@@ -708,7 +709,7 @@
     if (r->joined_record != CW_RUN_NONE) {
         reject_joined_at_deadline(r);
     } else if (r->machine.state == CW_REQ_DETACHED) {
-        r->machine.retry_allowed = false;
+        r->machine.is_retry_allowed = false;
         request_event(r, CW_EV_UPSTREAM_FAILED);
     } else if (now_ms >= r->deadline_ms) {
         request_set_error(r, HTTP_TIMEOUT, "deadline", cw_request_state_name(r->machine.state), NULL,
@@ -844,7 +845,7 @@
     } else if (r && a->kind == CW_SHARD_PREEMPT && r->grant == a->grant) {
         request_set_error(r, HTTP_UNAVAILABLE, "preempted", "answer", NULL, "a protected request needed the slot",
                           1000);
-        r->machine.retry_allowed = true;
+        r->machine.is_retry_allowed = true;
         request_event(r, CW_EV_PREEMPTED);
     }
 }
--- a/daemon/entry.c
+++ b/daemon/entry.c
@@ -428,7 +428,7 @@
         reject(r, HTTP_UNAVAILABLE, "no-upstream", "choose", "the pool has no upstream", 1000);
         return;
     }
-    cw_retry_on_first_attempt(&e->retries);
+    cw_retry_budget_on_first_attempt(&e->retries);
     request_event(r, CW_EV_START);
 }
 
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -168,14 +168,15 @@
 static void on_platform_done(void* user, const cw_call_result_t* result) {
     sync_t* s = user;
     s->call = NULL;
-    json_t* root =
-        (result->whole && result->status == 200) ? json_loadb(cw_buffer_text(&s->body), s->body.size, 0, NULL) : NULL;
+    json_t* root = (result->is_complete && result->status == 200)
+                       ? json_loadb(cw_buffer_text(&s->body), s->body.size, 0, NULL)
+                       : NULL;
     if (root) {
         apply_platform_response(s, root);
         json_decref(root);
     } else {
         set_platform_state(s, PLATFORM_DOWN,
-                           result->whole ? "response status is not 200 or body is not JSON" : result->message);
+                           result->is_complete ? "response status is not 200 or body is not JSON" : result->message);
         schedule_retry(s);
     }
     cw_buffer_free(&s->body);
@@ -201,7 +202,8 @@
                                                           .user_data = s});
 }
 
-/* Whether this host is among its hall's pollers: the settings.readers highest-ranked hosts by rendezvous hashing. */
+/* Whether this host is among its hall's pollers: the settings.poller_count highest-ranked hosts by rendezvous hashing.
+ */
 static bool should_poll(const sync_t* s) {
     const node_t* node = s->node;
     uint64_t hosts[NODE_MAX_HOSTS];
@@ -213,7 +215,7 @@
         }
     }
     uint64_t key = cw_mix(node->hall, cw_name_id("reader"));
-    return cw_rendezvous_rank(key, node->host, hosts, count) < node->settings.readers;
+    return cw_rendezvous_rank(key, node->host, hosts, count) < node->settings.poller_count;
 }
 
 /* -- list of hosts -------------------------------------------------------- */
@@ -250,7 +252,7 @@
 static void on_hosts_done(void* user, const cw_call_result_t* result) {
     sync_t* s = user;
     s->hosts_call = NULL;
-    json_t* root = (result->whole && result->status == 200)
+    json_t* root = (result->is_complete && result->status == 200)
                        ? json_loadb(cw_buffer_text(&s->hosts_body), s->hosts_body.size, 0, NULL)
                        : NULL;
     if (root) {
--- a/gateway/exchange.c
+++ b/gateway/exchange.c
@@ -238,7 +238,7 @@
 }
 
 void exchange_handle_event(exchange_t* x, cw_request_event_t e) {
-    x->fsm.retry_allowed = cw_retry_window_has_room(&x->pool->retries, clock_ms());
+    x->fsm.is_retry_allowed = cw_retry_window_has_room(&x->pool->retries, clock_ms());
     uint32_t actions = cw_request_event(&x->fsm, e);
     if (actions || x->fsm.state == CW_REQ_ENDED) {
         run_actions(x, actions);
--- a/gateway/gateway.c
+++ b/gateway/gateway.c
@@ -232,7 +232,7 @@
                         (unsigned long long)m.reporter.unknown, (unsigned long long)s.entries_refused);
     quarantine_stats_t q = quarantine_stats(g->quarantine);
     cw_message_add_text(out, "chalkway_suspect_requests %u\nchalkway_held_requests %u\n", q.requests.entries,
-                        q.requests.held);
+                        q.requests.quarantined);
     cw_message_add_text(out, "chalkway_held_back_total %llu\nchalkway_suspects_pushed_out_total %llu\n",
                         (unsigned long long)q.requests_quarantined, (unsigned long long)q.requests.evicted);
     cw_message_add_text(out, "chalkway_marks_told_total %llu\nchalkway_marks_heard_total %llu\n",
@@ -403,7 +403,7 @@
     g->quarantine = quarantine_setup(&(quarantine_desc_t){.log = &g->log,
                                                           .upstreams = g->upstreams,
                                                           .entries = s->suspects,
-                                                          .keep_ms = s->hold_ms,
+                                                          .retention_ms = s->hold_ms,
                                                           .on_observation = on_local_observation,
                                                           .on_quarantined = on_quarantined,
                                                           .user_data = g});
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -89,8 +89,8 @@
         abort();
     }
     parts->max_parts = v->max_parts;
-    if (!result->whole || c->status != 200) {
-        log_failure(v, server, result->whole ? "the response status is not 200" : result->message);
+    if (!result->is_complete || c->status != 200) {
+        log_failure(v, server, result->is_complete ? "the response status is not 200" : result->message);
     } else if (v->desc.dialect->read_inventory(cw_buffer_text(&c->body), c->body.size, &started_ms, add_part, parts,
                                                &err) != CW_OK) {
         log_failure(v, server, err.message);
--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -80,7 +80,7 @@
 /* Whether an unreachable host may be partitioned off and still running: it didn't leave as planned, and its machine
    didn't refuse a connection, which would show that the process ended. */
 static bool may_be_partitioned(const cw_member_t* member, int64_t now_ms) {
-    return !is_alive(member) && !member->info.leaving && !member->connection_refused &&
+    return !is_alive(member) && !member->info.leaving && !member->has_refused_connection &&
            now_ms - member->info_changed_ms < UNREACHABLE_MAX_MS;
 }
 
--- a/gateway/quarantine.c
+++ b/gateway/quarantine.c
@@ -176,7 +176,8 @@
         abort();
     }
     q->desc = *desc;
-    q->table = cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = desc->entries, .keep_ms = desc->keep_ms});
+    q->table =
+        cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = desc->entries, .retention_ms = desc->retention_ms});
     return q;
 }
 
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -16,7 +16,7 @@
 typedef struct quarantine_desc_t {
     const cw_log_t* log;
     upstreams_t* upstreams;
-    uint32_t entries, keep_ms; /* as in cw_quarantine_desc_t */
+    uint32_t entries, retention_ms; /* as in cw_quarantine_desc_t */
     /* Publish the observation to the other daemons at once. */
     void (*on_observation)(void* user_data, const cw_quarantine_observation_t* observation);
     /* The request is quarantined from now on; its queued and running exchanges at this daemon must be ended. */
--- a/gateway/sync.c
+++ b/gateway/sync.c
@@ -32,12 +32,12 @@
     cw_buffer_t body = f->body;
     f->body = (cw_buffer_t){0};
     f->call = NULL;
-    cw_epoch_verdict_t epoch = result->whole && f->epoch[0] ? sync_check_epoch(f->sync, f->epoch) : CW_EPOCH_SAME;
+    cw_epoch_verdict_t epoch = result->is_complete && f->epoch[0] ? sync_check_epoch(f->sync, f->epoch) : CW_EPOCH_SAME;
     if (epoch == CW_EPOCH_OLDER) {
         f->on_failure(f->sync, "a response of an earlier epoch");
     } else if (epoch == CW_EPOCH_NEWER && f == &f->sync->servers) {
         sync_poll_full_list(f->sync); /* the request named a revision of the previous epoch */
-    } else if (result->whole) {
+    } else if (result->is_complete) {
         f->on_response(f->sync, result->status, cw_buffer_text(&body), body.size);
     } else {
         f->on_failure(f->sync, result->message);
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -120,7 +120,7 @@
 }
 
 bool sync_is_offered_by_peer(const sync_t* s, const fetch_t* f, const cw_pull_t* pull, int64_t now_ms) {
-    return (pull->is_wanted || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
+    return (pull->is_pending || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
 }
 
 /* Writes the path at which a peer's list is read. Returns whether it asks only for the changes since the active list.
--- a/io/client.h
+++ b/io/client.h
@@ -15,7 +15,7 @@
 typedef struct cw_call_t cw_call_t;
 
 typedef struct cw_call_result_t {
-    bool whole;          /* the response is complete according to its framing */
+    bool is_complete;    /* the response is complete according to its framing */
     bool sent;           /* bytes of the request may have been sent */
     bool is_vetoed;      /* on_sending returned false */
     unsigned status;     /* 0: no response head received */
--- a/tests/test_changes.c
+++ b/tests/test_changes.c
@@ -280,7 +280,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, a_delta_turns_any_earlier_list_into_the_newest);
     tcase_add_test(t, deltas_are_small_between_hosts_without_a_common_list);
     tcase_add_test(t, a_host_sends_deltas_from_before_its_own_first_list);
@@ -291,5 +291,5 @@
 }
 
 int main(void) {
-    return run_suite("changes", add, 30);
+    return run_suite("changes", add_tests, 30);
 }
--- a/tests/test_day_causes.c
+++ b/tests/test_day_causes.c
@@ -38,10 +38,10 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, outcomes_and_late_responses_are_counted_by_route_second_and_server);
 }
 
 int main(void) {
-    return run_suite("day-causes", add, 10);
+    return run_suite("day-causes", add_tests, 10);
 }
--- a/tests/test_explain.c
+++ b/tests/test_explain.c
@@ -83,11 +83,11 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, request_lines_are_sorted_and_interleaved_with_context_lines);
     tcase_add_test(t, unknown_request_and_unreadable_file_are_reported);
 }
 
 int main(void) {
-    return run_suite("explain", add, 30);
+    return run_suite("explain", add_tests, 30);
 }
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -939,7 +939,7 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, source_epochs_only_increase);
     tcase_add_test(t, slot_hold_times_are_learned_by_urgency);
     tcase_add_test(t, slot_occupancy_survives_the_removal_of_a_server);
@@ -982,5 +982,5 @@
 }
 
 int main(void) {
-    return run_suite("gateway-parts", add, 30);
+    return run_suite("gateway-parts", add_tests, 30);
 }
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -141,7 +141,7 @@
 
 static void on_done(void* user, const cw_call_result_t* result) {
     fleet_t* f = user;
-    f->status = result->whole ? result->status : 0;
+    f->status = result->is_complete ? result->status : 0;
     f->is_done = true;
     ev_break(f->loop, EVBREAK_ALL);
 }
--- a/tests/test_packed.c
+++ b/tests/test_packed.c
@@ -116,12 +116,12 @@
 }
 END_TEST
 
-static void add(TCase* t) {
+static void add_tests(TCase* t) {
     tcase_add_test(t, a_list_survives_the_round_trip);
     tcase_add_test(t, a_large_list_takes_a_fifth_of_its_json_form);
     tcase_add_test(t, invalid_encodings_are_refused);
 }
 
 int main(void) {
-    return run_suite("packed", add, 30);
+    return run_suite("packed", add_tests, 30);
 }
--- a/tests/test_parts.c
+++ b/tests/test_parts.c
@@ -168,8 +168,8 @@
     cw_retry_budget_t budget = {.share = 0.1, .burst = 5};
     int retries = 0;
     for (int i = 0; i < 1000; i++) {
-        cw_retry_on_first_attempt(&budget);
-        retries += cw_retry_take(&budget);
+        cw_retry_budget_on_first_attempt(&budget);
+        retries += cw_retry_budget_take(&budget);
     }
     ck_assert_int_le(retries, 105);
     ck_assert_int_ge(retries, 90);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -8,7 +8,7 @@
 #define COINCIDENCE_MS 100 /* time until observations of other crashes at the same moment have arrived */
 
 static cw_quarantine_t* setup(void) {
-    return cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 64, .keep_ms = RETENTION_MS});
+    return cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 64, .retention_ms = RETENTION_MS});
 }
 
 static cw_fingerprint_t request(uint64_t content_hash) {
@@ -228,7 +228,7 @@
 
 /* One workspace sends 10,000 bodies, each of which crashes three servers. */
 START_TEST(one_workspace_does_not_evict_entries_of_others) {
-    cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 256, .keep_ms = RETENTION_MS});
+    cw_quarantine_t* q = cw_quarantine_setup(&(cw_quarantine_desc_t){.entries = 256, .retention_ms = RETENTION_MS});
     for (uint64_t i = 0; i < 3; i++) {
         report_crash(q, 1000 + 100 * (int64_t)i, 7, 101 + i);
     }
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -100,7 +100,7 @@
         for (int step = 0; step < STEPS; step++) {
             cw_request_event_t event = (cw_request_event_t)(1 + rng_below(&rng, CW_EV_COUNT - 1));
             cw_request_state_t before = r.state;
-            r.retry_allowed = rng_below(&rng, 2);
+            r.is_retry_allowed = rng_below(&rng, 2);
             f.may_have_run -= event == CW_EV_REJECTED && before == CW_REQ_SENT;
             check_actions(&f, cw_request_event(&r, event), event == CW_EV_SENDING && before == CW_REQ_CONNECTING);
             if (event == CW_EV_SENDING && before != CW_REQ_CONNECTING) {
--- a/tests/test_site.c
+++ b/tests/test_site.c
@@ -139,7 +139,7 @@
     ck_assert_int_eq(send_summary(http_of("a"), "x", false, 10).status, 200);
     site_response_t stream = send_summary(http_of("b"), "y", true, 10);
     ck_assert_int_eq(stream.status, 200);
-    ck_assert(stream.whole && strstr(stream.body, "[DONE]"));
+    ck_assert(stream.is_complete && strstr(stream.body, "[DONE]"));
     ck_assert_int_eq(send_status_call(http_of("c")).status, 200);
     stop_site();
 }
@@ -149,7 +149,7 @@
     start_site();
     site_call(&(site_request_t){.address = http_of("engine"), .path = "/admin/set?cut_after=5", .body = ""});
     site_response_t response = send_summary(http_of("a"), "x", true, 50);
-    ck_assert(!response.whole);
+    ck_assert(!response.is_complete);
     ck_assert_ptr_nonnull(strstr(response.body, "event: error"));
     ck_assert_ptr_null(strstr(response.body, "[DONE]"));
     stop_site();
@@ -256,13 +256,13 @@
         "{\"items\":[{\"key\":\"pools/lang\",\"value\":{\"kind\":\"engine\",\"model\":\"m\",\"resumes\":true}}]}");
     ck_assert(site_wait_revision(&site, 9, WAIT_MS));
     site_response_t uncut = send_summary(http_of("a"), "x", true, 50);
-    ck_assert(uncut.whole);
+    ck_assert(uncut.is_complete);
     for (int cut_after = 1; cut_after < 50; cut_after += 16) {
         char path[64];
         snprintf(path, sizeof(path), "/admin/set?cut_after=%d", cut_after);
         site_call(&(site_request_t){.address = http_of("engine"), .path = path, .body = ""});
         site_response_t cut = send_summary(http_of("a"), "x", true, 50);
-        ck_assert(cut.whole);
+        ck_assert(cut.is_complete);
         ck_assert_str_eq(cut.body, uncut.body);
     }
     stop_site();
@@ -293,7 +293,7 @@
             char id[16];
             snprintf(id, sizeof(id), "s%d", i);
             site_response_t response = send_summary(http_of("a"), id, true, 60);
-            _exit(response.whole && strstr(response.body, "[DONE]") ? 0 : 1);
+            _exit(response.is_complete && strstr(response.body, "[DONE]") ? 0 : 1);
         }
     }
     site_sleep_ms(400);
--- a/tools/demo.c
+++ b/tools/demo.c
@@ -128,7 +128,7 @@
                                                            .class_name = "fault-diagnosis",
                                                            .body = body});
     bool has_done_event = join_stream(response.body, got, sizeof(got));
-    bool is_ok = response.status == 200 && response.whole && has_done_event && strcmp(got, expected) == 0;
+    bool is_ok = response.status == 200 && response.is_complete && has_done_event && strcmp(got, expected) == 0;
     char observed[128];
     snprintf(observed, sizeof(observed), "%ld, 40 tokens %s, end %s", response.status,
              strcmp(got, expected) ? "differ" : "as sent", has_done_event ? "seen" : "missing");
@@ -213,9 +213,9 @@
 
 static void on_burst_done(void* user, const cw_call_result_t* result) {
     burst_t* b = user;
-    b->delivered += result->whole && result->status == 200;
-    b->refused += result->whole && result->status == 429;
-    b->other += !result->whole || (result->status != 200 && result->status != 429);
+    b->delivered += result->is_complete && result->status == 200;
+    b->refused += result->is_complete && result->status == 429;
+    b->other += !result->is_complete || (result->status != 200 && result->status != 429);
     if (--b->remaining == 0) {
         ev_break(b->loop, EVBREAK_ALL);
     }
--- a/tools/load.c
+++ b/tools/load.c
@@ -184,7 +184,7 @@
     caller_t* c = user;
     c->is_lookup_pending = false;
     c->attempts++;
-    if (result->whole && result->status == 200) {
+    if (result->is_complete && result->status == 200) {
         apply_lookup(c);
     }
 }
@@ -337,7 +337,7 @@
     request_t* req = user;
     req->call = NULL;
     bool is_not_run = strcmp(req->outcome, "not-run") == 0;
-    if (result->whole && result->status == 200) {
+    if (result->is_complete && result->status == 200) {
         if (response_matches(req)) {
             count_delivered(req);
         } else {
@@ -354,7 +354,7 @@
             return;
         }
         req->result->refused++;
-    } else if (!result->whole && !req->class->is_run_once && schedule_retry(req, 0)) {
+    } else if (!result->is_complete && !req->class->is_run_once && schedule_retry(req, 0)) {
         return;
     } else if (strcmp(req->outcome, "failed") == 0) {
         req->result->failed++;
--- a/tools/site.c
+++ b/tools/site.c
@@ -284,7 +284,7 @@
     if (r->method) {
         curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, r->method);
     }
-    response.whole = curl_easy_perform(e) == CURLE_OK;
+    response.is_complete = curl_easy_perform(e) == CURLE_OK;
     curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &response.status);
     long sent = 0;
     long head = 0;
--- a/tools/site.h
+++ b/tools/site.h
@@ -38,8 +38,8 @@
 
 /* Response to a blocking request. */
 typedef struct site_response_t {
-    long status; /* 0: no response */
-    bool whole;  /* received completely */
+    long status;      /* 0: no response */
+    bool is_complete; /* received completely */
     char outcome[32];
     char retry_after[16];
     long bytes; /* of the request and its response, headers included */
--- a/tools/soak_callers.c
+++ b/tools/soak_callers.c
@@ -305,7 +305,7 @@
 static void on_lookup_done(void* user, const cw_call_result_t* result) {
     caller_t* caller = user;
     struct sockaddr_in address;
-    bool found = result->whole && result->status == 200 && pick_host(caller) &&
+    bool found = result->is_complete && result->status == 200 && pick_host(caller) &&
                  cw_addr_parse(caller->host, &address, NULL) == CW_OK;
     if (!found ||
         cw_stream_connect(&caller->stream, caller->parent->loop, &address, &stream_handlers, caller) != CW_OK) {
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -251,7 +251,7 @@
     soak_qod_body_t* body = r->qod_body;
     if (strcmp(what, "reach") == 0) {
         if (!may_lack_state(c, at_ms, r->host)) {
-            soak_qod_on_reach(body, at_ms);
+            soak_qod_on_arrival(body, at_ms);
         }
         return;
     }
@@ -654,9 +654,9 @@
         c->result.qod_bodies++;
         c->result.qod_sent += body->sent;
         c->result.qod_crashes += body->crashes;
-        if (body->late_reaches > SOAK_QOD_LATE_REACHES_MAX) {
+        if (body->late_arrivals > SOAK_QOD_LATE_ARRIVALS_MAX) {
             char what[64];
-            snprintf(what, sizeof(what), "%u upstreams crashed, %u late arrivals", body->crashes, body->late_reaches);
+            snprintf(what, sizeof(what), "%u upstreams crashed, %u late arrivals", body->crashes, body->late_arrivals);
             add_finding(c, SOAK_QUERY_OF_DEATH, body->known_from_ms, what, body->name);
         }
     }
--- a/tools/soak_qod.c
+++ b/tools/soak_qod.c
@@ -18,8 +18,8 @@
     return body;
 }
 
-void soak_qod_on_reach(soak_qod_body_t* body, int64_t at_ms) {
-    body->late_reaches += body->known_from_ms && at_ms > body->known_from_ms;
+void soak_qod_on_arrival(soak_qod_body_t* body, int64_t at_ms) {
+    body->late_arrivals += body->known_from_ms && at_ms > body->known_from_ms;
 }
 
 void soak_qod_on_crash(soak_qod_body_t* body, int64_t at_ms) {
--- a/tools/soak_qod.h
+++ b/tools/soak_qod.h
@@ -9,13 +9,13 @@
 #define SOAK_QOD_BODIES_MAX 64
 #define SOAK_QOD_CRASHES_MAX 3       /* crashes after which the hosts must quarantine a body */
 #define SOAK_QOD_PROPAGATION_MS 3000 /* from the last of these crashes until all hosts must know of it */
-#define SOAK_QOD_LATE_REACHES_MAX 3  /* arrivals at upstreams tolerated after the propagation time */
+#define SOAK_QOD_LATE_ARRIVALS_MAX 3 /* arrivals at upstreams tolerated after the propagation time */
 
 typedef struct soak_qod_body_t {
     char name[32];
     uint32_t sent, crashes;
-    int64_t known_from_ms; /* from when on all hosts must know of the body; 0: not set yet */
-    uint32_t late_reaches; /* arrivals at upstreams after known_from_ms */
+    int64_t known_from_ms;  /* from when on all hosts must know of the body; 0: not set yet */
+    uint32_t late_arrivals; /* arrivals at upstreams after known_from_ms */
 } soak_qod_body_t;
 
 typedef struct soak_qod_t {
@@ -26,7 +26,7 @@
 /* Returns the entry of the body with the name, added if it is new, or NULL if the table is full. */
 soak_qod_body_t* soak_qod_find_or_add(soak_qod_t* qod, const char* name);
 /* The body arrived at an upstream. */
-void soak_qod_on_reach(soak_qod_body_t* body, int64_t at_ms);
+void soak_qod_on_arrival(soak_qod_body_t* body, int64_t at_ms);
 /* An upstream crashed while it ran the body. */
 void soak_qod_on_crash(soak_qod_body_t* body, int64_t at_ms);
 
