--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -68,8 +68,8 @@
     return c;
 }
 
-/* Time until all hosts have a revision that one of them has polled; a host has it once it receives a message with it.
- */
+/* Time until all hosts have a revision that one of them has polled. A host has the revision once it receives a message
+   that carries it. */
 static double measure_propagation(uint32_t hosts, uint64_t seed) {
     static fleet_t fleet;
     fleet_setup(&fleet, hosts, seed);
--- a/bench/bench_scenario.c
+++ b/bench/bench_scenario.c
@@ -207,9 +207,8 @@
                 if (best == UINT32_MAX) {
                     break;
                 }
-                double used = remaining_s[best] < IDEAL_STEP_S
-                                  ? remaining_s[best]
-                                  : IDEAL_STEP_S; /* a request occupies one slot at a time */
+                /* A request occupies one slot at a time. */
+                double used = remaining_s[best] < IDEAL_STEP_S ? remaining_s[best] : IDEAL_STEP_S;
                 used = used < capacity ? used : capacity;
                 capacity -= used;
                 remaining_s[best] -= used;
@@ -328,8 +327,8 @@
     d->workspace_count = (uint32_t)count;
 }
 
-/* Site in Sofia: 8 daemons in 4 halls, 18 engines, 4 services; kiosk requests burst to three times the capacity for 20
- * s. */
+/* Site in Sofia: 8 daemons in 4 halls, 18 engines, 4 services; kiosk requests burst to three times the capacity
+   for 20 s. */
 static scenario_t sofia_burst(void) {
     scenario_t sc = {.name = "sofia-burst",
                      .daemons = 8,
--- a/daemon/allocator.c
+++ b/daemon/allocator.c
@@ -384,8 +384,8 @@
     allocator_t* a = cw_alloc(NULL, 1, sizeof(*a));
     a->node = node;
     ev_prepare_init(&a->prepare, on_prepare);
-    ev_set_priority(&a->prepare,
-                    EV_MINPRI + 1); /* after all messages of the iteration are handled, before responses are written */
+    /* Runs after all messages of the iteration are handled and before responses are written. */
+    ev_set_priority(&a->prepare, EV_MINPRI + 1);
     a->prepare.data = a;
     ev_prepare_start(node->loop, &a->prepare);
     return a;
--- a/daemon/dispatch.c
+++ b/daemon/dispatch.c
@@ -434,8 +434,7 @@
     }
 }
 
-/* Appends to the buffered response. If it becomes longer than max_response_bytes, fails the request and returns false.
- */
+/* Appends to the buffered response. Fails the request and returns false if the response exceeds max_response_bytes. */
 static bool buffer_response(request_t* r, const char* data, size_t size) {
     if (r->response.body.size + size <= r->entry->node->settings.max_response_bytes) {
         cw_buffer_add(&r->response.body, data, size);
@@ -555,7 +554,7 @@
     const cw_upstream_t* u = cw_snapshot_upstream(r->snapshot, r->upstream);
     cw_snapshot_t* newest = cw_store_snapshot(e->node->store);
     if (!u) {
-        u = cw_snapshot_upstream(newest, r->upstream); /* published after this request arrived */
+        u = cw_snapshot_upstream(newest, r->upstream); /* the upstream was published after this request arrived */
     }
     char url[CW_ADDRESS_MAX + 300];
     char tier[8];
--- a/daemon/entry_internal.h
+++ b/daemon/entry_internal.h
@@ -33,11 +33,12 @@
 /* State of a shard as seen by this entry. */
 typedef struct entry_shard_t {
     uint64_t id, pool;
-    uint64_t owner;           /* host that allocates the shard */
-    bool is_current;          /* part of the current configuration; other shards only finish their running requests */
-    uint64_t last_grant_id;   /* highest grant id received from the owner */
-    uint32_t wait_ms;         /* queue wait that the owner reported last */
-    int64_t last_received_ms; /* from an owner; 0: shard not used yet, 1: slot request sent, nothing received */
+    uint64_t owner;         /* host that allocates the shard */
+    bool is_current;        /* part of the current configuration; other shards only finish their running requests */
+    uint64_t last_grant_id; /* highest grant id received from the owner */
+    uint32_t wait_ms;       /* queue wait that the owner reported last */
+    /* Time of the last message from an owner. 0: shard not used yet, 1: slot request sent, nothing received. */
+    int64_t last_received_ms;
     int64_t unresponsive_since_ms; /* since when the owner has not responded, 0: it responds */
     int64_t next_digest_ms;        /* when to send the next digest of held grants */
     bool has_reported_grants;      /* the last digest was not empty, so an empty one must follow */
--- a/daemon/operator.c
+++ b/daemon/operator.c
@@ -9,7 +9,7 @@
 #define MAX_LONG_POLLS 64
 #define LONG_POLL_MAX_MS 60000
 
-/* A request held open until the configuration's revision exceeds since. */
+/* A request held open until the configuration's revision exceeds the revision in the field since. */
 typedef struct long_poll_t {
     cw_exchange_t* x;
     int64_t since;
--- a/daemon/sync.c
+++ b/daemon/sync.c
@@ -202,8 +202,8 @@
                                                           .user_data = s});
 }
 
-/* Whether this host is among its hall's pollers: the settings.poller_count highest-ranked hosts by rendezvous hashing.
- */
+/* Whether this host is one of its hall's pollers. These are the highest-ranked hosts by rendezvous hashing, as many as
+   settings.poller_count. */
 static bool should_poll(const sync_t* s) {
     const node_t* node = s->node;
     uint64_t hosts[NODE_MAX_HOSTS];
--- a/io/httpd.c
+++ b/io/httpd.c
@@ -11,7 +11,7 @@
 #include "buffer.h"
 
 #define STREAM_BLOCK_BYTES 16384
-#define STREAM_COMPACT_BYTES 65536 /* taken bytes in out beyond which the rest is moved to the front */
+#define STREAM_COMPACT_BYTES 65536 /* once this many bytes of out are taken, the rest is moved to the front */
 
 struct cw_httpd_t {
     cw_httpd_desc_t desc;
--- a/io/httpd.h
+++ b/io/httpd.h
@@ -46,7 +46,7 @@
 const char* cw_exchange_method(const cw_exchange_t* x);
 /* Request path without the query. */
 const char* cw_exchange_path(const cw_exchange_t* x);
-/* Request header field and query argument; NULL when absent. */
+/* Value of a request header field, and of a query argument; NULL when absent. */
 const char* cw_exchange_header(cw_exchange_t* x, const char* name);
 const char* cw_exchange_arg(cw_exchange_t* x, const char* name);
 /* The request body, zero-terminated; size may be NULL. */
--- a/io/message.h
+++ b/io/message.h
@@ -52,9 +52,9 @@
     cw_message_state_t state;
     bool is_bodiless; /* response to a HEAD request; the owner sets it before parsing the response */
     /* Parsed head, valid from on_head until cw_message_reset. */
-    const char* method; /* request */
-    const char* target; /* request: path and query as sent */
-    unsigned status;    /* response */
+    const char* method; /* of a request */
+    const char* target; /* of a request: path and query as sent */
+    unsigned status;    /* of a response */
     cw_framing_t framing;
     uint64_t length; /* Content-Length with CW_FRAMING_LENGTH, else 0 */
     bool keep_alive; /* the message allows the connection to be reused */
--- a/io/stream.c
+++ b/io/stream.c
@@ -7,7 +7,7 @@
 #include <unistd.h>
 
 #define READ_BLOCK_BYTES 16384
-#define COMPACT_BYTES 32768 /* sent bytes in out beyond which the rest is moved to the front */
+#define COMPACT_BYTES 32768 /* once this many bytes of out are sent, the rest is moved to the front */
 #define MS_PER_S 1000U
 #define KEEPALIVE_PROBES 2
 
--- a/standins/fake_upstream.c
+++ b/standins/fake_upstream.c
@@ -21,6 +21,7 @@
     exits without a response to any running request.
 
     Standard output, after the ready line: one line per event, MS is the monotonic clock in milliseconds.
+    "A|B" stands for two lines, whose meanings follow in the same order.
         U MS begin ID SERVER PRIORITY TOKENS   the request started to run
         U MS end|gone ID SERVER       the request completed; its caller closed the connection
         U MS reach|died ID SERVER     a query of death arrived; the process exits because of it
@@ -204,8 +205,8 @@
     job_t* prefilling = next_prefill(u);
     for (uint32_t i = 0; i < MAX_JOBS; i++) {
         job_t* job = &u->jobs[i];
-        bool is_complete =
-            job->events_sent >= job->event_count && !job->is_query_of_death; /* a query of death never completes */
+        /* A query of death never completes. */
+        bool is_complete = job->events_sent >= job->event_count && !job->is_query_of_death;
         if (job->is_used && job->is_running && !job->prefill_left && job != prefilling && !is_complete) {
             send_event(job);
             is_complete = job->events_sent >= job->event_count && !job->is_query_of_death;
--- a/tests/pool_model.h
+++ b/tests/pool_model.h
@@ -47,7 +47,7 @@
     uint32_t host, class_index, engine;
     cw_work_t work;
     int64_t arrived_ms;
-    cw_queue_wait_t wait;   /* for a slot */
+    cw_queue_wait_t wait;   /* time limits of the wait for a slot */
     int64_t until_ms;       /* end of the stage; not used while the request waits or its prompt is prefilled */
     double prefill_left_ms; /* prefill time left for its prompt */
     uint32_t sequence;      /* order of sending over all hosts */
@@ -92,8 +92,9 @@
     uint32_t sent;                        /* requests that reached an engine */
     uint32_t overcommitted;               /* requests started at an engine without a free slot */
     uint32_t avoidable;                   /* broken requests that another host's load report could have prevented */
-    int64_t failed_ms[MODEL_ENGINES_MAX]; /* first failure there, 0: none */
-    double slot_ms, run_ms, overload_ms;  /* integrals while requests wait: live engines' slots, used slots, time */
+    int64_t failed_ms[MODEL_ENGINES_MAX]; /* time of the first broken request at the engine, 0: none */
+    /* Sums over the time in which requests wait: slots of live engines, used slots, and the time itself. */
+    double slot_ms, run_ms, overload_ms;
 } model_t;
 
 static inline void model_setup(model_t* m, uint64_t seed) {
@@ -335,7 +336,7 @@
     for (int64_t until_ms = m->now_ms + ms; m->now_ms < until_ms; m->now_ms++) {
         model_repeat_reports(m);
         model_deliver_reports(m, 1);
-        model_deliver_reports(m, 0); /* after 1, since direct reports are newer */
+        model_deliver_reports(m, 0); /* after channel 1, since direct reports are newer */
         uint32_t waiting[MODEL_HOSTS_MAX][CW_URGENCY_LEVELS] = {{0}};
         uint32_t waiting_count = 0;
         model_prefill_step(m);
--- a/tests/rate_model.h
+++ b/tests/rate_model.h
@@ -73,13 +73,15 @@
 typedef struct rate_host_t {
     cw_rate_t rate;
     cw_bucket_t share_bucket;
-    int64_t sends_ms[256]; /* requests sent by all hosts, as far as known; only with RATE_BROADCAST */
+    int64_t sends_ms[256]; /* sends by all hosts, as far as this host knows; only with RATE_BROADCAST */
     uint32_t send_count;
     int64_t queue_ms[RATE_QUEUE_MAX];
     uint32_t queued;
     uint64_t ids[RATE_HOSTS_MAX];
     uint32_t live, missing;
-    int64_t informed_ms, repeat_ms; /* first own response that advertised a rate, 0: none; last repetition */
+    /* informed_ms: first own response that advertised a rate, 0: none.
+       repeat_ms: last repetition of the host's own observation. */
+    int64_t informed_ms, repeat_ms;
 } rate_host_t;
 
 typedef struct rate_send_t {
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -167,8 +167,8 @@
     set_script(r, 2, (rig_step_t[]){{RIG_NO_RESPONSE, ""}, {RIG_RESPOND, OK("other", "5")}});
     expect_status(rig_call(r, "POST /s/ HTTP/1.1\r\n" HEAD "Content-Length: 0\r\n\r\n"), "200");
     ck_assert_uint_eq(r->arrival_count, 2);
-    ck_assert_int_ge(r->arrival_ms[1] - r->arrival_ms[0],
-                     190); /* two targets, less the time until the request arrived */
+    /* Two targets, less the time until the first request arrived. */
+    ck_assert_int_ge(r->arrival_ms[1] - r->arrival_ms[0], 190);
     rig_shutdown(r);
 }
 END_TEST
@@ -316,7 +316,7 @@
     ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0);
     ck_assert_uint_eq(rig_set_servers(r, 3, 2), 1);
     ck_assert_uint_eq(rig_set_servers(r, 3, 2), 0); /* a leaving server is still listed */
-    ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0); /* and does not return under the same id */
+    ck_assert_uint_eq(rig_set_servers(r, 3, 0), 0); /* a leaving server does not return under the same id */
     ck_assert_uint_eq(rig_set_servers(r, 1, 0), 1);
     ck_assert_uint_eq(rig_set_servers(r, 1, 0), 0);
     rig_shutdown(r);
@@ -331,16 +331,16 @@
     ck_assert_uint_eq(rig_set_servers_at(r, 10000, 0, 0, true), 0);
     ck_assert_uint_eq(pool->ready, 3);
     ck_assert_uint_eq(rig_set_servers_at(r, 10500, 1, 0, false), 0); /* the first is listed again */
-    ck_assert_uint_eq(rig_set_servers_at(r, 11000, 2, 2, false), 1); /* the second is, as leaving */
+    ck_assert_uint_eq(rig_set_servers_at(r, 11000, 2, 2, false), 1); /* the second is listed again, as leaving */
     ck_assert_uint_eq(pool->ready, 2);
     upstreams_tick(r->upstreams, 11999);
     ck_assert_uint_eq(pool->ready, 2);
-    upstreams_tick(r->upstreams, 12000); /* the third is not */
+    upstreams_tick(r->upstreams, 12000); /* the third was not listed again in time */
     ck_assert_uint_eq(pool->ready, 1);
-    ck_assert_uint_eq(rig_set_servers_at(r, 13000, 3, 0, false), 1); /* but may be listed again later */
+    ck_assert_uint_eq(rig_set_servers_at(r, 13000, 3, 0, false), 1); /* the third is listed again later */
     ck_assert_uint_eq(pool->ready, 2);
-    ck_assert_uint_eq(rig_set_servers_at(r, 14000, 1, 0, false),
-                      1); /* without an outage, a missing server is removed at once */
+    /* Without an outage, a missing server is removed at once. */
+    ck_assert_uint_eq(rig_set_servers_at(r, 14000, 1, 0, false), 1);
     ck_assert_uint_eq(pool->ready, 1);
     rig_shutdown(r);
 }
@@ -590,7 +590,7 @@
                               {RIG_NO_RESPONSE, NULL},
                               {RIG_NO_RESPONSE, NULL},
                               {RIG_RESPOND, OK("b", "1")}});
-    expect_status(workspace_call(r, "/patient/", "80000"), "200"); /* the pool gets such prompts */
+    expect_status(workspace_call(r, "/patient/", "80000"), "200"); /* the pool learns that it gets such prompts */
     cw_stream_t others[2] = {{.fd = -1}, {.fd = -1}};
     for (uint32_t i = 0; i < 2; i++) {
         rig_send_from_other_caller(r, &others[i], long_prompt);
@@ -612,7 +612,7 @@
         set_script(
             r, 3,
             (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}, {RIG_RESPOND, OK("c", "1")}});
-        expect_status(tier_call(r, "/patient/", "20000"), "200"); /* the pool gets such prompts */
+        expect_status(tier_call(r, "/patient/", "20000"), "200"); /* the pool learns that it gets such prompts */
         set_backlog(r, 0, backlog_ms);
         bool is_urgent_refused = strstr(tier_call(r, "/urgent/", "8000"), "503") != NULL;
         set_backlog(r, 0, backlog_ms);
@@ -704,7 +704,7 @@
                                   "Chalkway-Tokens: 100,10\r\nContent-Length: 0\r\n\r\n";
     rig_t* r = rig_setup(TIER_ROUTES, 1);
     set_script(r, 2, (rig_step_t[]){{RIG_RESPOND, OK("a", "1")}, {RIG_RESPOND, OK("b", "1")}});
-    expect_status(tier_call(r, "/urgent/", "100"), "200"); /* the pool gets such requests */
+    expect_status(tier_call(r, "/urgent/", "100"), "200"); /* the pool learns that it gets such requests */
     cw_load_t full = {.running = 8};
     cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     cw_stream_t queued_caller = {.fd = -1};
@@ -723,7 +723,7 @@
     ck_assert_uint_eq(exchanges_stats(r->exchanges).outcomes[EXCHANGE_REFUSED], 1);
     ck_assert_uint_eq(exchanges_stats(r->exchanges).waiting, 1);
     ck_assert_uint_eq(r->arrival_count, 1);
-    cw_clock_simulate_suspend(4100); /* less than its target of 400 ms is left of its 5000 ms */
+    cw_clock_simulate_suspend(4100); /* of the request's 5000 ms, less than its target of 400 ms is left */
     cw_balance_on_peer_load(upstreams_pool(r->upstreams, "p")->balance, clock_ms(), 7, cw_name_id("s0"), &full);
     exchanges_on_resume(r->exchanges);
     rig_run(r);
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -384,12 +384,13 @@
         cw_balance_on_event(b, now_ms, &stream);
     }
     ck_assert_double_gt(cw_balance_stall_ms(b, 20000), 100);
-    ck_assert_double_le(cw_balance_stall_ms(b, 500),
-                        500 * cw_balance_prefill_ms_per_token(b)); /* no longer than its prefill */
+    /* A short prompt stalls streams for no longer than its prefill. */
+    ck_assert_double_le(cw_balance_stall_ms(b, 500), 500 * cw_balance_prefill_ms_per_token(b));
     cw_balance_on_peer_load(b, 5000, 7, stream_server, &(cw_load_t){0});
     cw_run_t run;
     cw_balance_on_peer_load(b, 5000, 8, 3 - stream_server, &(cw_load_t){.running = 2, .backlog_ms = BACKLOG(300)});
-    ck_assert_uint_eq(choose_and_begin(b, 5000, &long_prompt, &run), 3 - stream_server); /* despite the wait there */
+    /* The other server is chosen, despite the wait there. */
+    ck_assert_uint_eq(choose_and_begin(b, 5000, &long_prompt, &run), 3 - stream_server);
     cw_balance_shutdown(b);
 }
 END_TEST
@@ -417,8 +418,8 @@
     }
     ck_assert_uint_eq(choose_and_begin(b, 0, &chat, &run), 2);
     ck_assert_double_eq(cw_balance_choose(b, 0, &chat, (uint64_t[]){2}, 1).interval_ratio, 1.5);
-    ck_assert_uint_eq(cw_balance_own_load(b, 0, 0).event_interval_us,
-                      0); /* a received event interval is not reported further */
+    /* A received event interval is not reported further. */
+    ck_assert_uint_eq(cw_balance_own_load(b, 0, 0).event_interval_us, 0);
     cw_balance_shutdown(b);
     cw_balance_shutdown(reporter);
 }
@@ -484,7 +485,7 @@
         cw_contention_on_request(&c, now_ms, 0);
     }
     ck_assert(cw_contention_may_use(&c, 3000, &use));
-    cw_contention_set_waiting(&c, 3000, 0, 20); /* but while requests wait at all hosts, the hosts take turns */
+    cw_contention_set_waiting(&c, 3000, 0, 20); /* while requests wait at all hosts, the hosts take turns */
     uint32_t allowed_servers = 0;
     for (use.server = 0; use.server < 100; use.server++) {
         allowed_servers += cw_contention_may_use(&c, 4000, &use);
@@ -532,11 +533,11 @@
         ck_assert_uint_eq(owners, CW_OWNER_HOSTS);
         owned_by_first += cw_owner_includes(server, ids[0], ids, 80);
     }
-    ck_assert_uint_ge(owned_by_first, 14); /* its share is 28 */
+    ck_assert_uint_ge(owned_by_first, 14); /* an even share is 28 */
     ck_assert_uint_le(owned_by_first, 56);
-    ck_assert(
-        cw_owner_includes(1, ids[0], ids, CW_OWNER_SMALL_FLEET)); /* in a small fleet, all hosts own every server */
-    ck_assert(!cw_owner_includes(1, 12345, ids, 80));             /* not a live host */
+    /* In a small fleet, all hosts own every server. */
+    ck_assert(cw_owner_includes(1, ids[0], ids, CW_OWNER_SMALL_FLEET));
+    ck_assert(!cw_owner_includes(1, 12345, ids, 80)); /* not a live host */
 }
 END_TEST
 
@@ -875,8 +876,8 @@
 }
 END_TEST
 
-/* The first epoch that is received is not a newer one, a lower one is always older, and an invalid one changes nothing.
- */
+/* The first epoch that is received does not count as newer, a lower epoch is always older, and an invalid one changes
+   nothing. */
 START_TEST(source_epochs_only_increase) {
     static const struct {
         const char* text;
--- a/tests/test_gateway_site.c
+++ b/tests/test_gateway_site.c
@@ -207,7 +207,7 @@
     f->source = start_httpd(f, on_source);
     f->server = start_httpd(f, on_server);
     /* The kernel can't pick the ports, since they are the same for all hosts: each test process has its own loopback
-     * net. */
+       net. */
     snprintf(f->base, sizeof(f->base), "127.%d.%d", 1 + getpid() / 250 % 250, getpid() % 250);
     snprintf(f->dir, sizeof(f->dir), "/tmp/chalkway-gateway-XXXXXX");
     ck_assert_ptr_nonnull(mkdtemp(f->dir));
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -76,7 +76,7 @@
     free(update.catalog);
     update = (source_update_t){0};
     ck_assert_int_eq(platform_source.read_catalog(body, strlen(body), 412, &update, &err), CW_OK);
-    ck_assert_ptr_null(update.catalog); /* the same as before */
+    ck_assert_ptr_null(update.catalog); /* not changed since revision 412 */
     static const char* const invalid[] = {"", "{", "[]", "{\"value\":7}", "{\"value\":\"!!\",\"revision\":3}"};
     for (size_t i = 0; i < sizeof(invalid) / sizeof(invalid[0]); i++) {
         update = (source_update_t){0};
@@ -122,7 +122,8 @@
 }
 END_TEST
 
-/* Of two servers one starts to drain and one is removed, and a third one is added. The other items are not servers'. */
+/* Of two servers one starts to drain and one is removed, and a third one is added. The other items do not belong to
+   servers. */
 START_TEST(events_are_applied_to_the_list) {
     cw_servers_t list = {.at = 7};
     cw_error_t err = {0};
@@ -139,7 +140,7 @@
         "{\"tls_key\":\"servers/i-3\",\"revision\":10,\"gone\":true},"
         "{\"tls_key\":\"servers/\",\"value\":\"" DRAINING_ENTRY_BASE64 "\"},{\"tls_key\":\"op/x\"},7],\"at\":12}";
     ck_assert_int_eq(platform_source.read_changes(body, strlen(body), &list, &err), CW_OK);
-    ck_assert_int_eq(list.at, 10); /* of the newest event: there may be more events up to 12 */
+    ck_assert_int_eq(list.at, 10); /* revision of the newest event: there may be more events up to 12 */
     ck_assert_uint_eq(list.count, 2);
     ck_assert_str_eq(list.items[0].id, "i-0");
     ck_assert_str_eq(list.items[1].id, "i-1");
--- a/tests/test_pool_load.c
+++ b/tests/test_pool_load.c
@@ -171,7 +171,7 @@
     cw_suspect_t s = {0};
     cw_suspect_on_failure(&s, 7, 1000);
     cw_suspect_on_failure(&s, 8, 1010);
-    ck_assert(!cw_suspect_on_response(&s, 900)); /* it finishes requests from before the failures */
+    ck_assert(!cw_suspect_on_response(&s, 900)); /* the server finishes requests from before the failures */
     ck_assert(cw_suspect_is_active(&s, 1020));
     ck_assert(cw_suspect_on_response(&s, 1015));
     ck_assert(!cw_suspect_is_active(&s, 1020));
@@ -232,6 +232,6 @@
 }
 
 int main(void) {
-    return run_suite("pool-load", add_tests,
-                     600); /* time-out for hangs: under sanitizers on a busy machine the longest test takes a minute */
+    /* Time-out for hangs: under sanitizers on a busy machine the longest test takes a minute. */
+    return run_suite("pool-load", add_tests, 600);
 }
--- a/tests/test_pushback.c
+++ b/tests/test_pushback.c
@@ -3,9 +3,10 @@
 
     Guards against ignoring such announcements. While the source was unavailable, hosts went on sending to a server
     for nine seconds after its response had announced that it is leaving. On another day, servers that shed load
-    rejected requests with Retry-After and got as many from the same host in that time as before. Each was spent on a
-    server that had refused, though others had free slots. Of a response's head only "not run" was evaluated, as no
-    free slot for 100 ms, so only a new server list ended the sends.
+    rejected requests with Retry-After, and the same host went on sending them as many requests in that time as
+    before. Each of these requests went to a server that had refused, though others had free slots. The only part of a
+    response's head that was evaluated was "not run", which counted as no free slot for 100 ms. So only a new server
+    list ended the sends.
 
     The tests script one response with an announcement and requests after it, and move the test clock (io/clock.h)
     where time must pass.
@@ -103,7 +104,7 @@
 }
 END_TEST
 
-/* Also the response to a health check, or to a request that the server rejects. */
+/* The response to a health check, or to a request that the server rejects, can announce leaving as well. */
 START_TEST(any_response_can_announce_leaving) {
     rig_t* r = rig_setup(ROUTES, 2);
     uint32_t leaving = call_first(r,
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -158,8 +158,8 @@
         int64_t at_ms = 1000 * (int64_t)(incarnation - 100);
         report_crash(q, at_ms, 7, incarnation);
         report_crash(q, at_ms + 1, 8, incarnation);
-        report_crash(q, at_ms + 1, 50 + incarnation,
-                     incarnation); /* runs on one server only, so it does not halve the weight for the others */
+        /* A request that runs on one server only does not halve the weight for the others. */
+        report_crash(q, at_ms + 1, 50 + incarnation, incarnation);
     }
     expect_verdict(q, 3100, 7, CW_VERDICT_TRIAL);
     expect_verdict(q, 3100, 8, CW_VERDICT_TRIAL);
@@ -185,8 +185,8 @@
     expect_verdict(q, 3060, 7, CW_VERDICT_TRIAL);
     expect_verdict(q, 3200, 7, CW_VERDICT_TRIAL);
     report_crash(q, 4000, 7, 104);
-    ck_assert(cw_quarantine_next_newly_quarantined(
-        q, 4001, &quarantined)); /* the weight suffices even if this crash counts half */
+    /* The weight suffices even if this crash counts half. */
+    ck_assert(cw_quarantine_next_newly_quarantined(q, 4001, &quarantined));
     ck_assert_uint_eq(quarantined.request.content_hash, 7);
     ck_assert_uint_eq(quarantined.verdict.crashes, 4);
     ck_assert(!cw_quarantine_next_newly_quarantined(q, 4110, &quarantined));
--- a/tests/test_query_of_death.c
+++ b/tests/test_query_of_death.c
@@ -5,10 +5,10 @@
     came about twice a second, under new ids and at any host, crashed 39 servers in 15 seconds, and the requests that
     ran beside it broke with them. The gateway sent the request to another server after each crash, and its caller
     sent it again under another id. Attempts, retry budget and suspicions are recorded by id, pool and server, so
-   nothing identified the body. The crashes ended when the body stopped.
+    nothing identified the body. The crashes ended when the body stopped.
 
     The test sends the same request three times, each under its own id, to three servers that close without a
-    response. Three servers is what such a request may crash in all.
+    response. Such a request may crash at most three servers in all.
 */
 #include "rig.h"
 
--- a/tests/test_rate.c
+++ b/tests/test_rate.c
@@ -10,7 +10,7 @@
 START_TEST(a_response_without_a_rate_withdraws_it_only_if_it_is_newer) {
     cw_rate_t r = {0};
     ck_assert(cw_rate_on_advertised(&r, 1000, 1020, 2));
-    ck_assert(!cw_rate_on_withdrawn(&r, 1010, 1030)); /* its request was sent before the rate had arrived */
+    ck_assert(!cw_rate_on_withdrawn(&r, 1010, 1030)); /* the response's request was sent before the rate had arrived */
     ck_assert(cw_rate_is_active(&r, 1030));
     ck_assert(cw_rate_on_withdrawn(&r, 1021, 1040));
     ck_assert(!cw_rate_is_active(&r, 1040));
@@ -43,7 +43,8 @@
     ck_assert(!cw_rate_on_peer(&r, &advertised, 10));
     cw_rate_observation_t withdrawn = {.state = CW_RATE_WITHDRAWN, .at_ms = 1205};
     cw_rate_on_advertised(&r, 1180, 1200, 2);
-    ck_assert(!cw_rate_on_peer(&r, &withdrawn, 10)); /* it may be older: it was in transit for up to 10 ms */
+    /* The withdrawal may be older than the rate: it was in transit for up to 10 ms. */
+    ck_assert(!cw_rate_on_peer(&r, &withdrawn, 10));
     withdrawn.at_ms = 1211;
     ck_assert(cw_rate_on_peer(&r, &withdrawn, 10));
 }
--- a/tests/test_relay.c
+++ b/tests/test_relay.c
@@ -118,16 +118,16 @@
             send_update(&f, origin);
             for (uint32_t i = 0; i < sizes[s]; i++) {
                 ck_assert_uint_ge(f.hosts[i].received + (i == origin), 1);
-                ck_assert_uint_le(f.hosts[i].received,
-                                  2); /* a relay receives an update of its own hall at most once more */
+                /* A relay receives an update of its own hall at most once more. */
+                ck_assert_uint_le(f.hosts[i].received, 2);
             }
         }
     }
 }
 END_TEST
 
-/* Upper bound of the datagrams per second that a host receives which is not a relay: it must not grow with the fleet,
-   since each datagram carries a larger batch. */
+/* The upper bound of the datagrams per second that a host other than a relay receives must not grow with the fleet:
+   each datagram of a larger fleet carries a larger batch. */
 START_TEST(datagrams_per_host_do_not_grow_with_the_fleet) {
     double previous_per_s = 1000.0 * WIDE_RELAYS / 4;
     for (uint32_t hosts = 17; hosts <= HOSTS_MAX; hosts++) {
@@ -159,7 +159,7 @@
     for (uint32_t i = 0; i < 30; i++) {
         links[i] = i < 2 ? 200 : 10;
     }
-    ck_assert_uint_eq(cw_relay_count(&plan, links, 30), 2); /* not the third, whose link is narrow */
+    ck_assert_uint_eq(cw_relay_count(&plan, links, 30), 2); /* the third host is no relay, since its link is narrow */
     links[0] = 200;
     links[1] = 10;
     ck_assert_uint_eq(cw_relay_count(&plan, links, 30), 2);
@@ -175,8 +175,8 @@
 }
 END_TEST
 
-/* While relays batch, a host's updates stay in order only through one relay; when that is lost, another one is chosen.
- */
+/* While relays batch, a host's updates stay in order only if all pass through one relay. When that relay is lost,
+   another one is chosen. */
 START_TEST(host_keeps_its_relay_until_it_is_lost) {
     static fleet_t f;
     fleet_init(&f, 87);
--- a/tests/test_shard.c
+++ b/tests/test_shard.c
@@ -135,8 +135,8 @@
     uint32_t seq = 0;
     int served[3] = {0};
     for (int i = 0; i < 300; i++) {
-        request_slot(
-            s, 0, make_request(ENTRY_A, ++seq, 1, i < 280 ? 1 : 2)); /* workspace 1 sends 14 times as many requests */
+        /* Workspace 1 sends 14 times as many requests as workspace 2. */
+        request_slot(s, 0, make_request(ENTRY_A, ++seq, 1, i < 280 ? 1 : 2));
     }
     for (int now = 1; now <= 40; now++) {
         actions_t actions = drain_actions(s, now);
--- a/tests/test_soak_check.c
+++ b/tests/test_soak_check.c
@@ -41,8 +41,8 @@
 
 START_TEST(second_run_of_unrepeatable_request_is_found) {
     expect_only(SERVED_REQUESTS "U 95 begin b v1 2 0\nU 99 end b v1\n", SOAK_RAN_TWICE);
-    soak_result_t r =
-        check_record(SERVED_REQUESTS "U 95 begin a e1 0 500\nU 99 end a e1\n"); /* its stream can be resumed */
+    /* The stream of request a can be resumed. */
+    soak_result_t r = check_record(SERVED_REQUESTS "U 95 begin a e1 0 500\nU 99 end a e1\n");
     ck_assert(!soak_has_failed(&r));
 }
 END_TEST
@@ -84,8 +84,8 @@
     expect_only("S 5 fault stop h:1\nS 300 ended h:1 139\nS 310 over stop h:1\n", SOAK_UNCLEAN_EXIT);
     expect_only("S 5 fault stop h:1\nS 9000 ended h:1 0\nS 9010 over stop h:1\n", SOAK_UNCLEAN_EXIT);
     expect_only("S 2 started h:1\nS 205 fault reload h:1\nS 300 ended h:1 129\n", SOAK_UNCLEAN_EXIT);
-    expect_only("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n",
-                SOAK_UNCLEAN_EXIT); /* exit code 1: not killed by the signal */
+    /* Exit code 1: not killed by the signal. */
+    expect_only("S 2 started h:1\nS 5 fault stop h:1\nS 90 ended h:1 1\n", SOAK_UNCLEAN_EXIT);
     ck_assert_uint_eq(
         check_record("S 2 started h:1\nS 5 fault reload h:1\nS 300 ended h:1 129\n").count[SOAK_UNCLEAN_EXIT], 0);
     ck_assert_uint_eq(check_record("S 2 started h:1\nS 5 fault stop h:1\nS 6 ended h:1 143\n").count[SOAK_UNCLEAN_EXIT],
@@ -194,8 +194,8 @@
 }
 END_TEST
 
-/* Eight arrivals as above, but from a host that started a second before some of them: it may not have the quarantine
-   state yet, as seen after a loss of all hosts at once. */
+/* Eight requests with a query of death arrive from a host that started a second before some of them. The host may not
+   have the quarantine state yet, as seen after a loss of all hosts at once. */
 START_TEST(recently_started_host_may_not_know_query_of_death) {
     static char text[8192];
     for (int is_recent = 0; is_recent < 2; is_recent++) {
--- a/tests/test_source_state.c
+++ b/tests/test_source_state.c
@@ -27,7 +27,7 @@
             cw_source_state_add_age(&k, ASSUMED_TRANSIT_MS);
             int64_t received_ms = now_ms - k.revision_age_ms;
             known_ms[receiver] = received_ms > known_ms[receiver] ? received_ms : known_ms[receiver];
-            ck_assert_uint_eq(k.servers_age_ms, UINT32_MAX); /* a list that was never read stays unknown */
+            ck_assert_uint_eq(k.servers_age_ms, UINT32_MAX); /* the age of a list that was never read stays unknown */
         }
         for (int sender = 0; sender < 2; sender++) {
             sent_age_ms[slot][sender] = (uint32_t)(now_ms - known_ms[sender]);
@@ -56,8 +56,8 @@
 /* -- pulls ---------------------------------------------------------------- */
 
 #define DAEMONS 84
-#define COPY_MS 10                                          /* for which a copy occupies the link of its sender */
-#define SINGLE_HOLDER_MS ((int64_t)(DAEMONS - 1) * COPY_MS) /* if all ask the first holder */
+#define COPY_MS 10                                          /* time for which a copy occupies the link of its sender */
+#define SINGLE_HOLDER_MS ((int64_t)(DAEMONS - 1) * COPY_MS) /* duration of the spread if all ask the first holder */
 
 /* Simulates the spread of a document. All daemons get an offer of its only holder at 0, and offers of further holders
    as these receive it. Returns when the last daemon has it. */
@@ -74,7 +74,7 @@
         for (int i = 1; i < DAEMONS; i++) {
             for (int holder = 0; holder < DAEMONS && received_at_ms[i] == INT64_MAX; holder++) {
                 if (received_at_ms[holder] != now_ms) {
-                    continue; /* it sends its offer when it receives the document */
+                    continue; /* a daemon sends its offer when it receives the document */
                 }
                 cw_pull_add_offer(&pulls[i],
                                   &(cw_pull_offer_t){.now_ms = now_ms,
@@ -141,7 +141,7 @@
     const char* peer = cw_pull_due(&pull, 1000);
     ck_assert_ptr_nonnull(peer);
     ck_assert_str_eq(peer, "new");
-    ck_assert_ptr_null(cw_pull_due(&pull, 2000)); /* asked once */
+    ck_assert_ptr_null(cw_pull_due(&pull, 2000)); /* the peer is asked only once */
     cw_pull_add_offer(&pull, &offer);
     cw_pull_cancel(&pull);
     ck_assert_ptr_null(cw_pull_due(&pull, 3000));
@@ -227,13 +227,14 @@
     ck_assert_uint_le(early_polls, 5);
     ck_assert_uint_le(within_a_second, 30);
     cw_poll_t single = {.poll_age_ms = 400, .daemons = 1, .started_ms = 5000};
-    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 5199)); /* it may be one of many that don't know each other yet */
+    /* The host may be one of many that don't know each other yet. */
+    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 5199));
     ck_assert(cw_poll_is_due(&single, CW_POLL_NEVER, 5400));
 }
 END_TEST
 
-/* While there is no traffic, all but a few hosts can wait for the documents that the first ones poll, but not forever.
- */
+/* While there is no traffic, all but a few hosts can wait for the documents that the first ones poll, but not
+   forever. */
 START_TEST(at_the_first_start_daemons_wait_for_each_other) {
     uint32_t early_polls = 0;
     for (uint32_t rank = 0; rank < FLEET_HOSTS; rank++) {
@@ -245,7 +246,7 @@
     ck_assert_uint_ge(early_polls, 1);
     ck_assert_uint_le(early_polls, FLEET_HOSTS / 4);
     cw_poll_t single = {.poll_age_ms = 400, .daemons = 1, .started_ms = 5000, .is_first_start = true};
-    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 6999)); /* by then it would know its peers and its rank */
+    ck_assert(!cw_poll_is_due(&single, CW_POLL_NEVER, 6999)); /* by then the host would know its peers and its rank */
     ck_assert(cw_poll_is_due(&single, CW_POLL_NEVER, 9000));
 }
 END_TEST
--- a/tests/test_stall.c
+++ b/tests/test_stall.c
@@ -19,12 +19,12 @@
     ck_assert_double_eq_tol(cw_stalls_violation_risk(&s, 8000, 100, PREFILL_MS_PER_TOKEN, INFINITY), 0.5, 0.01);
     ck_assert_double_eq_tol(cw_stalls_violation_risk(&s, 8000, 200, PREFILL_MS_PER_TOKEN, INFINITY), 0, 0.01);
     ck_assert_double_eq_tol(cw_stalls_violation_risk(&s, 8000, 50, PREFILL_MS_PER_TOKEN, INFINITY), 1, 0.01);
-    ck_assert_double_eq(cw_stalls_violation_risk(&s, 8000, 0, PREFILL_MS_PER_TOKEN, INFINITY),
-                        0); /* a stream without a gap limit */
+    /* A stream without a gap limit. */
+    ck_assert_double_eq(cw_stalls_violation_risk(&s, 8000, 0, PREFILL_MS_PER_TOKEN, INFINITY), 0);
 }
 END_TEST
 
-/* A prompt with cached parts is prefilled soon: it stalls no stream for longer than that. */
+/* A prompt with cached parts has little prefill left, and stalls no stream for longer than this prefill takes. */
 START_TEST(the_risk_is_bounded_by_the_prefill_left) {
     cw_stalls_t s = {0};
     add_samples(&s, 8000, 300, 50);
--- a/tests/test_suspended.c
+++ b/tests/test_suspended.c
@@ -25,7 +25,7 @@
     ev_timer suspend_timer;
     int64_t duration_ms;
     bool was_suspended, was_resumed;
-    uint32_t active_requests; /* requests that remained after it */
+    uint32_t active_requests; /* requests still active after the resume */
     bool sends_response;      /* the first server responds when the machine resumes */
 } suspension_t;
 
@@ -74,7 +74,8 @@
         suspension_setup(&s, r, 30000);
         expect_status(rig_call(r, texts[i]), "504");
         ck_assert(s.was_resumed);
-        ck_assert_uint_eq(s.active_requests, i); /* one that may not be retried stays at the server for a while */
+        /* The second request may not be retried and stays at the server for a while. */
+        ck_assert_uint_eq(s.active_requests, i);
         ck_assert_uint_eq(r->arrival_count, 1);
         suspend_detector_shutdown(&s.detector);
         rig_shutdown(r);
--- a/tests/test_sync.c
+++ b/tests/test_sync.c
@@ -26,30 +26,30 @@
     cw_log_t log;
     cw_httpd_t* source;
     source_mode_t mode;
-    int64_t revision;            /* of the source's configuration */
-    int64_t epoch;               /* of the source, 0: its responses name none */
-    const char* malformed_epoch; /* named instead of the epoch */
+    int64_t revision;            /* revision of the source's configuration */
+    int64_t epoch;               /* epoch of the source, 0: its responses name none */
+    const char* malformed_epoch; /* text that responses name instead of the epoch */
     const char* extra;           /* text added to the configuration */
-    bool leaving;                /* state of its only server */
+    bool leaving;                /* whether the source's only server is leaving */
     uint32_t calls;
     bool has_no_history;  /* responds to polls for changes with 410 */
     bool sends_no_events; /* returns no changes, not even heartbeats */
     const char* delta;    /* returned, as a peer, to a daemon that asks for changes; NULL: the full list is returned */
     uint32_t delta_calls;
-    uint32_t first_page_calls; /* for the first of three pages */
-    bool fails_second_page;    /* once */
+    uint32_t first_page_calls; /* calls for the first of three pages */
+    bool fails_second_page;    /* rejects one call for the second page */
     uint32_t failed_pages;
     uint32_t change_calls;       /* polls for changes */
-    uint32_t change_calls_until; /* number of them to wait for */
-    const char* change;          /* event returned by each of them, "" none */
+    uint32_t change_calls_until; /* number of polls for changes to wait for */
+    const char* change;          /* event that each poll for changes returns, "" none */
     sync_t* sync;
-    int64_t revisions[16]; /* applied, in this order */
+    int64_t revisions[16]; /* revisions that were applied, in this order */
     uint32_t revision_count;
     uint32_t list_count; /* lists applied */
     bool is_server_listed_leaving;
     bool is_hall_listed_closed; /* hall "a" is closed in the list */
     bool closes_hall_a;         /* the source has it closed */
-    bool after_outage;          /* of the list applied last */
+    bool after_outage;          /* flag that was reported with the list applied last */
     char log_text[8192];
     ev_timer tick, timeout;
     bool (*condition)(struct fixture_t* fixture);
@@ -388,7 +388,7 @@
 }
 END_TEST
 
-/* A list that fits one page costs one call, as its changes would. */
+/* A list that fits one page is polled in full, since this costs one call, as a poll for its changes would. */
 START_TEST(a_list_of_one_page_is_polled_in_full) {
     custom_source = source_native;
     custom_source.changes_path = platform_source.changes_path;
@@ -492,9 +492,8 @@
     struct sockaddr_in addr = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t size = sizeof(addr);
     char share[CW_ADDR_TEXT_SIZE];
-    int silent_peer =
-        socket(AF_INET, SOCK_STREAM,
-               0); /* a peer that has not responded yet, as its link is busy sending the list to many hosts */
+    /* A peer that has not responded yet, as its link is busy sending the list to many hosts. */
+    int silent_peer = socket(AF_INET, SOCK_STREAM, 0);
     ck_assert_int_eq(bind(silent_peer, (struct sockaddr*)&addr, size), 0);
     ck_assert_int_eq(listen(silent_peer, 8), 0);
     ck_assert_int_eq(getsockname(silent_peer, (struct sockaddr*)&addr, &size), 0);
@@ -630,8 +629,8 @@
     ck_assert_uint_eq(fixture->first_page_calls, 1);
     fixture->epoch = 2;
     fixture->leaving = true;
-    fixture->change_calls_until =
-        fixture->change_calls + 4; /* its revisions go on rising, as if nothing had been lost */
+    /* The source's revisions go on rising, as if nothing had been lost. */
+    fixture->change_calls_until = fixture->change_calls + 4;
     run_until(fixture, polled_changes_or_leaving);
     ck_assert(fixture->is_server_listed_leaving);
     ck_assert_uint_eq(fixture->first_page_calls, 2);
--- a/tools/chalkway_load.c
+++ b/tools/chalkway_load.c
@@ -142,7 +142,7 @@
     } else if (strcmp(key, "burst_rate") == 0) {
         c->phases[1].rate_per_s = number;
     } else if (strcmp(key, "burst_s") == 0) {
-        c->phases[2].from_s = number; /* duration of the burst; finish_scenario makes it the time of its end */
+        c->phases[2].from_s = number; /* duration of the burst, until finish_scenario adds its start */
     } else {
         return false;
     }
--- a/tools/explain.c
+++ b/tools/explain.c
@@ -22,7 +22,7 @@
 typedef struct lines_t {
     line_t* items;
     uint32_t count, capacity;
-    char servers[MAX_SERVERS][VALUE_MAX]; /* that the request was sent to */
+    char servers[MAX_SERVERS][VALUE_MAX]; /* names of the servers that the request was sent to */
     uint32_t server_count;
     int64_t first_ms, last_ms;
 } lines_t;
--- a/tools/load.c
+++ b/tools/load.c
@@ -130,7 +130,8 @@
         for (uint32_t step = 0; step < steps; step++) {
             double at = step * step_s;
             double expected = rate_at_time(&d->classes[c], at) * step_s;
-            while (expected > 0 && uniform(&rng) <= expected) { /* rates above 1 per ms give several in a step */
+            /* Rates above 1 per ms give several arrivals in a step. */
+            while (expected > 0 && uniform(&rng) <= expected) {
                 expected -= 1;
                 if (n == capacity) {
                     capacity *= 2;
@@ -391,7 +392,7 @@
     const load_class_t* c = req->class;
     char address[48];
     if (!choose_address(req, address)) {
-        if (!schedule_retry(req, 20)) { /* until the lookup has answered */
+        if (!schedule_retry(req, 20)) { /* time for the lookup to be answered */
             req->result->refused++;
             finish_request(req);
         }
--- a/tools/load.h
+++ b/tools/load.h
@@ -30,7 +30,7 @@
     bool is_run_once;  /* not repeatable: sent under an idempotency key of a ticket */
     bool is_stream;
     uint32_t deadline_ms;
-    double weight;      /* weight of a response in time in the goodput */
+    double weight;      /* weight in the goodput of a response delivered in time */
     double mean_tokens; /* mean length of a response; exponential distribution, at least 4 */
     double max_tokens;  /* cap of the distribution; 0: 8 times the mean */
     load_phase_t phases[LOAD_MAX_PHASES];
@@ -54,8 +54,9 @@
     void* user_data;
 } load_desc_t;
 
-/* Counts of requests by outcome: refused did not run; failed as reported by Chalkway-Outcome; truncated after a status
-   of 200; mismatched in content; unknown for all others that may have run. delivered includes in_time. */
+/* Counts of requests by outcome. refused: did not run. failed: reported as failed by Chalkway-Outcome. truncated: the
+   response has status 200 and is truncated. mismatched: the response has the wrong content. unknown: all others that
+   may have run. delivered includes in_time. */
 typedef struct load_class_result_t {
     uint32_t sent, delivered, in_time, refused, unknown, failed, mismatched, truncated;
     uint64_t tokens; /* tokens of delivered responses */
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -44,7 +44,7 @@
     bool is_resumable;
     uint32_t tier, target_ms, timeout_ms;
     uint32_t tokens_min, tokens_max; /* prompt length; 0: a plain call without a prompt */
-    uint32_t events;                 /* in the response of a stream */
+    uint32_t events;                 /* number of events in the response; streams only */
     double share;                    /* fraction of all requests */
 } soak_kind_t;
 
@@ -77,8 +77,8 @@
     uint32_t count[SOAK_CHECK_COUNT];                  /* findings of each check */
     char first_finding[SOAK_CHECK_COUNT][160];         /* of each check, as text */
     uint32_t sent, served, refused, failed, abandoned; /* ordinary requests only */
-    uint32_t qod_bodies, qod_sent,
-        qod_crashes; /* queries of death: bodies, requests with them, upstreams that they crashed */
+    /* Queries of death: number of bodies, of requests with these bodies, and of upstreams that they crashed. */
+    uint32_t qod_bodies, qod_sent, qod_crashes;
     uint32_t calm_sent, calm_served, calm_refused;
 } soak_result_t;
 
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -16,7 +16,7 @@
 #define NAME_SIZE 32
 #define SETTLE_MS 4000              /* after the end of a fault, until a period counts as calm */
 #define IDLE_SHARE_MIN 0.25         /* with this share of idle engines a refused request could have begun at once */
-#define INVERSION_WINDOW_MS 5000    /* in which refusals of a kind are compared with less urgent requests */
+#define INVERSION_WINDOW_MS 5000    /* window in which refusals of a kind are compared with less urgent requests */
 #define INVERSION_REFUSALS_MIN 10   /* fewer refusals in a window prove nothing */
 #define INVERSION_REFUSED_ONE_IN 12 /* a violation needs more than 1/12 of the kind's requests refused */
 #define INVERSION_SIZE_RATIO 2      /* ratio of the mean prompt that began to the mean prompt that was refused */
@@ -56,8 +56,8 @@
     bool is_complete, is_correct, is_quarantined;
     soak_qod_body_t* qod_body; /* NULL: an ordinary request */
     int64_t begin_ms, end_ms;
-    char last_server[NAME_SIZE]; /* that last began to run it */
-    double idle_engine_share;    /* share of idle engines when it was sent */
+    char last_server[NAME_SIZE]; /* server that last began to run the request */
+    double idle_engine_share;    /* share of idle engines when the request was sent */
     bool is_calm;                /* sent in a calm period */
 } request_t;
 
@@ -65,8 +65,8 @@
     char id[NAME_SIZE];
     uint32_t slots, running;
     bool is_down;
-    int64_t leaving_ms;    /* since when it is published as leaving, 0: it is not */
-    uint32_t incarnations; /* number of its starts */
+    int64_t leaving_ms;    /* since when the server is published as leaving, 0: it is not */
+    uint32_t incarnations; /* number of starts of the server */
 } server_record_t;
 
 typedef struct fault_t {
@@ -263,8 +263,8 @@
     return cw_mix(cw_name_id(s->id), s->incarnations);
 }
 
-/* Returns whether the upstream was frozen shortly before: it records requests that arrived in that time only when it
-   runs again. */
+/* Returns whether the upstream was frozen shortly before. Requests that arrive at a frozen upstream are recorded
+   only when it runs again. */
 static bool was_frozen(const checker_t* c, int64_t at_ms, const char* server) {
     for (uint32_t i = 0; i < c->fault_count; i++) {
         const fault_t* f = &c->faults[i];
@@ -289,7 +289,7 @@
 /* Handles an event about arrivals and server pushback. Returns false for events of other kinds. */
 static bool handle_pushback(checker_t* c, int64_t at_ms, const char* what, const request_t* r, const server_record_t* s,
                             double value) {
-    static const char* const event_names[] = {"named", "away", "parts"}; /* by soak_pushback_kind_t */
+    static const char* const event_names[] = {"named", "away", "parts"}; /* indexed by soak_pushback_kind_t */
     if (strcmp(what, "rate") == 0) {
         soak_pushback_set_rate(c->pushback, at_ms, incarnation_key(s), value);
         return true;
@@ -664,8 +664,8 @@
 
 static void on_pushback_violation(void* user, soak_pushback_kind_t kind, const soak_arrival_t* arrival,
                                   const char* what) {
-    static const soak_check_t checks[] = {SOAK_RATE_EXCEEDED, SOAK_BACKOFF_IGNORED,
-                                          SOAK_LEAVING_IGNORED}; /* by soak_pushback_kind_t */
+    /* Indexed by soak_pushback_kind_t. */
+    static const soak_check_t checks[] = {SOAK_RATE_EXCEEDED, SOAK_BACKOFF_IGNORED, SOAK_LEAVING_IGNORED};
     add_finding(user, checks[kind], arrival->at_ms, what, "an upstream");
 }
 
--- a/tools/soak_faults.c
+++ b/tools/soak_faults.c
@@ -38,7 +38,7 @@
     if (!a->target->pid && !a->soak->is_ending) {
         soak_restart_host(a->target);
     } else if (a->target->is_stopping) {
-        soak_start_timer(a->soak, &a->timer, 200); /* it has not exited yet */
+        soak_start_timer(a->soak, &a->timer, 200); /* the process has not exited yet */
     }
 }
 
@@ -83,7 +83,7 @@
     soak_start_upstream(a->soak, a->target->is_engine);
 }
 
-/* The upstream exits without announcing it, so its entry stays published until it is restarted under its id. */
+/* The upstream exits without announcing that it leaves. Its entry stays published until a restart under the same id. */
 static bool restart_begin(active_fault_t* a) {
     if (a->target->is_leaving) {
         return false;
--- a/tools/soak_pushback.h
+++ b/tools/soak_pushback.h
@@ -14,7 +14,7 @@
 
 /* Arrival of a request at an upstream. server: hash of the upstream's name and incarnation. */
 typedef struct soak_arrival_t {
-    int64_t at_ms, sent_ms; /* arrival at the upstream; sending by the caller */
+    int64_t at_ms, sent_ms; /* times of the arrival at the upstream and of sending by the caller */
     uint64_t server, host;
     bool is_excused; /* a fault hit the host or the upstream shortly before */
 } soak_arrival_t;
--- a/tools/soak_site.c
+++ b/tools/soak_site.c
@@ -50,7 +50,7 @@
     ev_timer_start(s->loop, t);
 }
 
-/* Records the delay as a fault that began when the timer last fired. */
+/* Records a late firing of watch_timer as a fault that began when the timer last fired. */
 static void record_late_wakeup(soak_t* s, int64_t now_ms) {
     char line[80];
     int n = snprintf(line, sizeof(line), "S %" PRId64 " fault machine -\n", s->last_watch_ms);
