--- a/bench/bench_quarantine.c
+++ b/bench/bench_quarantine.c
@@ -139,7 +139,8 @@
     return now_ms >= sim->server[s].down_until_ms;
 }
 
-/* Chooses a server at random, or by the fingerprint where the verdict demands it; SERVERS_MAX when there is none. */
+/* Chooses an available server: at random if the verdict allows the request, else by rendezvous hashing of its content
+   hash. Returns SERVERS_MAX when no server is available. */
 static uint32_t choose_server(simulation_t* sim, uint64_t content_hash, const cw_verdict_t* v, int64_t now_ms) {
     uint32_t best = SERVERS_MAX;
     uint64_t best_score = 0;
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -467,7 +467,8 @@
         }
         for (uint32_t i = 0; i < slices; i++) {
             bool may_use = cw_contention_may_use(&c, 3000 + 12 * i, &one);
-            ck_assert_int_eq(may_use, cw_contention_may_use(&c, 3000 + 12 * i, &one)); /* until reports can arrive */
+            /* The decision holds until load reports can arrive. */
+            ck_assert_int_eq(may_use, cw_contention_may_use(&c, 3000 + 12 * i, &one));
             allowed_count += may_use;
         }
         ck_assert(cw_contention_may_use(&c, 3000, &many)); /* more slots than requesting hosts: all may use them */
@@ -479,7 +480,8 @@
 
 START_TEST(few_hosts_or_fast_reports_need_no_contention_control) {
     cw_contention_t c = {.seed = 3};
-    ck_assert(cw_contention_may_use(&c, 5, &(cw_contention_use_t){.server = 7, .free_slots = 0.5})); /* the only host */
+    /* This host is the only one. */
+    ck_assert(cw_contention_may_use(&c, 5, &(cw_contention_use_t){.server = 7, .free_slots = 0.5}));
     cw_contention_use_t use = {.server = 7, .free_slots = 1, .hosts = 9, .delay_ms = 2};
     for (int64_t now_ms = 0; now_ms < 3000; now_ms += 50) {
         cw_contention_on_request(&c, now_ms, 0);
@@ -590,7 +592,7 @@
         ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
     }
-    cw_work_t alike = {.prompt_tokens = 100, .target_ms = 400}; /* its target is within twice the shortest one */
+    cw_work_t alike = {.prompt_tokens = 100, .target_ms = 400}; /* the target is at most twice the shortest one */
     for (count = 0; choose_and_begin(b, 0, &alike, &run); count++) {
         runs[count] = run;
     }
--- a/tests/test_inventory.c
+++ b/tests/test_inventory.c
@@ -27,7 +27,7 @@
 typedef struct fixture_t {
     uint64_t owned_server;     /* key of the only server that this host owns; 0: all */
     uint32_t ownership_checks; /* calls of owns_server */
-    uint32_t owned_for_checks; /* this host is the owner for this many of these calls; 0: for all */
+    uint32_t owned_for_checks; /* number of calls of owns_server, from the first, that may return true; 0: all */
     bool is_unconverged;       /* not all peers are known */
     uint32_t servers, parts;
     cw_prompt_part_t last;
--- a/tests/test_query_of_death.c
+++ b/tests/test_query_of_death.c
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-/* The fingerprint of the request above, the same at every host. */
+/* The fingerprint of a request that send_request sends with this body. Every host computes the same one. */
 static cw_fingerprint_t fingerprint(const char* body) {
     return cw_fingerprint(
         0, &(cw_fingerprint_parts_t){
--- a/tests/test_restart.c
+++ b/tests/test_restart.c
@@ -136,8 +136,8 @@
 }
 END_TEST
 
-/* A list with another, wrong start came in between. The incarnation that the source lists again keeps its running
-   requests. */
+/* Between two lists with the same start, a list with a wrong start arrives. The incarnation that the source lists again
+   keeps its running requests. */
 START_TEST(an_incarnation_that_is_listed_again_keeps_its_state) {
     rig_t* r = rig_setup(ROUTES, 0);
     list_server(r, FIRST_START_MS, 10);
--- a/tests/test_source_state.c
+++ b/tests/test_source_state.c
@@ -10,7 +10,7 @@
 
 /* -- ages ----------------------------------------------------------------- */
 
-#define TRANSIT_MS 3          /* of a datagram */
+#define TRANSIT_MS 3          /* transit time of a datagram */
 #define SEND_INTERVAL_MS 1    /* between datagrams of a daemon */
 #define ASSUMED_TRANSIT_MS 25 /* upper bound of the transit time that a receiver adds */
 
@@ -151,7 +151,7 @@
 /* -- polls ---------------------------------------------------------------- */
 
 #define FLEET_HOSTS 84
-#define SMALL_FLEET_CALLS_MIN 80 /* of a fleet of 8 in 10 s: each host calls about once a second */
+#define SMALL_FLEET_CALLS_MIN 80 /* calls of a fleet of 8 hosts in 10 s: each calls about once a second */
 
 /* Returns the number of calls that a fleet makes while the source is unavailable. */
 static uint32_t calls_during_outage(uint32_t hosts, int64_t outage_ms) {
@@ -170,7 +170,7 @@
     uint32_t small_calls = calls_during_outage(8, 10000);
     uint32_t large_calls = calls_during_outage(FLEET_HOSTS, 10000);
     ck_assert_uint_gt(small_calls, SMALL_FLEET_CALLS_MIN); /* each host of a small fleet calls about once a second */
-    /* ten times the hosts make less than five times the calls */
+    /* Ten times as many hosts make less than five times as many calls. */
     ck_assert_uint_lt(large_calls, (uint64_t)5 * small_calls);
     cw_poll_t first = {.poll_age_ms = 400};
     for (uint64_t random = 0; random < 1000; random++) {
--- a/tools/soak_check.c
+++ b/tools/soak_check.c
@@ -21,9 +21,9 @@
 #define INVERSION_REFUSED_ONE_IN 12 /* a violation needs more than 1/12 of the kind's requests refused */
 #define INVERSION_SIZE_RATIO 2      /* ratio of the mean prompt that began to the mean prompt that was refused */
 #define LEAVING_SLACK_MS 1000  /* beyond the drain time: polling, propagation and scheduling delays of the machine */
-#define CANCEL_SLACK_MS 500    /* after a caller abandoned its request */
-#define RECOVERY_SHARE_MIN 0.9 /* of the requests sent in calm periods */
-#define STOP_SLACK_MS 1500     /* beyond the grace time on stop */
+#define CANCEL_SLACK_MS 500    /* after a caller abandoned its request: time for upstreams to stop running it */
+#define RECOVERY_SHARE_MIN 0.9 /* share of the requests sent in calm periods that must be served */
+#define STOP_SLACK_MS 1500     /* time that a host may take to exit, beyond the grace time on stop */
 #define SIGNAL_EXIT_BASE 128   /* a greater exit code is this plus the signal that killed the process */
 #define PROGRAM_LOAD_MS 100    /* after a start: the program may not be loaded yet, so that any signal kills it */
 #define MACHINE_TARGET "-"     /* target of faults that belong to no single process, such as of the machine */
