--- a/tests/test_query_of_death.c
+++ b/tests/test_query_of_death.c
@@ -5,10 +5,10 @@
     came about twice a second, under new ids and at any host, crashed 39 servers in 15 seconds, and the requests that
     ran beside it broke with them. The gateway sent the request to another server after each crash, and its caller
     sent it again under another id. Attempts, retry budget and suspicions are recorded by id, pool and server, so
-   nothing identified the body. The crashes ended when the body stopped.
+    nothing identified the body. The crashes ended when the body stopped.
 
     The test sends the same request three times, each under its own id, to three servers that close without a
-    response. Three servers is what such a request may crash in all.
+    response. Such a request may crash at most three servers in all.
 */
 #include "rig.h"
 
@@ -49,7 +49,7 @@
 }
 END_TEST
 
-/* The fingerprint of the request above, the same at every host. */
+/* The fingerprint of a request that send_request sends with this body. Every host computes the same one. */
 static cw_fingerprint_t fingerprint(const char* body) {
     return cw_fingerprint(
         0, &(cw_fingerprint_parts_t){
