--- a/chalkway_backlog.h
+++ b/chalkway_backlog.h
@@ -28,7 +28,7 @@
 typedef struct cw_backlog_plan_t {
     uint32_t urgency;
     double expected_end_ms; /* predicted end of its prefill, if no more urgent prompt is added */
-    double inserted_ms;     /* value of its urgency's inserted_ms when it was added */
+    double inserted_ms;     /* inserted_ms of the prompt's urgency when the prompt was added */
 } cw_backlog_plan_t;
 
 /* All zero: empty. */
--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -87,17 +87,17 @@
 /* Load of one host at one server. */
 typedef struct cw_load_t {
     uint32_t running;
-    uint32_t gap_ms;                        /* strictest gap limit among its streams there; 0: none */
+    uint32_t gap_ms;                        /* strictest gap limit of the host's streams at the server; 0: none */
     uint32_t streaming;                     /* streams with that gap limit */
     uint32_t backlog_ms[CW_URGENCY_LEVELS]; /* by urgency: time to prefill unanswered prompts at least as urgent */
     uint32_t longest_prompt_tokens;         /* tokens of the longest unanswered prompt */
-    uint32_t tokens;                        /* memory that its running requests use or will use */
-    uint32_t event_interval_us;             /* learned event interval there while no prompt is prefilled; 0: unknown */
-    uint32_t failed_ago_ms;   /* time since one of its connections to the server last failed; 0: not recently */
-    uint32_t answered_ago_ms; /* time since it last sent a request there that was answered; 0: not recently */
+    uint32_t tokens;                        /* tokens of memory that the host's running requests use or will use */
+    uint32_t event_interval_us;             /* learned event interval while the server prefills nothing; 0: unknown */
+    uint32_t failed_ago_ms;   /* time since a connection of the host to the server last failed; 0: not recently */
+    uint32_t answered_ago_ms; /* time since the host sent the last request that the server answered; 0: not recently */
     cw_rate_state_t rate;     /* state of the server's advertised rate in recent responses to this host */
-    uint32_t rate_per_ks;     /* that rate, requests per 1,000 s */
-    uint32_t rate_ago_ms;     /* age of that observation */
+    uint32_t rate_per_ks;     /* the advertised rate, requests per 1,000 s */
+    uint32_t rate_ago_ms;     /* age of the observation in rate and rate_per_ks */
 } cw_load_t;
 
 /* The urgency by which a request is queued: a late one goes last and delays no other request. */
@@ -117,20 +117,20 @@
 /* A request that runs at a server. */
 typedef struct cw_run_t {
     uint32_t server; /* CW_BALANCE_NONE: none */
-    uint64_t id;     /* of the server: the index may belong to another server once this one was removed */
+    uint64_t id;     /* id of the server; its index may pass to another server once it was removed */
     int64_t begun_ms;
     uint32_t urgency;
     double prefill_ms; /* predicted prefill time of the prompt */
     cw_backlog_plan_t plan;
     /* Backlog of all urgencies at the start, since an engine may finish a chunk of any prompt first. */
     double backlog_ahead_ms;
-    bool is_unqueued;         /* nothing was known there that the prompt may have waited for */
-    uint32_t uncached_tokens; /* to be prefilled, neither cached nor fetched */
+    bool is_unqueued;         /* nothing known could delay the prompt: no backlog, busy slots, slow start or fetch */
+    uint32_t uncached_tokens; /* tokens of the prompt that are neither cached nor fetched */
     uint32_t tokens;
     uint32_t gap_ms;
     bool answered;
     int64_t last_event_ms;             /* time of the last event of the response */
-    uint32_t concurrent_prompt_tokens; /* tokens of the longest prompt that was prefilled there at that time */
+    uint32_t concurrent_prompt_tokens; /* tokens of the longest prompt in prefill at the server at last_event_ms */
 } cw_run_t;
 
 /* Numbers of servers that were excluded from a choice. A server counts once, by the first reason that applies. */
@@ -152,11 +152,11 @@
     double reserved_slots;      /* free slots reserved for requests with priority over this one, over all servers */
     double wait_ms;             /* backlog of the server for the request's urgency, all hosts */
     double prefill_ms;          /* predicted prefill time of this prompt */
-    uint32_t running;           /* at the server, all hosts */
+    uint32_t running;           /* requests of all hosts that run at the server */
     uint32_t age_ms;            /* of the oldest load report that was used */
     uint32_t cached_tokens;     /* tokens of the prompt that are assumed to be cached there */
     uint64_t fetch_source;      /* id of the server to fetch more of the prompt from; 0: none */
-    uint32_t fetched_tokens;    /* tokens to fetch from it */
+    uint32_t fetched_tokens;    /* tokens to fetch from fetch_source */
     uint32_t recomputed_tokens; /* tokens that are cached at another server and recomputed here all the same */
     uint32_t streaming;         /* streams at the server with the strictest gap limit */
     uint32_t candidates;        /* servers that had capacity */
@@ -173,7 +173,7 @@
     uint32_t max_parts;             /* capacity of the table of cached prompt parts, default 131072 */
     uint32_t report_max_age_ms;     /* load reports of other hosts are ignored when older, default 1500 */
     uint32_t probe_interval_ms;     /* time until the first probe of an unreachable server, default 250 */
-    uint32_t probe_interval_max_ms; /* longest time between two such probes, default 4000 */
+    uint32_t probe_interval_max_ms; /* longest time between two probes of an unreachable server, default 4000 */
     /* Whether this host is the only one that sends to the server during its slow start; NULL: always true. */
     bool (*owns_server)(void* user_data, uint64_t server);
     void* user_data;
@@ -186,7 +186,8 @@
     uint32_t count;
     uint32_t missing;        /* hosts that vanished without a clean stop: they may run on behind a network partition */
     uint32_t propagation_ms; /* time until a load report has reached all hosts */
-    uint32_t direct_propagation_ms; /* the same for the other owner hosts of the server (chalkway_owner.h) */
+    /* Time until a load report has reached the server's other owner hosts (chalkway_owner.h). */
+    uint32_t direct_propagation_ms;
 } cw_fleet_t;
 
 /* Numbers of servers that throttle this host now. */
@@ -302,7 +303,7 @@
 #define _CW_SLOWDOWN_MAX 20.0         /* relative to the other servers */
 #define _CW_SLOWDOWN_DECAY_MS 10000.0 /* time constant, after which a third of a slowdown is left */
 #define _CW_FAILURE_WEIGHT 0.25       /* of a new failure or success */
-#define _CW_FAILURE_DECAY_MS 4000.0   /* time constant */
+#define _CW_FAILURE_DECAY_MS 4000.0   /* time constant of the decay of a server's failure ratio */
 #define _CW_FAILURE_COST_MIN_MS 200.0 /* least cost of a failure */
 
 /* Costs of the network. Another hall costs as much as a new connection, for the traffic and latency between halls; a
@@ -313,7 +314,7 @@
 /* The length of long prompts is learned as a high quantile of all lengths. */
 #define _CW_LONG_PROMPT_UP 0.1
 #define _CW_LONG_PROMPT_DOWN 0.005
-/* Cost to a gap-sensitive stream of each step in the fill order, in targets. */
+/* Cost of each step in the fill order for a gap-sensitive stream, as a share of its target. */
 #define _CW_FILL_ORDER_COST_SHARE 0.1
 /* Largest share of the slots that requests with a long target leave to those with a short one. The share grows with the
    target. */
@@ -341,12 +342,13 @@
 #define _CW_PREFILL_LEFT_EXTRA_MS 20.0
 
 /* Event intervals of servers. */
-#define _CW_INTERVAL_WEIGHT 0.05     /* of a new sample */
-#define _CW_INTERVAL_SAMPLES_MIN 20  /* with fewer samples an interval counts as unknown */
-#define _CW_INTERVAL_SLOW_RATIO 1.15 /* to the fastest interval: slower servers come last in the fill order */
-#define _CW_INTERVAL_RUNS_MAX 8      /* with more requests running no sample is taken */
+#define _CW_INTERVAL_WEIGHT 0.05    /* of a new sample */
+#define _CW_INTERVAL_SAMPLES_MIN 20 /* with fewer samples an interval counts as unknown */
+/* Ratio to the shortest event interval above which a server comes last in the fill order. */
+#define _CW_INTERVAL_SLOW_RATIO 1.15
+#define _CW_INTERVAL_RUNS_MAX 8 /* with more requests running no sample is taken */
 
-#define _CW_RUN_COST_MS 0.5 /* slowdown of an engine's other requests by one more */
+#define _CW_RUN_COST_MS 0.5 /* cost of one more request at an engine: it slows down the others */
 /* Cost of recomputing tokens that another server has cached, as a multiple of their prefill time. */
 #define _CW_RECOMPUTE_FACTOR 20.0
 /* Cost of fetching cached tokens, as a multiple of the fetch time: a fetch slows down other requests, too. */
@@ -379,14 +381,14 @@
     bool is_listed;    /* it may be chosen */
     uint32_t position; /* in the fill order, which is the same in all hosts */
     uint32_t running;
-    cw_gap_limits_t gap_limits; /* of own streams that have begun */
+    cw_gap_limits_t gap_limits; /* gap limits of this host's streams that have begun */
     uint64_t tokens;
-    cw_backlog_t backlog;           /* own prompts, from sending to the first byte */
-    uint32_t longest_prompt_tokens; /* tokens of the longest prompt among them; 0 when there are none */
-    double event_interval_ms;       /* learned event interval while nothing is prefilled there; 0: unknown */
+    cw_backlog_t backlog;           /* this host's prompts, from sending to the first byte */
+    uint32_t longest_prompt_tokens; /* tokens of the longest prompt in backlog; 0 when there is none */
+    double event_interval_ms;       /* learned event interval while the server prefills nothing; 0: unknown */
     uint32_t interval_samples;
     double slowdown;        /* time that requests take, relative to the other servers; 1: the same */
-    int64_t slowdown_at_ms; /* time of its last update */
+    int64_t slowdown_at_ms; /* time of the last update of slowdown */
     double failure_ratio;   /* 0..1 */
     int64_t failure_at_ms;
     bool has_idle_connection;
@@ -394,15 +396,15 @@
     uint32_t probe_interval_ms;
     int64_t next_probe_ms;
     int64_t full_until_ms;
-    bool is_owner_host;           /* this host is an owner host of it, as of owner_fleet_version */
-    uint64_t owner_fleet_version; /* fleet_version at which that was decided; 0: not yet */
+    bool is_owner_host;           /* this host is an owner host of the server, as of owner_fleet_version */
+    uint64_t owner_fleet_version; /* fleet_version at which is_owner_host was determined; 0: not yet */
     cw_suspect_t suspicion;       /* by the reports of all hosts */
     int64_t own_failed_ms;        /* last failure that this host observed, as reported to its peers; 0: none */
-    int64_t own_answered_ms;      /* sending time of the last request of this host that it answered; 0: none */
+    int64_t own_answered_ms;      /* sending time of this host's last request that the server answered; 0: none */
     cw_rate_t rate;
     cw_backoff_t backoff;
     int64_t cold_until_ms;
-    cw_bucket_t cold;           /* rate limit until then */
+    cw_bucket_t cold;           /* rate limit until cold_until_ms */
     uint64_t prefilled_tokens;  /* all tokens prefilled there, as far as known */
     _cw_load_report_t* reports; /* of hosts with load there; most servers of a large pool have none */
     uint32_t report_count, report_capacity;
@@ -434,7 +436,7 @@
     uint32_t call_samples;
     cw_stalls_t stalls;
     double backlog_limit_ms[CW_URGENCY_LEVELS]; /* learned backlog limit of each urgency's requests; 0: none seen */
-    double short_target_ms;                     /* learned target of the requests with the shortest ones; 0: none yet */
+    double short_target_ms;                     /* learned shortest target of the pool's requests; 0: none seen */
     double long_prompt_tokens;                  /* learned length of long prompts */
     double long_prompt_wait_ms;                 /* mean backlog that long prompts found recently */
     double fastest_interval_ms;                 /* shortest known event interval of a server; 0: none known */
@@ -1511,7 +1513,7 @@
 }
 
 /* Merges the failures and responses that another host observed. Its report may have been in transit for
- * propagation_ms. */
+   propagation_ms. */
 static void _cw_balance_merge_suspicion(const cw_balance_t* b, _cw_server_t* s, int64_t now_ms, uint64_t peer,
                                         const cw_load_t* load) {
     if (load->failed_ago_ms && load->failed_ago_ms < _CW_REPORTED_AGE_MAX_MS) {
--- a/chalkway_catalog.h
+++ b/chalkway_catalog.h
@@ -67,7 +67,7 @@
 typedef struct cw_catalog_pool_t {
     const char* name;
     const char* health;     /* path of the health check, NULL: none */
-    uint32_t connections;   /* limit of one server for all daemons together, 0: no limit */
+    uint32_t connections;   /* connections to one server from all daemons together, 0: no limit */
     double cold_per_s;      /* requests per second that a cold server accepts from all daemons together, 0: no limit */
     uint32_t slots;         /* engine: concurrent requests, 0: the pool has no engines */
     uint32_t memory_tokens; /* engine: capacity of its KV cache, in tokens */
--- a/chalkway_contention.h
+++ b/chalkway_contention.h
@@ -36,7 +36,7 @@
 /* This host's requests of one urgency. */
 typedef struct cw_contention_level_t {
     double rate;     /* arrivals per second, a moving mean */
-    int64_t rate_ms; /* time of its last update */
+    int64_t rate_ms; /* time of the last update of rate */
     double waiting;  /* requests that wait for a slot, smoothed */
     uint32_t waiting_now;
     int64_t waiting_ms; /* time of the last update of waiting and waiting_now */
@@ -54,7 +54,7 @@
     double free_slots; /* free slots there, as far as known */
     uint32_t urgency;  /* of the request */
     uint32_t hosts;    /* hosts that may use these slots, this one among them */
-    uint32_t delay_ms; /* time until a load report has reached them, 0: at once */
+    uint32_t delay_ms; /* time until a load report has reached these hosts, 0: at once */
 } cw_contention_use_t;
 
 /* Counts a new request. */
--- a/chalkway_epoch.h
+++ b/chalkway_epoch.h
@@ -36,7 +36,8 @@
     CW_EPOCH_MALFORMED /* not a positive integer: the current epoch stays */
 } cw_epoch_verdict_t;
 
-/* Compares the epoch number in a response with the current one and updates that. text NULL: the response has none. */
+/* Compares the epoch number in a response with the current one, which a newer epoch replaces. text NULL: the response
+   has none. */
 cw_epoch_verdict_t cw_epoch_observe(cw_epoch_t* epoch, const char* text);
 
 #endif /* CHALKWAY_EPOCH_H */
--- a/chalkway_fair.h
+++ b/chalkway_fair.h
@@ -43,7 +43,8 @@
 
 cw_fair_t* cw_fair_setup(const cw_fair_desc_t* desc);
 void cw_fair_shutdown(cw_fair_t* q);
-/* Appends an item to its workspace's FIFO. Returns CW_ERR_FULL when max_workspaces others have waiting items. */
+/* Appends an item to its workspace's FIFO. Returns CW_ERR_FULL when max_workspaces other workspaces have items that
+   wait. */
 cw_status_t cw_fair_push(cw_fair_t* q, uint64_t workspace, uint32_t item);
 /* Next item in fair order, not removed; CW_FAIR_NONE when there is none. */
 uint32_t cw_fair_peek(const cw_fair_t* q);
--- a/chalkway_load.h
+++ b/chalkway_load.h
@@ -47,8 +47,8 @@
     cw_prompt_part_t parts[CW_LOAD_PARTS];
 } cw_load_entry_t;
 
-/* The configuration and list of servers that a host has from the source. The ages count from the time at which they
-   were last confirmed to be current at the source. */
+/* The configuration and list of servers that a host has from the source. The age of each counts from the time at
+   which it was last confirmed to be current at the source. */
 typedef struct cw_source_state_t {
     uint64_t revision; /* of the active configuration, 0: none */
     uint64_t servers;  /* id of the active list of servers, 0: none */
@@ -89,7 +89,7 @@
 #include <string.h>
 
 #define _CW_LOAD_HEARTBEAT_MS 100    /* of the first ranks, and of all hosts in a small fleet */
-#define _CW_LOAD_HEARTBEAT_STEP_MS 8 /* of the others, for each live host */
+#define _CW_LOAD_HEARTBEAT_STEP_MS 8 /* of the other hosts, for each live host */
 #define _CW_LOAD_FIRST_RANKS 3
 #define _CW_LOAD_HEAD_FIELDS 9 /* fields before the entries; the last one is the array of quarantine observations */
 #define _CW_LOAD_OBSERVATION_FIELDS 5 /* numbers of an observation */
@@ -99,7 +99,7 @@
 #define _CW_LOAD_LEAVING 1U           /* flags of an entry */
 #define _CW_LOAD_RATE_ADVERTISED 2U
 #define _CW_LOAD_RATE_WITHDRAWN 4U
-/* Longer than any request waits: longer backlogs are sent as this value. */
+/* Longer backlogs are sent as this value, which is longer than any request waits. */
 #define _CW_LOAD_BACKLOG_MAX_MS UINT16_MAX
 
 uint32_t cw_load_heartbeat_interval_ms(uint32_t rank, uint32_t live) {
--- a/chalkway_member.h
+++ b/chalkway_member.h
@@ -52,7 +52,8 @@
     CW_MEMBER_STATE_COUNT
 } cw_member_state_t;
 
-/* Gossiped record of a host. The higher incarnation supersedes, then the worse state. */
+/* Gossiped record of a host. Of two records of a host, the one with the higher incarnation is valid; if the
+   incarnations are equal, the one with the worse state is. */
 typedef struct cw_member_info_t {
     uint64_t id; /* of the name */
     uint64_t incarnation;
@@ -69,8 +70,8 @@
     cw_member_info_t info;
     int64_t info_changed_ms;     /* time of the latest change of info */
     int64_t last_received_ms;    /* time of the latest message received from it directly, 0: never */
-    int64_t revision;            /* its configuration revision, from that message */
-    uint32_t free_capacity;      /* its free capacity in percent, from that message */
+    int64_t revision;            /* its configuration revision, from its latest message */
+    uint32_t free_capacity;      /* its free capacity in percent, from its latest message */
     bool has_refused_connection; /* a connection was refused: its process is down, not unreachable */
     uint32_t transmits_left;     /* transmissions left for its update */
 } cw_member_t;
@@ -90,7 +91,7 @@
     int64_t revision;       /* of the sender's configuration */
     uint32_t free_capacity; /* free capacity of the sender in percent */
     uint64_t view_hash;     /* hash of the members that are not dead in the sender's view */
-    cw_summary_t summary;   /* ping: summary of the same members; requests those that differ */
+    cw_summary_t summary;   /* ping: summary of the members that are not dead; requests those that differ */
     cw_member_info_t from;
     uint32_t update_count;
     cw_member_info_t updates[CW_GOSSIP_MAX_UPDATES];
@@ -202,8 +203,8 @@
     uint32_t seq;
     uint32_t probe_seq;     /* pending probe, 0: none */
     uint64_t probe_target;  /* target of the pending probe */
-    int64_t probe_sent_ms;  /* when it was sent */
-    bool is_probe_indirect; /* other hosts were asked to probe it */
+    int64_t probe_sent_ms;  /* when the pending probe was sent */
+    bool is_probe_indirect; /* other hosts were asked to probe probe_target */
     int64_t next_probe_ms, next_retry_ms, last_tick_ms;
     int64_t next_suspect_ping_ms;
     bool is_view_different;          /* a view hash received differed from this host's own */
@@ -359,7 +360,7 @@
     return m->view_hash;
 }
 
-/* Summary of the same members, with the given number of buckets. */
+/* Summary of the members that are not dead, with the given number of buckets. */
 static void _cw_members_summarize(const cw_members_t* m, uint32_t buckets, cw_summary_t* out) {
     *out = (cw_summary_t){.buckets = buckets};
     for (uint32_t i = 0; i < m->count; i++) {
@@ -447,8 +448,8 @@
     return update->state > known->state || (update->leaving && !known->leaving);
 }
 
-/* Handles an update about this host itself: refutes a wrong one, and moves past a higher incarnation, which a previous
-   run of this host announced. */
+/* Handles an update about this host itself: refutes a wrong one, and raises this host's incarnation above a higher
+   one, which a previous run of this host announced. */
 static void _cw_members_update_self(cw_members_t* m, const cw_member_info_t* update) {
     cw_member_info_t* self = &m->members[0].info;
     bool is_wrong = update->state != CW_MEMBER_ALIVE || update->leaving != self->leaving;
--- a/chalkway_occupancy.h
+++ b/chalkway_occupancy.h
@@ -40,7 +40,7 @@
     cw_occupancy_level_t level[CW_URGENCY_LEVELS];
 } cw_occupancy_t;
 
-/* Records the arrival of a request with such a prompt, whether it will run or not. */
+/* Records the arrival of a request with a prompt of this length, whether the request will run or not. */
 void cw_occupancy_on_request(cw_occupancy_t* o, uint32_t urgency, uint32_t prompt_tokens);
 /* Records that a request takes a slot. */
 void cw_occupancy_begin(cw_occupancy_t* o, uint32_t urgency);
--- a/chalkway_pick.h
+++ b/chalkway_pick.h
@@ -74,11 +74,11 @@
 typedef struct cw_pick_upstream_t {
     cw_pick_spec_t spec;
     uint32_t inflight;        /* slots taken through this table */
-    uint32_t reported;        /* running requests in its own last load report */
-    int64_t reported_ms;      /* 0: never */
-    bool draining;            /* by its own report */
+    uint32_t reported;        /* running requests in the upstream's own last load report */
+    int64_t reported_ms;      /* time of that load report; 0: never */
+    bool draining;            /* the upstream reported that it is draining */
     double ms_per_cost;       /* learned; 0: unknown */
-    uint32_t errors;          /* consecutive */
+    uint32_t errors;          /* consecutive errors */
     uint32_t ejections;       /* since the last success */
     int64_t ejected_until_ms; /* end of the last ejection; 0: never ejected */
 } cw_pick_upstream_t;
@@ -122,7 +122,7 @@
 #include <string.h>
 
 #define _CW_PICK_SERVICE_TIME_WEIGHT 0.1 /* weight of a new sample of the service time */
-#define _CW_PICK_OTHER_HALL_FACTOR 1.05  /* factor on the expected finish in another hall */
+#define _CW_PICK_OTHER_HALL_FACTOR 1.05  /* factor on the expected time at an upstream in another hall */
 #define _CW_PICK_EJECT_DOUBLINGS_MAX 10U /* doublings of the ejection time */
 
 struct cw_pick_t {
--- a/chalkway_poll.h
+++ b/chalkway_poll.h
@@ -32,12 +32,13 @@
 #define CW_POLL_NEVER INT64_MIN /* confirmed_ms before there is any state */
 
 typedef struct cw_poll_t {
-    uint32_t poll_age_ms;           /* age of the state at which the daemon of the first rank polls again */
-    uint32_t rank;                  /* 0: first */
-    uint32_t daemons;               /* number of live daemons, including this one; 0: no more than the first ranks */
-    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank polls, 0: the same for all beyond the
-                                       first ranks */
-    int64_t started_ms;             /* start of this daemon */
+    uint32_t poll_age_ms; /* age of the state at which the daemon of the first rank polls again */
+    uint32_t rank;        /* 0: first */
+    uint32_t daemons;     /* number of live daemons, including this one; 0: no more than the first ranks */
+    /* Age of the state at which the daemon of the last rank polls. 0: all ranks beyond the first ones poll at the same
+       age. */
+    uint32_t last_rank_poll_age_ms;
+    int64_t started_ms;  /* start of this daemon */
     bool is_first_start; /* first start of the whole system: without callers, a daemon can wait for others' polls */
     uint64_t seed;       /* of this host, for jitter at the start */
 } cw_poll_t;
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -47,10 +47,10 @@
 /* Cached and shared parts of one prompt. */
 typedef struct cw_prefix_t {
     uint64_t best_server;                    /* the server with most of the prompt's start cached, 0: none */
-    uint32_t best_tokens;                    /* tokens cached there */
+    uint32_t best_tokens;                    /* tokens cached at best_server */
     uint32_t shared_tokens;                  /* tokens before the last part, which is the request's own */
     uint64_t last_shared_part;               /* id of the last part that other prompts share */
-    uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
+    uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of the owners of last_shared_part, the highest first */
 } cw_prefix_t;
 
 /* Tokens at the start of the prompt that the server has cached. */
--- a/chalkway_pull.h
+++ b/chalkway_pull.h
@@ -37,7 +37,7 @@
     uint64_t version; /* of the document; a version that differs from the last offer's discards earlier offers */
     const char* peer; /* address that serves the document */
     bool is_remote;   /* the peer is in another hall: it is asked only if no peer of the own hall made an offer */
-    uint32_t daemons; /* that may fetch the document too */
+    uint32_t daemons; /* number of daemons that may fetch the document too */
     uint64_t random;  /* random number */
 } cw_pull_offer_t;
 
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -83,8 +83,8 @@
 typedef struct cw_verdict_t {
     cw_verdict_kind_t kind;
     uint32_t crashes;                                 /* servers that crashed under the request, trials not counted */
-    uint32_t excluded_count;                          /* number of excluded incarnations, listed below */
-    uint64_t incarnations[CW_QUARANTINE_MAX_CRASHES]; /* crashed under the request or have it on trial */
+    uint32_t excluded_count;                          /* number of entries in incarnations */
+    uint64_t incarnations[CW_QUARANTINE_MAX_CRASHES]; /* excluded: crashed under the request or have it on trial */
     uint32_t retry_ms; /* quarantined: time until it may be sent; pending: time until the decision */
 } cw_verdict_t;
 
@@ -99,12 +99,12 @@
     cw_fingerprint_t request;
     cw_verdict_t verdict;
     uint32_t age_ms[CW_QUARANTINE_MAX_CRASHES]; /* of the crash or trial of each of the verdict's incarnations */
-    bool is_trial[CW_QUARANTINE_MAX_CRASHES];   /* whether it is a trial */
+    bool is_trial[CW_QUARANTINE_MAX_CRASHES];   /* whether age_ms is that of a trial */
 } cw_quarantine_entry_t;
 
 typedef struct cw_quarantine_stats_t {
-    uint32_t entries,
-        quarantined;  /* held: quarantined requests that cw_quarantine_next_newly_quarantined has returned */
+    /* entries: tracked requests; quarantined: those that cw_quarantine_next_newly_quarantined has returned. */
+    uint32_t entries, quarantined;
     uint64_t evicted; /* entries evicted in favour of others */
 } cw_quarantine_stats_t;
 
@@ -125,8 +125,8 @@
    max. */
 uint32_t cw_quarantine_export(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_observation_t* out,
                               uint32_t max);
-/* Returns the next of the same requests from index *at on and advances the index, for operators; false when there is no
-   other. */
+/* Returns, for operators, the next request whose verdict is not CW_VERDICT_ALLOWED, from index *at on, and advances the
+   index. Returns false when there is no other. */
 bool cw_quarantine_next_entry(cw_quarantine_t* q, int64_t now_ms, uint32_t* at, cw_quarantine_entry_t* out);
 cw_quarantine_stats_t cw_quarantine_stats(cw_quarantine_t* q, int64_t now_ms);
 
@@ -185,7 +185,7 @@
     int64_t at_ms;
 } _cw_incarnation_event_t;
 
-/* Latest event of each of the last incarnations with one; a new incarnation replaces the oldest. */
+/* Latest event of each incarnation that had one. When the ring is full, a new incarnation replaces the oldest one. */
 typedef struct _cw_incarnation_events_t {
     _cw_incarnation_event_t items[_CW_QUARANTINE_INCARNATIONS];
     uint32_t next;
--- a/chalkway_queue_order.h
+++ b/chalkway_queue_order.h
@@ -45,8 +45,8 @@
 typedef struct cw_queue_wait_desc_t {
     int64_t now_ms;
     int64_t caller_gone_ms;    /* time at which its caller is assumed to be gone */
-    uint32_t target_ms;        /* of the request, to the first byte */
-    double shortest_target_ms; /* of the pool; 0: unknown */
+    uint32_t target_ms;        /* target of the request, to the first byte */
+    double shortest_target_ms; /* shortest target of the pool's requests; 0: unknown */
     bool is_delay_tolerant;    /* it is refused when it is late */
 } cw_queue_wait_desc_t;
 
--- a/chalkway_rate.h
+++ b/chalkway_rate.h
@@ -47,7 +47,7 @@
 #include "chalkway_rendezvous.h"
 
 #define CW_RATE_RESPONSE_DELAY_MAX_MS 500 /* assumed longest transit time of a response's head */
-#define CW_RATE_EXPIRY_MS 30000           /* a rate expires when no response has mentioned it for so long */
+#define CW_RATE_EXPIRY_MS 30000           /* a rate expires when no response has mentioned it for this time */
 #define CW_RATE_NEVER UINT32_MAX
 
 typedef enum cw_rate_state_t {
@@ -115,7 +115,7 @@
 
 #define _CW_RATE_OWNER_PER_S 2.0 /* share of one owner: small enough that its own callers can use it up */
 #define _CW_RATE_BURST 2.0
-#define _CW_RATE_REDUNDANT_MS 1000 /* a peer's observation that is newer by so much makes the own one redundant */
+#define _CW_RATE_REDUNDANT_MS 1000 /* a peer's observation newer by more than this makes the own one redundant */
 #define _CW_RATE_MIN_PER_S 0.1     /* least rate that is used, so that owners notice the withdrawal of a lower one */
 
 /* The earliest time at which the server can have written the head of a response that arrives now. */
--- a/chalkway_relay.h
+++ b/chalkway_relay.h
@@ -42,7 +42,7 @@
     bool is_full_mesh;              /* every host is a relay: it sends its own updates itself */
     uint32_t batch_ms;              /* time for which a relay batches updates, 0: it forwards each at once */
     uint32_t propagation_ms;        /* time until an update has reached all hosts, without loss */
-    uint32_t direct_propagation_ms; /* the same for an update sent directly to each host */
+    uint32_t direct_propagation_ms; /* time until an update sent directly to each host has reached them all */
     uint32_t resend_ms;             /* interval at which unchanged state is sent again, since datagrams get lost */
 } cw_relay_plan_t;
 
@@ -102,8 +102,8 @@
         _cw_relay_clamp(live / _CW_RELAY_HOSTS_PER_BATCH_MS, _CW_RELAY_BATCH_MIN_MS, _CW_RELAY_BATCH_MAX_MS);
     return (cw_relay_plan_t){
         .batch_ms = batch_ms,
-        .propagation_ms =
-            2 * batch_ms + _CW_RELAY_DATAGRAM_MS, /* batched by a relay of the sender's hall and of the receiver's */
+        /* An update is batched by a relay of the sender's hall and by one of the receiver's hall. */
+        .propagation_ms = 2 * batch_ms + _CW_RELAY_DATAGRAM_MS,
         .direct_propagation_ms = 2 * _CW_RELAY_DATAGRAM_MS, /* the sender briefly waits for further updates */
         .resend_ms = _cw_relay_clamp(_CW_RELAY_RESEND_MS + live, _CW_RELAY_RESEND_MS, _CW_RELAY_RESEND_MAX_MS)};
 }
--- a/chalkway_request.h
+++ b/chalkway_request.h
@@ -162,8 +162,8 @@
     return r->has_response_head ? CW_OUTCOME_FAILED : CW_OUTCOME_UNKNOWN;
 }
 
-/* Another attempt is safe when nothing has run. It is also safe for a repeatable request of whose response the caller
-   has received nothing, or whose response can be resumed where it broke. */
+/* Another attempt is safe when nothing has run. A repeatable request may also be retried while no byte of the
+   response body was forwarded to the caller, or if the response can be resumed where it broke. */
 static bool _cw_request_may_retry(const cw_request_t* r) {
     bool is_safe = !r->has_sent_bytes || (r->repeatable && (!r->has_forwarded_body || r->resumable));
     return is_safe && r->is_retry_allowed && r->attempts < r->max_attempts;
--- a/chalkway_servers.h
+++ b/chalkway_servers.h
@@ -95,7 +95,7 @@
 typedef struct cw_servers_t {
     cw_closed_halls_t closed;
     int64_t at;      /* source revision up to which the list includes every change */
-    uint32_t age_ms; /* time since it was read from the source, when it was sent */
+    uint32_t age_ms; /* age of the list when it was sent: time since it was read from the source */
     cw_refused_entries_t refused;
     uint32_t count, capacity;
     cw_server_t* items;
@@ -332,7 +332,7 @@
 
 /* One field of an entry: its type, its bounds, and where its value is stored; out NULL: it is validated only. */
 typedef struct _cw_field_t {
-    const char* name; /* NULL: the source does not have it */
+    const char* name; /* NULL: the source does not have the field */
     _cw_field_kind_t kind;
     bool is_required;
     int64_t min, max;
--- a/chalkway_settings.h
+++ b/chalkway_settings.h
@@ -49,9 +49,9 @@
     uint32_t lookup_ttl_ms;                 /* how long callers may cache a lookup response */
     uint32_t ticket_ms;                     /* lifetime of a ticket */
     uint32_t allocator_response_timeout_ms; /* timeout for an allocator's response; then the entry uses direct mode */
-    uint32_t protected_allocator_response_timeout_ms; /* the same for requests of protected classes */
+    uint32_t protected_allocator_response_timeout_ms; /* that timeout for requests of protected classes */
     uint32_t first_token_timeout_ms; /* timeout for a resumable stream's first token; then another upstream is tried */
-    uint32_t stall_ms;               /* the same for each further token */
+    uint32_t stall_ms;               /* timeout for each further token; then another upstream is tried */
     uint32_t max_response_bytes;     /* bytes of a response that is buffered as a whole */
     double retry_ratio;              /* retries allowed per first attempt */
     /* [allocator] */
@@ -62,7 +62,7 @@
     uint32_t load_poll_interval_ms; /* interval between polls of an upstream's load */
     /* [member] */
     uint32_t probe_ms;         /* interval between probes */
-    uint32_t probe_timeout_ms; /* for the response to a direct probe */
+    uint32_t probe_timeout_ms; /* timeout for the response to a direct probe */
     uint32_t suspect_ms;       /* time from suspecting a host to declaring it dead */
     /* [log] */
     char log_level[CW_NAME_MAX];
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -104,12 +104,12 @@
     cw_shard_action_kind_t kind;
     uint64_t entry;
     uint32_t seq;            /* of the slot request */
-    uint64_t grant;          /* id; grant, preempt */
-    uint64_t upstream;       /* grant */
-    uint32_t queued_ms;      /* grant: time the request was queued here */
+    uint64_t grant;          /* grant, preempt: id of the grant */
+    uint64_t upstream;       /* grant: id of the upstream */
+    uint32_t queued_ms;      /* grant: time for which the request was queued here */
     uint32_t ttl_ms;         /* grant: must be used within queued_ms + ttl_ms after the request was sent */
-    cw_refusal_t refusal;    /* refuse */
-    uint32_t retry_after_ms; /* refuse; 0: a retry cannot meet this deadline either */
+    cw_refusal_t refusal;    /* refuse: reason */
+    uint32_t retry_after_ms; /* refuse: retry delay; 0: a retry cannot meet this deadline either */
 } cw_shard_action_t;
 
 /* Release of a grant by its entry. */
@@ -217,14 +217,14 @@
 typedef struct _cw_shard_item_t {
     cw_slot_request_t slot_request;
     int64_t arrived_ms;
-    uint32_t retry_ms;    /* refused for its rate: retry delay */
-    cw_refusal_t refusal; /* set: in the list of refusals to send */
+    uint32_t retry_ms;    /* retry delay of a request that is refused for its workspace's rate */
+    cw_refusal_t refusal; /* set while the item is in the list of refusals to send */
     uint32_t next;        /* in the list of refusals to send, or in the free list */
 } _cw_shard_item_t;
 
 typedef struct _cw_shard_grant_t {
     uint64_t id;  /* 0: free */
-    uint64_t key; /* in by_request */
+    uint64_t key; /* key of the grant's request in by_request */
     uint64_t entry;
     uint64_t workspace;
     uint64_t upstream;
@@ -942,7 +942,7 @@
         return;
     }
     _cw_shard_cancel_entry_requests(s, entry);
-    /* Its requests may still run at the upstreams: the slots are reclaimed after one ttl. */
+    /* The entry's requests may still run at the upstreams: their slots are reclaimed after one ttl. */
     s->entries[index].last_seen_ms = now_ms - s->desc.lease_ms + s->desc.ttl_ms;
 }
 
--- a/chalkway_stall.h
+++ b/chalkway_stall.h
@@ -56,7 +56,7 @@
 
 #define _CW_STALL_LENGTH_MIN 256.0 /* tokens, base of the length classes */
 #define _CW_STALL_UP 0.2           /* weight of a gap above the estimate, which is a high quantile */
-#define _CW_STALL_DOWN 0.02        /* weight of a gap below it */
+#define _CW_STALL_DOWN 0.02        /* weight of a gap below the estimate */
 #define _CW_STALL_RISK_FROM 0.7  /* gap, as a share of the limit, where the probability rises from 0; it is 1 at 1.3 */
 #define _CW_STALL_SAMPLES_MIN 10 /* with fewer samples the estimate of a length class is not used alone */
 
--- a/chalkway_store.h
+++ b/chalkway_store.h
@@ -67,11 +67,11 @@
     bool is_protected;    /* never shed or preempted for a lower tier */
     bool repeatable;      /* may run more than once */
     bool preemptible;     /* a running request may be cancelled in favour of a protected class */
-    uint32_t deadline_ms; /* for the complete response */
+    uint32_t deadline_ms; /* time limit for the complete response */
     uint32_t queue_ms;    /* longest wait for a slot */
     uint32_t cost;        /* initial estimate, in tokens */
     uint32_t est_ms;      /* initial estimate of the run time */
-    double weight;        /* of its requests in the goodput */
+    double weight;        /* weight of the class's requests in the goodput */
     char pools[CW_CLASS_POOLS][CW_NAME_MAX];
     uint32_t pool_count;
 } cw_class_t;
@@ -108,7 +108,7 @@
     cw_workspace_t* workspaces;
     cw_class_t* classes;
     cw_pool_t* pools;
-    cw_upstream_t* upstreams; /* those whose pool is published, sorted by name */
+    cw_upstream_t* upstreams; /* upstreams whose pool is published, sorted by name */
     uint32_t workspace_count, class_count, pool_count, upstream_count;
     cw_map_t by_id;     /* cw_mix(kind + 1, id) -> index in the array of its kind */
     cw_map_t by_digest; /* first 8 bytes of a token digest -> workspace index */
@@ -200,7 +200,7 @@
     json_t* root;
     cw_error_t* err;
     cw_status_t status;
-    uint32_t known_fields; /* fields of the object that its schema has */
+    uint32_t known_fields; /* number of the object's fields that its schema defines */
 } _cw_doc_t;
 
 static void _cw_doc_fail(_cw_doc_t* doc, const char* field, const char* what) {
@@ -545,7 +545,8 @@
     return true;
 }
 
-/* Adds the active documents to the snapshot, either all pools or everything else: other kinds refer to pools. */
+/* Adds active documents to the snapshot: either all pools or all documents of other kinds. Pools have to be added
+   first, since other kinds refer to them. */
 static void _cw_snapshot_fill(cw_store_t* s, cw_snapshot_t* snapshot, cw_store_item_t** sorted, bool pools) {
     for (uint32_t i = 0; i < s->count; i++) {
         cw_store_item_t* item = sorted[i];
--- a/chalkway_subset.h
+++ b/chalkway_subset.h
@@ -33,7 +33,7 @@
 #include "chalkway_core.h"
 
 typedef struct cw_subset_t {
-    uint32_t min_servers; /* least number of servers, where the pool has as many */
+    uint32_t min_servers; /* least number of servers of the subset, if the pool has that many */
     uint32_t shift;       /* number of hash bits that are zero; 0: the whole pool */
     int64_t expanded_ms;  /* time of the last doubling for lack of slots, 0: never */
 } cw_subset_t;
--- a/chalkway_suspect.h
+++ b/chalkway_suspect.h
@@ -47,7 +47,7 @@
 /* Records that a connection of the host to the server broke or could not be established. A failure that is reported
    repeatedly counts once. */
 void cw_suspect_on_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
-/* Records such a failure of a request of this host itself. */
+/* Records that a connection of this host itself broke or could not be established. host: id of this host. */
 void cw_suspect_on_own_failure(cw_suspect_t* s, uint64_t host, int64_t at_ms);
 /* Records that the server began to answer a request that was sent at sent_ms or later. True: it ends a suspicion. */
 bool cw_suspect_on_response(cw_suspect_t* s, int64_t sent_ms);
--- a/chalkway_wire.h
+++ b/chalkway_wire.h
@@ -38,12 +38,12 @@
     CW_MSG_HELLO, /* identifies the sender of a connection */
     CW_MSG_SLOT_REQUEST,
     CW_MSG_CANCEL, /* cancels a slot request */
-    CW_MSG_ACTION, /* of a shard, for an entry: grant, refuse, preempt, resync, queued */
+    CW_MSG_ACTION, /* action of a shard for an entry: grant, refuse, preempt, resync, queued */
     CW_MSG_GRANT_RELEASE,
     CW_MSG_GRANT_DIGEST,   /* digest of the grants that an entry holds */
     CW_MSG_GRANT_LIST,     /* the grants that an entry holds, with their digest */
     CW_MSG_DOCUMENT_PULL,  /* asks for all documents after a revision */
-    CW_MSG_DOCUMENT_CHUNK, /* some of these documents */
+    CW_MSG_DOCUMENT_CHUNK, /* some of the documents that were asked for */
     CW_MSG_TYPE_COUNT
 } cw_msg_type_t;
 
--- a/gateway/exchange_assign.c
+++ b/gateway/exchange_assign.c
@@ -238,8 +238,8 @@
 }
 
 /* Tries one request of each kind (light, late, urgency). A late request may find no slot, because slots are reserved
-   for other requests, while a light one behind it finds one. When a request finds none, the others of its kind would
-   not either. */
+   for other requests, while a light one behind it finds one. When one request of a kind finds no
+   slot, the others of that kind would find none either. */
 void exchanges_on_slot_free(exchanges_t* e, pool_t* pool) {
     bool failed_kinds[2][2][CW_URGENCY_LEVELS] = {{{false}}}; /* no slot found, by light, late, urgency */
     exchange_t* x = e->queue;
--- a/gateway/exchange_attempt.c
+++ b/gateway/exchange_attempt.c
@@ -7,12 +7,14 @@
 #include "exchange_internal.h"
 #include "request_head.h"
 
-#define PREFILL_RATE_LOG_FACTOR 1.25     /* change of the prefill rate that is logged */
-#define UNSENT_MAX_BYTES 262144          /* unsent bytes to a caller above which its server is not read */
-#define CALL_STALL_TARGET_SHARE 0.7      /* a call without a response is retried after this share of its target */
-#define STREAM_STALL_TARGETS 2.0         /* a stream without a first event is retried after this many targets ... */
-#define STREAM_STALL_EXPECTED_FACTOR 1.5 /* ... plus this many times the predicted time to the first event */
-#define EVENT_STALL_GAPS 4 /* a stream is retried after this many of its longest allowed gaps without an event */
+#define PREFILL_RATE_LOG_FACTOR 1.25 /* change of the prefill rate that is logged */
+#define UNSENT_MAX_BYTES 262144      /* unsent bytes to a caller above which its server is not read */
+#define CALL_STALL_TARGET_SHARE 0.7  /* a call without a response is retried after this share of its target */
+/* A stream without a first event is retried after this many targets plus this many times the predicted time to the
+   first event. */
+#define STREAM_STALL_TARGETS 2.0
+#define STREAM_STALL_EXPECTED_FACTOR 1.5
+#define EVENT_STALL_GAPS 4 /* time without an event after which a stream is retried, as a multiple of its gap limit */
 #define EVENT_STALL_MIN_MS 400
 
 bool exchange_may_retry(const exchange_t* x) {
--- a/gateway/exchange_internal.h
+++ b/gateway/exchange_internal.h
@@ -3,8 +3,8 @@
 /*
     Internal interface between the parts of an exchange. exchange.c owns the lifetime of a request, its timer and its
     final response. exchange_assign.c assigns a server, queues the request or refuses it. exchange_attempt.c sends the
-   request and forwards the response. Every state change goes through exchange_handle_event. That function may free the
-   exchange, and so may every function that calls it.
+    request and forwards the response. Every state change goes through exchange_handle_event. That function may free the
+    exchange, and so may every function that calls it.
 */
 #include "../chalkway_fingerprint.h"
 #include "../chalkway_queue_order.h"
@@ -38,7 +38,7 @@
     int64_t verdict_due_ms; /* the quarantine verdict is undecided until then; 0: decided */
     /* current attempt */
     server_t* server;
-    char server_id[CW_NAME_MAX];            /* of the last attempt; logged when the request ends */
+    char server_id[CW_NAME_MAX];            /* server of the last attempt; logged when the request ends */
     char fetch_from[CW_SERVER_ADDRESS_MAX]; /* address of a server with more of the prompt in its cache; "": none */
     upstream_conn_t* conn;
     cw_run_t run;
@@ -61,9 +61,9 @@
     bool is_resumable_stream; /* another server can resume the event stream */
     cw_sse_t events;
     unsigned status;
-    int64_t first_ms;           /* first byte sent to the caller; 0: none */
-    int64_t last_byte_ms;       /* last byte sent to the caller */
-    uint32_t checked_at_resume; /* resume_count when its deadlines were last checked */
+    int64_t first_ms;           /* time of the first byte sent to the caller; 0: none */
+    int64_t last_byte_ms;       /* time of the last byte sent to the caller */
+    uint32_t checked_at_resume; /* resume_count when the exchange's deadlines were last checked */
     uint32_t gap_ms;            /* longest time between two body writes to the caller */
     ev_timer timer;
     struct exchange_t* prev;
--- a/gateway/inventory.c
+++ b/gateway/inventory.c
@@ -28,7 +28,7 @@
     int64_t engines_known_ms; /* since when engines are known; 0: not yet */
     uint64_t* pending;
     uint32_t pending_count;
-    uint32_t max_parts; /* recorded of one engine */
+    uint32_t max_parts; /* most parts recorded of one engine */
     bool is_listed;     /* pending holds the engines to query */
     call_t calls[MAX_CALLS];
     inventory_stats_t stats;
@@ -38,11 +38,11 @@
 
 typedef struct parts_t {
     cw_prompt_part_t items[INVENTORY_PARTS_PER_ENGINE];
-    uint32_t max_parts; /* size of the ring in items, which keeps the last parts */
+    uint32_t max_parts; /* entries of items in use: a ring that keeps the last parts */
     uint32_t count;     /* all parts that were read */
 } parts_t;
 
-/* Records a part with 0 tokens: the engine has computed it before, and evicts nothing for it now. */
+/* Records a part with 0 tokens: the engine computed the part earlier and evicts nothing for it now. */
 static void add_part(void* user, const cw_prompt_part_t* part) {
     parts_t* parts = user;
     parts->items[parts->count++ % parts->max_parts] = (cw_prompt_part_t){.id = part->id};
--- a/gateway/inventory.h
+++ b/gateway/inventory.h
@@ -15,8 +15,8 @@
 #include "dialect.h"
 #include "upstream.h"
 
-#define INVENTORY_PARTS_PER_ENGINE 512 /* recorded of one engine: the last ones of its list */
-#define INVENTORY_PARTS_TOTAL 8192     /* recorded of all engines together; less than max_parts of chalkway_balance.h */
+#define INVENTORY_PARTS_PER_ENGINE 512 /* most parts recorded of one engine: the last ones of its list */
+#define INVENTORY_PARTS_TOTAL 8192 /* most parts recorded of all engines; less than max_parts of chalkway_balance.h */
 
 typedef struct inventory_t inventory_t;
 
@@ -27,7 +27,7 @@
     upstreams_t* upstreams;
     uint32_t settle_delay_ms; /* delay from the first known engine to the queries, default 300 */
     /* Whether this daemon's membership has converged. Until then it takes engines of other daemons for its own. */
-    bool (*is_converged)(void* user_data); /* NULL: it has no peers */
+    bool (*is_converged)(void* user_data); /* NULL: this daemon has no peers */
     /* Whether this daemon is the one that queries the server. */
     bool (*owns_server)(void* user_data, uint64_t server);
     /* The engine has these parts cached. */
--- a/gateway/mesh.c
+++ b/gateway/mesh.c
@@ -19,7 +19,7 @@
 #define PROBE_TIMEOUT_MS 100
 #define SUSPECT_TIMEOUT_MS 700
 #define CONVERGENCE_MS_PER_HOST 10 /* time without a join after which a starting fleet has converged, for each host */
-#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time for all hosts: a few gossip rounds */
+#define CONVERGENCE_MAX_MS 1000    /* upper bound of that time, whatever the number of hosts: a few gossip rounds */
 /* Between probes of seeds and dead hosts; short, so that a restarted fleet converges soon. */
 #define RETRY_INTERVAL_MS 250
 
--- a/gateway/quarantine.h
+++ b/gateway/quarantine.h
@@ -26,8 +26,9 @@
 
 typedef struct quarantine_stats_t {
     cw_quarantine_stats_t requests;
-    uint64_t observations_sent,    /* of this daemon, published because they were new */
-        observations_received;     /* of other daemons, new when applied */
+    /* observations_sent: of this daemon, published because they were new; observations_received: of other daemons, new
+       when applied. */
+    uint64_t observations_sent, observations_received;
     uint64_t requests_quarantined; /* requests refused because they are quarantined */
 } quarantine_stats_t;
 
--- a/gateway/reporter.c
+++ b/gateway/reporter.c
@@ -11,15 +11,15 @@
 #include "reporter_internal.h"
 
 #define MS_PER_S 1000.0
-#define END_FLUSH_DELAY_MS 50 /* before requests that ended are reported */
+#define END_FLUSH_DELAY_MS 50 /* delay before the end of requests is reported */
 #define TRANSIT_MIN_MS 10     /* lower bound of the transit time that is assumed for a datagram */
 
 static void flush(reporter_t* n);
 
 /* -- the queue ------------------------------------------------------------ */
 
-/* Sends the queued entries, only those for the other halls or all, in as few datagrams as hold them. An empty queue is
-   sent as one message without entries. Returns whether anything was sent. */
+/* Sends the queued entries in as few datagrams as hold them. to_other_halls: only the entries for other halls,
+   otherwise all. An empty queue is sent as one message without entries. Returns whether anything was sent. */
 static bool send_queue(reporter_t* n, bool to_other_halls, void (*send)(reporter_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
     bool is_sent = false;
--- a/gateway/reporter_internal.h
+++ b/gateway/reporter_internal.h
@@ -12,8 +12,8 @@
 #define HOSTS_MAX 1024
 #define DIRTY_MAX 256
 #define QUEUE_MAX 512
-#define OBSERVATION_QUEUE_MAX (4 * CW_LOAD_OBSERVATIONS) /* the others go out with the next repetition */
-#define FLUSH_DELAY_MS 1 /* before requests that began are reported, so that some share a datagram */
+#define OBSERVATION_QUEUE_MAX (4 * CW_LOAD_OBSERVATIONS) /* further observations are sent with the next repetition */
+#define FLUSH_DELAY_MS 1 /* delay before the start of requests is reported, so that several share a datagram */
 
 /* A server whose load at this host changed and is not reported yet. */
 typedef struct dirty_t {
@@ -33,7 +33,7 @@
     cw_quarantine_observation_t observation;
     bool to_other_halls; /* as well as to the own hall */
     int64_t due_ms;      /* 0: at once */
-    int64_t stamped_ms;  /* time for which observation.age_ms is valid */
+    int64_t stamped_ms;  /* time at which observation.age_ms was valid */
 } pending_observation_t;
 
 /* Another host that is alive. */
@@ -80,7 +80,7 @@
     int64_t observations_repeated_ms; /* time of the last repetition */
     int64_t flushed_ms, repeated_ms;
     int64_t tick_ms, previous_tick_ms; /* times of the last two ticks */
-    int64_t sent_ms;                   /* of the last report or heartbeat */
+    int64_t sent_ms;                   /* time of the last report or heartbeat */
     uint64_t random_count;             /* random numbers drawn so far */
     reporter_stats_t stats;
 };
--- a/gateway/reporter_observations.c
+++ b/gateway/reporter_observations.c
@@ -7,8 +7,9 @@
    costs a server. 48 observations of 30 bytes a second from two hosts are 3 KB/s for each host that receives them. */
 #define OBSERVATION_REPEAT_INTERVAL_MS 1000
 #define OBSERVATION_REPEATER_RANKS 2
-#define OBSERVATION_BURST_DATAGRAMS 16  /* sent at once when a host joins; the rest is repeated later */
-#define OBSERVATION_RESEND_DELAY_MS 150 /* new ones are sent twice: one datagram in ten may be lost */
+#define OBSERVATION_BURST_DATAGRAMS 16 /* sent at once when a host joins; further observations follow by repetition */
+/* Delay until a new observation is sent again: one datagram in ten may be lost. */
+#define OBSERVATION_RESEND_DELAY_MS 150
 #define STALL_MS 100 /* a longer delay means that this process stalled and datagrams waited in its socket */
 
 static void queue_observation(reporter_t* n, const cw_quarantine_observation_t* observation, bool to_other_halls,
@@ -19,7 +20,8 @@
     }
 }
 
-/* Sends the observations that are due, only those for the other halls or all, in as few datagrams as hold them. */
+/* Sends the observations that are due in as few datagrams as hold them. to_other_halls: only the observations for other
+   halls, otherwise all. */
 static void send_due_observations(reporter_t* n, bool to_other_halls, void (*send)(reporter_t*, cw_load_message_t*)) {
     cw_load_message_t message = {0};
     int64_t now_ms = clock_ms();
@@ -96,8 +98,8 @@
     n->observations_repeated_ms = now_ms;
 }
 
-/* Callers reach a host within milliseconds of its start. Without the observations it would send suspect requests to
-   more servers, so it gets all of them at once. */
+/* Callers reach a host within milliseconds of its start. Without the observations that host would send suspect
+   requests to more servers, so all observations are sent to it at once. */
 void reporter_resend_observations(reporter_t* n) {
     n->next_observation = 0;
     for (uint32_t i = 0; i < OBSERVATION_BURST_DATAGRAMS && (!i || n->next_observation); i++) {
--- a/gateway/request_head.c
+++ b/gateway/request_head.c
@@ -132,8 +132,8 @@
     return read_count(text + length + 1, &part->tokens);
 }
 
-/* Reads a list of parts and keeps the first CW_PROMPT_PARTS. False: it is malformed. work NULL: only checks the list.
- */
+/* Reads a list of parts and keeps the first CW_PROMPT_PARTS of them in work. work NULL: only checks the list.
+   False: the list is malformed. */
 static bool read_parts(cw_work_t* work, const char* text) {
     while (*text) {
         cw_prompt_part_t part;
--- a/gateway/settings.c
+++ b/gateway/settings.c
@@ -8,8 +8,8 @@
 #define POLLS_PER_BOUND 5
 #define MEMORY_PER_SERVER_BYTES 4096 /* of a known server: its entry in the lists and the state of load balancing */
 #define SERVERS_MEMORY_DIVISOR 4
-/* Share of the same time after which the last rank polls; the remaining time is for the poll and for applying its
-   result. */
+/* The last rank polls after this share of the time in which a change must become known. The remaining time is for the
+   poll and for applying its result. */
 #define LAST_RANK_SHARE 0.6
 
 static const cw_setting_info_t table[] = {
--- a/gateway/sync.c
+++ b/gateway/sync.c
@@ -5,7 +5,7 @@
 #include "sync_internal.h"
 
 #define RESPONSE_BYTES_MAX (16U << 20) /* a longer response is truncated */
-#define OUTAGE_MS 2000 /* without confirmation of the list; entries may have expired at the source meanwhile */
+#define OUTAGE_MS 2000 /* after this time without confirmation of the list, entries may have expired at the source */
 #define REFUSALS_LOG_INTERVAL_MS 10000 /* least time between two log lines on invalid entries */
 
 /* -- one call ------------------------------------------------------------- */
@@ -133,7 +133,7 @@
     bool after_outage = !is_first && (confirmed_ms - s->list_confirmed_ms >= OUTAGE_MS || s->awaits_epoch_list);
     s->awaits_epoch_list = false;
     if (list->closed.at < s->list.closed.at) {
-        list->closed = s->list.closed; /* read later than this list's */
+        list->closed = s->list.closed; /* the active list's halls were read later than this list's */
     }
     keep_previous_closed(s, &list->closed);
     cw_servers_refuse_without_start(list);
--- a/gateway/sync.h
+++ b/gateway/sync.h
@@ -37,7 +37,7 @@
     uint64_t seed;                  /* of this host; spreads the polls of daemons that start together */
     uint32_t closed_poll_age_ms;    /* age at which the closed halls are polled along with the servers, 0: never */
     uint32_t poll_age_ms;           /* age at which the daemon of the first rank polls again */
-    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank does, 0: see chalkway_poll.h */
+    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank polls again, 0: see chalkway_poll.h */
     bool is_first_start;            /* the whole system starts for the first time, there is no traffic yet */
     /* The configuration changed. */
     void (*on_catalog)(void* user_data, cw_catalog_t* catalog);
--- a/gateway/sync_internal.h
+++ b/gateway/sync_internal.h
@@ -24,7 +24,7 @@
     cw_buffer_t body;
     int64_t not_before_ms;               /* earliest time of the next call */
     uint32_t failures;                   /* in a row */
-    char address[CW_SERVER_ADDRESS_MAX]; /* of the callee */
+    char address[CW_SERVER_ADDRESS_MAX]; /* address of the callee */
     bool is_source;                      /* the callee is the source, not a peer */
     char epoch[CW_NAME_MAX];             /* epoch of the source as named in the response, "" none */
     void (*on_response)(sync_t* s, unsigned status, const char* body, size_t size);
@@ -39,7 +39,7 @@
     int64_t catalog_version;      /* of the configuration that was last read from the source */
     int64_t catalog_confirmed_ms; /* when the active configuration was last known to be current, NEVER: none */
     cw_catalog_t* active_catalog;
-    char* active_text; /* its native document */
+    char* active_text; /* native document of the active configuration */
     cw_servers_t list;
     cw_servers_t incoming;  /* a list that is being read: the pages so far, or the active list with changes applied */
     bool asks_for_changes;  /* the running call asks for changes */
@@ -48,18 +48,18 @@
     char page_after[CW_NAME_MAX * 2]; /* key after which the next page starts, "" for the first page */
     int64_t incoming_started_ms; /* when the first page or the changes were requested, NEVER: nothing is being read */
     int64_t changes_from;        /* revision since which changes were requested */
-    uint32_t page_count;         /* read so far */
-    uint32_t full_page_count;    /* of the last full list */
+    uint32_t page_count;         /* pages of incoming that were read so far */
+    uint32_t full_page_count;    /* pages of the last full list */
     bool has_full_list; /* the active list came in full, to this daemon or a peer; false: read it in full again */
     uint32_t delta_poll_count; /* polls for changes since the last full list */
     uint64_t list_id;
     cw_changes_t changes;      /* recent changes of the active list, to be served to peers */
-    bool needs_full_list;      /* from a peer, since its changes did not lead to its list */
+    bool needs_full_list;      /* peers are asked for a full list, since a peer's changes did not lead to its list */
     int64_t list_confirmed_ms; /* when the active list was last known to be current at the source, NEVER: no list */
     cw_epoch_t epoch;          /* of the source */
     bool awaits_epoch_list;    /* the active list is of an earlier epoch */
     cw_closed_halls_t previous_closed; /* halls that were closed in the previous epoch */
-    int64_t previous_closed_until_ms;  /* they stay closed until then */
+    int64_t previous_closed_until_ms;  /* time until which the halls in previous_closed stay closed */
     int64_t epoch_logged_ms;           /* last log line on an invalid epoch */
     cw_pull_t catalog_pull, servers_pull;
     cw_poll_t poller;
--- a/gateway/sync_peers.c
+++ b/gateway/sync_peers.c
@@ -6,7 +6,8 @@
 #include "../chalkway_packed.h"
 #include "sync_internal.h"
 
-#define FULL_LIST_CALL_TIMEOUT_MS 3000 /* of a peer's full list, which its link may carry to many hosts at once */
+/* Timeout for a peer's full list, which the peer's link may carry to many hosts at once. */
+#define FULL_LIST_CALL_TIMEOUT_MS 3000
 /* After its start, a host waits this long for documents that peers offer before it polls the source. */
 #define PEERS_FIRST_MS 5000
 
@@ -123,8 +124,7 @@
     return (pull->is_pending || f->call) && !f->failures && now_ms - s->poller.started_ms < PEERS_FIRST_MS;
 }
 
-/* Writes the path at which a peer's list is read. Returns whether it asks only for the changes since the active list.
- */
+/* Writes the path of a peer's list. Returns whether it asks only for the changes since the active list. */
 static bool peer_servers_path(const sync_t* s, char* out, size_t size) {
     bool requests_delta = s->list_confirmed_ms != NEVER && s->list.at && !s->needs_full_list;
     if (requests_delta) {
--- a/gateway/sync_source.c
+++ b/gateway/sync_source.c
@@ -5,7 +5,7 @@
 #include "sync_internal.h"
 
 #define DELTA_POLLS_MAX 20 /* after this many polls for changes the full list is read again, whatever they returned */
-/* After a failed call a list is resumed at the page that failed, unless its first page is older. */
+/* After a failed call a list is resumed at the page that failed, unless the first page is older than this. */
 #define PARTIAL_LIST_MAX_AGE_MS 3000
 #define STATUS_GONE 410 /* the source no longer has the changes since that revision */
 /* After the source was restored from an older copy, the halls that were closed before stay closed for this time: the
@@ -246,7 +246,7 @@
     }
     on_source_success(s);
     if (s->asks_for_changes && s->incoming.at == s->changes_from) {
-        sync_poll_full_list(s); /* without even a heartbeat: other changes may be missing too */
+        sync_poll_full_list(s); /* even heartbeats are missing: other changes may be missing too */
         return;
     }
     s->page_count++;
--- a/gateway/upstream.c
+++ b/gateway/upstream.c
@@ -13,7 +13,7 @@
 #define BITS 8.0
 #define BITS_PER_MS_MBPS 1000.0 /* bits per millisecond at 1 Mbit/s */
 #define RETURN_GRACE_MS 2000    /* time for servers that went missing during a source outage to be listed again */
-#define SUBSET_MIN_SERVERS 1024 /* used servers of a larger pool, until a request finds no slot there */
+#define SUBSET_MIN_SERVERS 1024 /* number of servers used of a larger pool, until a request finds no slot at them */
 #define INITIAL_CAPACITY 256    /* servers for which memory is allocated first */
 #define REJECTED_LOG_INTERVAL_MS 10000 /* shortest time between log lines about rejected servers */
 #define RETRY_BUDGET_SHARE 0.8         /* share of the configured retry budget that is used, as a safety margin */
--- a/gateway/upstream.h
+++ b/gateway/upstream.h
@@ -33,23 +33,23 @@
     uint64_t key;     /* of this incarnation: cw_server_incarnation_id */
     uint64_t id_hash; /* hash of the published id, the same for all incarnations */
     cw_server_t published;
-    int64_t listed_revision; /* source revision of the last list that named it; 0: unknown */
+    int64_t listed_revision; /* source revision of the last list that named the server; 0: unknown */
     struct sockaddr_in address;
     pool_t* pool;
     bool is_retired; /* this incarnation has ended, or it is leaving */
-    bool is_leaving; /* this incarnation announced, in the list or in a response, that it drains and stops; never reset
-                      */
-    bool is_removed; /* retired, or no longer listed: gets no new requests */
+    /* This incarnation announced, in the list or in a response, that it drains and stops. Never reset. */
+    bool is_leaving;
+    bool is_removed;       /* retired, or no longer listed: gets no new requests */
     bool is_hall_closed;   /* its hall is closed: gets no new requests for now */
-    bool is_listed;        /* the last list names it, leaving or not */
-    int64_t expires_at_ms; /* while it is not listed: it counts as removed then */
+    bool is_listed;        /* the last list names the server, leaving or not */
+    int64_t expires_at_ms; /* while the server is not listed: time at which it counts as removed */
     bool is_probing;
     bool is_watched;             /* upstreams_tick checks it */
     int64_t presumed_crash_ms;   /* time of a presumed crash, which data on an older connection disproves; 0: none */
     uint32_t conn_count;         /* number of connections */
     upstream_conn_t* idle_conns; /* most recently used first */
     double connect_ms;           /* moving average of the time to connect; 0: unknown */
-    server_t* next;              /* in the pool */
+    server_t* next;              /* next server of the pool */
 };
 
 struct pool_t {
@@ -58,8 +58,8 @@
     bool is_declared;                  /* in the active configuration */
     upstreams_t* upstreams;
     cw_balance_t* balance;
-    uint32_t connections; /* accepted by one server from all daemons; 0: no limit */
-    uint32_t slots;       /* per engine; 0: not engines */
+    uint32_t connections; /* connections that one server accepts from all daemons; 0: no limit */
+    uint32_t slots;       /* slots of each engine; 0: the servers are not engines */
     uint32_t memory_tokens;
     double cold_per_s;         /* requests per second that all daemons may send to a cold server; 0: no limit */
     double fetch_ms_per_token; /* time to fetch one cached token from another engine; 0: not possible */
@@ -101,7 +101,7 @@
     uint32_t max_conns;      /* connections of this process to all servers */
     uint32_t max_servers;    /* known at the same time, in all pools; default 4096; memory grows with their number */
     uint32_t backoff_max_ms; /* longest backoff that a server can ask for; default 30 minutes */
-    /* Whether only this daemon sends to the server while it is cold. NULL: it does. */
+    /* Whether only this daemon sends to the server while the server is cold. NULL: always true. */
     bool (*owns_server)(void* user_data, uint64_t server);
     /* A server sent data on a connection that was opened before its presumed crash. May be NULL. */
     void (*on_server_alive)(void* user_data, const server_t* server);
@@ -114,7 +114,7 @@
 
 upstreams_t* upstreams_setup(const upstreams_desc_t* desc);
 void upstreams_shutdown(upstreams_t* u);
-/* Creates and updates the declared pools. Others get no new servers. Call upstreams_set_servers afterwards. */
+/* Creates and updates the declared pools. Other pools get no new servers. Call upstreams_set_servers afterwards. */
 void upstreams_set_catalog(upstreams_t* u, const cw_catalog_t* catalog);
 /* Applies a server list. after_outage: the source was unavailable for long before, so servers that are missing from the
    list get time to be listed again. Returns the number of servers that changed. */
@@ -129,7 +129,8 @@
 /* Logs the start or end of a suspicion, if it differs from was_suspected, an earlier result of cw_balance_is_suspected.
    host: id of the host whose report changed it, 0: this host. */
 void server_log_suspicion(const server_t* server, int64_t now_ms, bool was_suspected, uint64_t host);
-/* Logs the advertised rate of the server if it differs from previous_per_s; host as above. */
+/* Logs the advertised rate of the server if it differs from previous_per_s. host: id of the host whose report changed
+   the rate, 0: this host. */
 void server_log_rate_limit(const server_t* server, int64_t now_ms, double previous_per_s, uint64_t host);
 /* The server has reported its start time. If it belongs to another incarnation, retires this one and returns true. */
 bool upstreams_check_incarnation(upstreams_t* u, int64_t now_ms, server_t* server, int64_t started_ms);
--- a/gateway/upstream_conn.c
+++ b/gateway/upstream_conn.c
@@ -13,8 +13,8 @@
 #define PEER_TIMEOUT_MS 3000          /* a server that acknowledges nothing for this time counts as lost */
 #define IDLE_TIMEOUT_DEFAULT_MS 15000 /* if the server does not send Keep-Alive: timeout */
 #define IDLE_MARGIN_MS 1000           /* idle connections are closed this long before the server would */
-#define ONCE_IDLE_SHARE 0.5           /* share of the idle timeout up to which at-most-once requests may use it */
-#define CONNS_MIN 2                   /* connections to one server that every daemon may open */
+#define ONCE_IDLE_SHARE 0.5 /* share of the idle timeout in which at-most-once requests may use a connection */
+#define CONNS_MIN 2         /* connections to one server that every daemon may open */
 /* Data on an older connection proves a server alive only if it arrives this long after the presumed crash. Data that
    arrives earlier may have been in flight, or retransmitted by the server's kernel. */
 #define ALIVE_DELAY_MS 300
--- a/gateway/upstream_internal.h
+++ b/gateway/upstream_internal.h
@@ -39,8 +39,8 @@
     uint32_t* free_indexes;
     uint32_t free_count;
     uint64_t rejected_total;
-    uint64_t rejected_unlogged; /* rejected since the last log line about it */
-    int64_t rejected_logged_ms; /* time of that line; 0: never */
+    uint64_t rejected_unlogged; /* servers rejected since the last log line about rejected servers */
+    int64_t rejected_logged_ms; /* time of that log line; 0: none yet */
     server_t** watched;         /* checked by upstreams_tick; has room for capacity */
     uint32_t watched_count;
     uint64_t leaving_keys[LEAVING_KEYS_MAX]; /* ring of the keys of leaving incarnations that were freed */
@@ -61,8 +61,8 @@
 
 /* -- upstream.c ----------------------------------------------------------- */
 
-/* Has upstreams_tick check the server until it has no idle connection and is neither removed nor missing from the list,
-   as most servers of a large fleet are. */
+/* Has upstreams_tick check the server until the server has no idle connection and is neither removed nor missing from
+   the list. Most servers of a large fleet are in that state and need no checks. */
 void server_watch(server_t* s);
 
 /* -- upstream_conn.c --------------------------------------------------------------- */
