--- a/chalkway_balance.h
+++ b/chalkway_balance.h
@@ -60,7 +60,7 @@
 
 /* A server as published by the configuration source. */
 typedef struct cw_server_spec_t {
-    uint64_t id;   /* of this incarnation of the server */
+    uint64_t id;   /* id of this incarnation of the server */
     uint64_t hall; /* id of the hall's name */
     uint32_t slots;
     uint32_t memory_tokens;    /* 0: not an engine */
@@ -74,7 +74,7 @@
     uint32_t urgency; /* as sent to engines: 0 is prefilled first and preempted last */
     uint32_t prompt_tokens;
     uint32_t output_tokens;
-    uint32_t target_ms; /* to the first byte */
+    uint32_t target_ms; /* target for the time to the first byte */
     uint32_t gap_ms;    /* gap limit: longest accepted gap between events; 0: none */
     bool repeatable;    /* a failed attempt may be retried, so a recent failure of a server weighs half */
     bool is_late;       /* it waited so long for a slot that it can hardly meet its target (chalkway_queue_order.h) */
--- a/chalkway_contention.h
+++ b/chalkway_contention.h
@@ -51,7 +51,7 @@
 /* A server that this host may choose for a request, and the hosts that compete for its slots. */
 typedef struct cw_contention_use_t {
     uint64_t server;
-    double free_slots; /* free slots there, as far as known */
+    double free_slots; /* free slots of the server, as far as known */
     uint32_t urgency;  /* of the request */
     uint32_t hosts;    /* hosts that may use these slots, this one among them */
     uint32_t delay_ms; /* time until a load report has reached these hosts, 0: at once */
--- a/chalkway_member.h
+++ b/chalkway_member.h
@@ -166,8 +166,8 @@
 #define _CW_MEMBERS_HEALTH_MAX 8
 #define _CW_MEMBERS_FORWARD_INTERVAL_MS 200 /* minimum, between immediate forwards of new updates */
 #define _CW_MEMBERS_SYNC_INTERVAL_MS 2000   /* minimum, between a host's anti-entropy requests */
-/* Reply budget: messages per interval to hosts that join or request differences. One reply may use a quarter of what is
-   left of it. */
+/* Reply budget: messages per interval to hosts that join or request differences. One reply may use a quarter of the
+   messages left in the budget. */
 #define _CW_MEMBERS_REPLY_DIVISOR 4
 #define _CW_MEMBERS_REPLY_BUDGET 64
 #define _CW_MEMBERS_REPLY_INTERVAL_MS 100
--- a/chalkway_poll.h
+++ b/chalkway_poll.h
@@ -62,7 +62,7 @@
 #define _CW_POLL_START_RANK_MS 20      /* additional delay per rank beyond the first ones at the start */
 #define _CW_POLL_START_JITTER_MS 200   /* ms of jitter: hosts that start together do not know their ranks yet */
 #define _CW_POLL_START_ALONE_MS 200    /* additional delay at the start for a host that knows no other host yet */
-#define _CW_POLL_FIRST_START_FACTOR 10 /* scales these delays at a first start, so that others' state can arrive */
+#define _CW_POLL_FIRST_START_FACTOR 10 /* factor on the start delays at a first start: others' state can arrive */
 #define _CW_POLL_BACKOFF_MS 100        /* backoff after the first failure, for the first rank, and increment per rank */
 #define _CW_POLL_BACKOFF_MAX_MS 1000   /* longest backoff of the first rank */
 #define _CW_POLL_BACKOFF_RANKS_MAX 50  /* rank from which the backoff does not grow further */
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -57,8 +57,8 @@
 uint32_t cw_prefix_cached_tokens(const cw_prefix_cache_t* cache, const cw_prefix_capacity_t* capacity,
                                  const cw_prompt_part_t* parts, uint32_t count);
 cw_prefix_t cw_prefix_init(const cw_prompt_part_t* parts, uint32_t count);
-/* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: it is
-   neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
+/* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: the
+   server is neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
 void cw_prefix_add_server(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own);
 /* Whether the server, which was added with may_own, owns the last shared part. */
 bool cw_prefix_is_owner(const cw_prefix_t* p, uint64_t server);
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -142,8 +142,8 @@
 #include "chalkway_map.h"
 
 #define _CW_QUARANTINE_DEFAULT_ENTRIES 4096
-/* A harmless request is needed again within minutes, while the operator of the servers needs time to fix them. A body
-   that is sent continuously crashes three servers in this half hour. */
+/* A harmless request that was quarantined is needed again within minutes, while the operator needs time to fix the
+   servers. A body that is sent continuously crashes three servers in this half hour. */
 #define _CW_QUARANTINE_RETENTION_MS (30U * 60U * 1000U)
 /* One workspace may use 1/4 of the entries, so that it cannot evict the entries of the others. */
 #define _CW_QUARANTINE_WORKSPACE_DIVISOR 4
@@ -621,7 +621,8 @@
                               uint32_t max) {
     uint32_t count = 0;
     cw_verdict_t verdict;
-    while (count + 2 * CW_QUARANTINE_MAX_CRASHES <= max) { /* each crash, and an unrelated one that halves its weight */
+    /* Each crash may be exported with an unrelated one that halves its weight. */
+    while (count + 2 * CW_QUARANTINE_MAX_CRASHES <= max) {
         const _cw_tracked_request_t* entry = _cw_quarantine_next_restricted(q, now_ms, at, &verdict);
         if (!entry) {
             *at = 0;
--- a/chalkway_queue_order.h
+++ b/chalkway_queue_order.h
@@ -47,12 +47,12 @@
     int64_t caller_gone_ms;    /* time at which its caller is assumed to be gone */
     uint32_t target_ms;        /* target of the request, to the first byte */
     double shortest_target_ms; /* shortest target of the pool's requests; 0: unknown */
-    bool is_delay_tolerant;    /* it is refused when it is late */
+    bool is_delay_tolerant;    /* the request is refused when it is late */
 } cw_queue_wait_desc_t;
 
 typedef struct cw_queue_wait_t {
     int64_t late_from_ms; /* time from which the request is late */
-    int64_t until_ms;     /* time at which it is refused, at the earliest late_from_ms */
+    int64_t until_ms;     /* time at which the request is refused, no earlier than late_from_ms */
 } cw_queue_wait_t;
 
 /* Whether x gets a slot before y. */
