--- a/chalkway_poll.h
+++ b/chalkway_poll.h
@@ -32,12 +32,13 @@
 #define CW_POLL_NEVER INT64_MIN /* confirmed_ms before there is any state */
 
 typedef struct cw_poll_t {
-    uint32_t poll_age_ms;           /* age of the state at which the daemon of the first rank polls again */
-    uint32_t rank;                  /* 0: first */
-    uint32_t daemons;               /* number of live daemons, including this one; 0: no more than the first ranks */
-    uint32_t last_rank_poll_age_ms; /* age at which the daemon of the last rank polls, 0: the same for all beyond the
-                                       first ranks */
-    int64_t started_ms;             /* start of this daemon */
+    uint32_t poll_age_ms; /* age of the state at which the daemon of the first rank polls again */
+    uint32_t rank;        /* 0: first */
+    uint32_t daemons;     /* number of live daemons, including this one; 0: no more than the first ranks */
+    /* Age of the state at which the daemon of the last rank polls. 0: all ranks beyond the first ones poll at the same
+       age. */
+    uint32_t last_rank_poll_age_ms;
+    int64_t started_ms;  /* start of this daemon */
     bool is_first_start; /* first start of the whole system: without callers, a daemon can wait for others' polls */
     uint64_t seed;       /* of this host, for jitter at the start */
 } cw_poll_t;
@@ -61,7 +62,7 @@
 #define _CW_POLL_START_RANK_MS 20      /* additional delay per rank beyond the first ones at the start */
 #define _CW_POLL_START_JITTER_MS 200   /* ms of jitter: hosts that start together do not know their ranks yet */
 #define _CW_POLL_START_ALONE_MS 200    /* additional delay at the start for a host that knows no other host yet */
-#define _CW_POLL_FIRST_START_FACTOR 10 /* scales these delays at a first start, so that others' state can arrive */
+#define _CW_POLL_FIRST_START_FACTOR 10 /* factor on the start delays at a first start: others' state can arrive */
 #define _CW_POLL_BACKOFF_MS 100        /* backoff after the first failure, for the first rank, and increment per rank */
 #define _CW_POLL_BACKOFF_MAX_MS 1000   /* longest backoff of the first rank */
 #define _CW_POLL_BACKOFF_RANKS_MAX 50  /* rank from which the backoff does not grow further */
--- a/chalkway_prefix.h
+++ b/chalkway_prefix.h
@@ -47,18 +47,18 @@
 /* Cached and shared parts of one prompt. */
 typedef struct cw_prefix_t {
     uint64_t best_server;                    /* the server with most of the prompt's start cached, 0: none */
-    uint32_t best_tokens;                    /* tokens cached there */
+    uint32_t best_tokens;                    /* tokens cached at best_server */
     uint32_t shared_tokens;                  /* tokens before the last part, which is the request's own */
     uint64_t last_shared_part;               /* id of the last part that other prompts share */
-    uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of its owners, the highest first */
+    uint64_t owner_scores[CW_PREFIX_OWNERS]; /* scores of the owners of last_shared_part, the highest first */
 } cw_prefix_t;
 
 /* Tokens at the start of the prompt that the server has cached. */
 uint32_t cw_prefix_cached_tokens(const cw_prefix_cache_t* cache, const cw_prefix_capacity_t* capacity,
                                  const cw_prompt_part_t* parts, uint32_t count);
 cw_prefix_t cw_prefix_init(const cw_prompt_part_t* parts, uint32_t count);
-/* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: it is
-   neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
+/* Adds a server that may be chosen. cached_tokens: tokens of the prompt's start that are cached there. may_own: the
+   server is neither unreachable nor throttling, so prompts may be sent there for their shared parts. */
 void cw_prefix_add_server(cw_prefix_t* p, uint64_t server, uint32_t cached_tokens, bool may_own);
 /* Whether the server, which was added with may_own, owns the last shared part. */
 bool cw_prefix_is_owner(const cw_prefix_t* p, uint64_t server);
