--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -113,7 +113,7 @@
 
 typedef struct message_cost_t {
     double slot_request, grant, queued, grant_release, digest; /* bytes of a frame */
-    double codec_us;                                           /* CPU time to encode and decode each of them once */
+    double codec_us; /* CPU time to encode and decode one message of each of these five kinds */
 } message_cost_t;
 
 static double frame_size(cw_wire_t* wire, const cw_msg_t* msg) {
--- a/chalkway_limit.h
+++ b/chalkway_limit.h
@@ -29,7 +29,7 @@
     double burst; /* capacity of the bucket, tokens; default: the rate times one second */
     double tokens;
     int64_t at_ms; /* time at which the bucket had these tokens */
-    bool started;  /* false: never used, so it is full */
+    bool started;  /* set by the first take at a limited rate or cw_bucket_set_rate; until then the bucket is full */
 } cw_bucket_t;
 
 typedef struct cw_retry_budget_t {
--- a/chalkway_quarantine.h
+++ b/chalkway_quarantine.h
@@ -359,7 +359,8 @@
     return crash->incarnation == incarnation && distance_ms < _CW_QUARANTINE_DISTINCT_CRASH_MS;
 }
 
-/* Whether the incarnation crashed at that time while the request ran on it. */
+/* Whether the request ran on the incarnation when it crashed at at_ms. Crash times less than
+   _CW_QUARANTINE_DISTINCT_CRASH_MS apart count as the same crash; trials do not count. */
 static bool _cw_quarantine_has_crash(const _cw_tracked_request_t* entry, uint64_t incarnation, int64_t at_ms) {
     for (uint32_t i = 0; i < entry->count; i++) {
         if (!entry->crashes[i].is_trial && _cw_quarantine_is_same_crash(&entry->crashes[i], incarnation, at_ms)) {
--- a/chalkway_shard.h
+++ b/chalkway_shard.h
@@ -727,8 +727,9 @@
     return best;
 }
 
-/* Accounts for a served cost: the tiers that wait, and the served one, earn their floor's share of it as credit; the
-   served tier then spends credit. */
+/* Updates the floor credits and the statistics when a request of the tier is granted a slot. Every tier but
+   tier 0 is credited with its own floor times the request's cost, if it has waiting requests or is the granted one. The
+   cost is then deducted from the granted tier's credit, which does not fall below 0. */
 static void _cw_shard_account_cost(cw_shard_t* s, uint32_t tier, uint32_t cost) {
     for (uint32_t t = 1; t < CW_TIERS; t++) {
         if (t == tier || cw_fair_peek(s->tiers[t]) != CW_FAIR_NONE) {
--- a/tests/test_gateway_parts.c
+++ b/tests/test_gateway_parts.c
@@ -592,8 +592,9 @@
         ck_assert_uint_eq(choose_and_begin(b, 0, &urgent_work, &run), 1);
         cw_balance_end(b, 0, &run, CW_TRY_CANCELLED);
     }
-    cw_work_t alike = {.prompt_tokens = 100, .target_ms = 400}; /* the target is at most twice the shortest one */
-    for (count = 0; choose_and_begin(b, 0, &alike, &run); count++) {
+    /* The target is at most twice the shortest one. */
+    cw_work_t similarly_urgent_work = {.prompt_tokens = 100, .target_ms = 400};
+    for (count = 0; choose_and_begin(b, 0, &similarly_urgent_work, &run); count++) {
         runs[count] = run;
     }
     ck_assert_uint_eq(count, 8);
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -127,11 +127,11 @@
 START_TEST(events_are_applied_to_the_list) {
     cw_servers_t list = {.at = 7};
     cw_error_t err = {0};
-    cw_server_t stays = {.id = "i-1", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 1};
-    cw_server_t goes = stays;
+    cw_server_t kept_server = {.id = "i-1", .address = "127.0.0.1:9", .pool = "p", .hall = "a", .slots = 1};
+    cw_server_t goes = kept_server;
     snprintf(goes.id, sizeof(goes.id), "i-2");
     cw_servers_put(&list, &goes);
-    cw_servers_put(&list, &stays);
+    cw_servers_put(&list, &kept_server);
     ck_assert_str_eq(list.items[0].id, "i-1"); /* sorted */
     static const char body[] =
         "{\"events\":[{\"tls_key\":\"servers/i-0\",\"value\":\"" DRAINING_ENTRY_BASE64 "\",\"revision\":8},"
